--- a/packages/checker/src/jobs/HostModel.ts
+++ b/packages/checker/src/jobs/HostModel.ts
@@ -13,7 +13,7 @@
   type Random,
   type ServiceName,
 } from "@rackspan/common";
-import { leaseOverBy } from "@rackspan/leadership";
+import { latestLeaseExpiry } from "@rackspan/leadership";
 import type { Grant, HostReport, WorkerDescription } from "@rackspan/protocol";
 import {
   FencedTaskHost,
@@ -122,7 +122,10 @@
    */
   get leasesOverBy(): Monotonic {
     const { worker, longestLeaseMs } = this.options;
-    const formerOverBy = leaseOverBy(this.formerSidesUntil, longestLeaseMs);
+    const formerOverBy = latestLeaseExpiry(
+      this.formerSidesUntil,
+      longestLeaseMs,
+    );
     return Math.max(worker.sentLeasesOverBy, formerOverBy);
   }
 
--- a/packages/checker/src/jobs/LeaderModel.ts
+++ b/packages/checker/src/jobs/LeaderModel.ts
@@ -12,7 +12,7 @@
 } from "@rackspan/common";
 import { StoredRoster } from "@rackspan/entry";
 import { ProgressJournal, TakeoverGate } from "@rackspan/jobs";
-import { leaseOverBy } from "@rackspan/leadership";
+import { latestLeaseExpiry } from "@rackspan/leadership";
 import type { RunRef, StoreClient } from "@rackspan/ports";
 import type { Grant, HostReport, LostRun } from "@rackspan/protocol";
 import { DEFAULT_POLICY, JobEngine } from "@rackspan/scheduling";
@@ -197,7 +197,7 @@
   ): Grant | undefined {
     if (this.isOver || !this.engine) return undefined;
     const now = this.clock.monotonic();
-    this.grantsOverBy.set(host, leaseOverBy(now, LEADERSHIP.leaseMs));
+    this.grantsOverBy.set(host, latestLeaseExpiry(now, LEADERSHIP.leaseMs));
     return this.engine.report(host, zone, report);
   }
 
--- a/packages/checker/src/jobs/TakeoverWaits.ts
+++ b/packages/checker/src/jobs/TakeoverWaits.ts
@@ -5,7 +5,7 @@
  */
 
 import type { Clock, JobTaskId, Monotonic } from "@rackspan/common";
-import { leaseOverBy } from "@rackspan/leadership";
+import { latestLeaseExpiry } from "@rackspan/leadership";
 import { ENGINE } from "@rackspan/scheduling";
 import type { HostModel } from "./HostModel.js";
 import type { LeaderModel } from "./LeaderModel.js";
@@ -114,4 +114,4 @@
 
 /** When it shows whether the order has come to anything. */
 const orderOverBy = ({ orderedAt }: LostRun): Monotonic =>
-  leaseOverBy(orderedAt, ENGINE.startLeaseMs) + ENGINE.missedReportMs;
+  latestLeaseExpiry(orderedAt, ENGINE.startLeaseMs) + ENGINE.missedReportMs;
--- a/packages/checker/src/jobs/WorkerModel.ts
+++ b/packages/checker/src/jobs/WorkerModel.ts
@@ -27,7 +27,7 @@
   type StartOutcome,
   type TaskHost,
 } from "@rackspan/ports";
-import { leaseOverBy } from "@rackspan/leadership";
+import { latestLeaseExpiry } from "@rackspan/leadership";
 import type { GangBook } from "./GangBook.js";
 import type { RunHistory } from "./RunHistory.js";
 import { TaskRunner } from "./TaskRunner.js";
@@ -281,7 +281,7 @@
     const now = this.options.clock.monotonic();
     this.sentLeasesOverBy = Math.max(
       this.sentLeasesOverBy,
-      leaseOverBy(now, leaseUntil - this.life.at),
+      latestLeaseExpiry(now, leaseUntil - this.life.at),
     );
   }
 
--- a/packages/checker/src/jobs/jobSchedules.ts
+++ b/packages/checker/src/jobs/jobSchedules.ts
@@ -1,7 +1,7 @@
 /** Random schedules of work and faults for the job engine, by seed. */
 
 import { pickIndex } from "@rackspan/common";
-import { unattendedLeaseMs } from "@rackspan/leadership";
+import { maxUnattendedLeaseMs } from "@rackspan/leadership";
 import {
   CRASHING_EVENTS,
   DROPPED_EVENTS,
@@ -297,8 +297,8 @@
 const CALM: Harshness = {
   ...PLAIN,
   failShare: 0,
-  unattendedLeaseMs: unattendedLeaseMs({
-    leastMs: SCHEDULE.sideBackMs,
+  unattendedLeaseMs: maxUnattendedLeaseMs({
+    minMs: SCHEDULE.sideBackMs,
     outOfTouchMs: undefined,
     cancelMs: undefined,
     stopMs: undefined,
--- a/packages/cli/src/settingsOptions.ts
+++ b/packages/cli/src/addSettingsOptions.ts
@@ -13,7 +13,7 @@
   before: readonly string[],
 ): readonly string[] => [...before, value];
 
-export const collectOverrides = (command: Command): void => {
+export const addSettingsOptions = (command: Command): void => {
   command
     .requiredOption("--config <file>", "settings, JSON with comments")
     .option(
--- a/packages/cli/src/commands/entry.ts
+++ b/packages/cli/src/commands/entry.ts
@@ -7,13 +7,16 @@
   overridesFromEnvironment,
 } from "@rackspan/kernel";
 import { runProcess } from "../runProcess.js";
-import { collectOverrides, type SettingsOptions } from "../settingsOptions.js";
+import {
+  addSettingsOptions,
+  type SettingsOptions,
+} from "../addSettingsOptions.js";
 import { registerCommand } from "./registry.js";
 
 registerCommand<SettingsOptions>({
   name: "entry",
   summary: "run an entry process",
-  define: collectOverrides,
+  define: addSettingsOptions,
   perform: async ({ stop }, _args, { config, set }) => {
     const overrides = [
       ...overridesFromEnvironment(process.env),
--- a/packages/cli/src/jobPrograms.ts
+++ b/packages/cli/src/jobPrograms.ts
@@ -13,7 +13,7 @@
 import type { ExitCode } from "./exitCodes.js";
 import { runProcess, type StoppableProcess } from "./runProcess.js";
 import { runProgram, type RunOptions } from "./runProgram.js";
-import type { SettingsOptions } from "./settingsOptions.js";
+import type { SettingsOptions } from "./addSettingsOptions.js";
 
 /** Names the settings file when `--config` does not. */
 const CONFIG_VARIABLE = "RACKSPAN_CONFIG";
--- a/packages/cli/src/runSide.ts
+++ b/packages/cli/src/runSide.ts
@@ -10,7 +10,10 @@
 import type { ExitCode } from "./exitCodes.js";
 import { runProcess } from "./runProcess.js";
 import { runProgram, type RunOptions } from "./runProgram.js";
-import { collectOverrides, type SettingsOptions } from "./settingsOptions.js";
+import {
+  addSettingsOptions,
+  type SettingsOptions,
+} from "./addSettingsOptions.js";
 
 const settingsFrom = (
   { config, set }: SettingsOptions,
@@ -27,7 +30,7 @@
   const { env, output, stop } = options;
   return runProgram(options, (finish) => {
     const run = new Command("run").description("run the side process");
-    collectOverrides(run);
+    addSettingsOptions(run);
     run.action(async (given: SettingsOptions) => {
       const settings = settingsFrom(given, env);
       finish(await runProcess(new SideProcess({ settings }), stop));
--- a/packages/common/src/SuspensionMeter.ts
+++ b/packages/common/src/SuspensionAwareClock.ts
@@ -14,7 +14,7 @@
  */
 const LEAST_LEAP_MS = 50;
 
-export class SuspensionMeter {
+export class SuspensionAwareClock {
   private steadyBefore: number;
   private wallBefore: number;
   private skippedMs = 0;
--- a/packages/common/src/clock.ts
+++ b/packages/common/src/clock.ts
@@ -1,7 +1,7 @@
 /** The clock as an interface, so that tests decide what time it is. */
 
 import { AbortedError } from "./errors.js";
-import { SuspensionMeter } from "./SuspensionMeter.js";
+import { SuspensionAwareClock } from "./SuspensionAwareClock.js";
 
 /** Milliseconds since the Unix epoch; for people and records, never for lapses. */
 export type Instant = number;
@@ -35,7 +35,7 @@
     private readonly options: SystemClockOptions = { keepsProcessAlive: false },
   ) {}
 
-  private readonly meter = new SuspensionMeter(
+  private readonly meter = new SuspensionAwareClock(
     () => performance.now(),
     () => Date.now(),
   );
--- a/packages/common/src/ownLoopback.ts
+++ b/packages/common/src/processLoopbackAddress.ts
@@ -9,7 +9,7 @@
  *
  * @param host from 1 to 254, to tell the process's own listeners apart
  */
-export const ownLoopback = (host: number): string => {
+export const processLoopbackAddress = (host: number): string => {
   const network = process.pid % NETWORKS_OF_OCTET ** 2;
   const high = 1 + Math.floor(network / NETWORKS_OF_OCTET);
   const low = 1 + (network % NETWORKS_OF_OCTET);
--- a/packages/common/tests/suspensionMeter.test.ts
+++ b/packages/common/tests/suspensionAwareClock.test.ts
@@ -2,11 +2,11 @@
 
 import { test } from "node:test";
 import { expect } from "earl";
-import { SuspensionMeter } from "@rackspan/common";
+import { SuspensionAwareClock } from "@rackspan/common";
 
 const meterOf = () => {
   const at = { steady: 1_000, wall: 1_700_000_000_000 };
-  const meter = new SuspensionMeter(
+  const meter = new SuspensionAwareClock(
     () => at.steady,
     () => at.wall,
   );
--- a/packages/entry/src/AttemptLoop.ts
+++ b/packages/entry/src/AttemptLoop.ts
@@ -98,7 +98,7 @@
     this.attempt?.cancel();
   }
 
-  watch(attempt: SentAttempt | undefined): void {
+  track(attempt: SentAttempt | undefined): void {
     this.attempt = attempt;
   }
 }
@@ -219,7 +219,7 @@
     const endpoint = peer.endpoint as EndpointState;
     const startedAt = clock.monotonic();
     const sent = this.send(request, attempt, endpoint);
-    cancellation.watch(sent);
+    cancellation.track(sent);
     endpoint.inFlight += 1;
     try {
       const answer = await sent.answer;
@@ -301,7 +301,7 @@
   ): void {
     const at = this.options.clock.monotonic();
     const latencyMs = at - startedAt;
-    if (ok) endpoint.answered(latencyMs);
+    if (ok) endpoint.recordLatency(latencyMs);
     this.options.ejector.report({ host: endpoint.host, ok, latencyMs, at });
   }
 
@@ -339,7 +339,7 @@
   at: Monotonic,
 ): void => {
   const busy = Number(answer.headers[HEADER.BUSY_SLOTS]);
-  if (Number.isInteger(busy)) endpoint.heard(busy, at);
+  if (Number.isInteger(busy)) endpoint.recordBusySlots(busy, at);
 };
 
 // The side drops this header from endpoints' answers, so here it is the side's own.
--- a/packages/entry/src/RequestRun.ts
+++ b/packages/entry/src/CallerRequestHandler.ts
@@ -41,7 +41,7 @@
   type WatchRelayOptions,
 } from "./WatchRelay.js";
 
-export interface RequestRunOptions extends WatchRelayOptions {
+export interface CallerRequestHandlerOptions extends WatchRelayOptions {
   readonly loop: AttemptLoop;
   readonly keys: KeyedRequests;
   readonly queues: Readonly<Record<RequestClass, DeadlineQueue>>;
@@ -58,7 +58,7 @@
   HEADER.REQUEST_ID,
 ]);
 
-export class RequestRun {
+export class CallerRequestHandler {
   private readonly cancellation = new Cancellation();
   private readonly arrivedAt: Monotonic;
   private readonly deadline: Monotonic;
@@ -68,7 +68,7 @@
   private refusalSent = false;
 
   constructor(
-    private readonly options: RequestRunOptions,
+    private readonly options: CallerRequestHandlerOptions,
     private readonly request: CallerRequest,
     private readonly req: IncomingMessage,
     private readonly res: ServerResponse,
--- a/packages/entry/src/ControlServer.ts
+++ b/packages/entry/src/ControlServer.ts
@@ -26,7 +26,7 @@
   readonly follower: LogFollower;
   readonly metrics: Metrics;
   /** Nothing when ready, else why not. */
-  readonly notReady: () => string | undefined;
+  readonly notReadyReason: () => string | undefined;
   readonly publishGauges: () => void;
 }
 
@@ -67,7 +67,7 @@
       case "/livez":
         return sendText(res, 200, "live\n");
       case "/readyz": {
-        const why = this.options.notReady();
+        const why = this.options.notReadyReason();
         return why
           ? sendText(res, 503, `${why}\n`)
           : sendText(res, 200, "ready\n");
--- a/packages/entry/src/EndpointState.ts
+++ b/packages/entry/src/EndpointState.ts
@@ -32,12 +32,12 @@
     this.slots = status.slots;
   }
 
-  heard(busySlots: number, at: Monotonic): void {
+  recordBusySlots(busySlots: number, at: Monotonic): void {
     this.busySlots = busySlots;
     this.heardAt = at;
   }
 
-  answered(latencyMs: number): void {
+  recordLatency(latencyMs: number): void {
     const before = this.latencyMs === 0 ? latencyMs : this.latencyMs;
     this.latencyMs = before + LATENCY_WEIGHT * (latencyMs - before);
   }
--- a/packages/entry/src/EntryProcess.ts
+++ b/packages/entry/src/EntryProcess.ts
@@ -54,7 +54,7 @@
 import { RequestServer } from "./RequestServer.js";
 import type { EntrySettings } from "./settings.js";
 import { SideDirectory } from "./SideDirectory.js";
-import { Sweeper } from "./Sweeper.js";
+import { ReconcileLoop } from "./ReconcileLoop.js";
 
 export interface EntryProcessOptions {
   readonly settings: EntrySettings;
@@ -75,7 +75,7 @@
   private readonly hostList: HostListWatcher;
   private readonly requests: RequestServer;
   private readonly control: ControlServer;
-  private readonly sweeper: Sweeper;
+  private readonly sweeper: ReconcileLoop;
   private readonly snapshots: SnapshotWriter;
   private readonly lifecycle: Lifecycle;
   private readonly stopped = new AbortController();
@@ -162,7 +162,7 @@
       ownership,
       hosts: sides,
     };
-    this.sweeper = new Sweeper({
+    this.sweeper = new ReconcileLoop({
       ...shared,
       fold,
       sides,
@@ -210,7 +210,7 @@
   }
 
   /** Why this entry is not ready; nothing when it is. */
-  notReady(): string | undefined {
+  notReadyReason(): string | undefined {
     const { fault, caughtUp } = this.follower;
     if (fault) return describeError(fault);
     if (!caughtUp) return "the log has not been read to its end yet";
@@ -253,7 +253,7 @@
       keepBodyBytes: routing.keepBodyBytes,
       keepAnswerBytes: keys.keepAnswerBytes,
       watchResumeMs: routing.watchResumeMs,
-      ready: () => this.follower.caughtUp,
+      isReady: () => this.follower.caughtUp,
     });
   }
 
@@ -264,7 +264,7 @@
       fold,
       follower,
       metrics,
-      notReady: () => this.notReady(),
+      notReadyReason: () => this.notReadyReason(),
       publishGauges: () => this.publishGauges(),
       handlers: createOperatorHandlers({
         host,
@@ -275,7 +275,7 @@
         hostList,
         clock,
         metrics,
-        ready: () => this.notReady() === undefined,
+        isReady: () => this.notReadyReason() === undefined,
         appendTimeoutMs: jobs.appendTimeoutMs,
       }),
     });
@@ -304,7 +304,7 @@
       {
         name: "tasks",
         start: async () => {
-          this.hostList.read.on((records) => {
+          this.hostList.updated.on((records) => {
             this.sides.update(records);
             this.sides.setEntries(this.hostList.liveEntryIds());
           });
--- a/packages/entry/src/HostListWatcher.ts
+++ b/packages/entry/src/HostListWatcher.ts
@@ -22,7 +22,7 @@
 
 export class HostListWatcher {
   /** Emits each successful read. */
-  readonly read = new Emitter<readonly HostRecord[]>();
+  readonly updated = new Emitter<readonly HostRecord[]>();
   private records: readonly HostRecord[] = [];
 
   constructor(private readonly options: HostListWatcherOptions) {}
@@ -58,7 +58,7 @@
     const { hostList, metrics, logger } = this.options;
     try {
       this.records = await hostList.list(signal);
-      this.read.emit(this.records);
+      this.updated.emit(this.records);
     } catch (err) {
       if (signal.aborted) return;
       metrics.count("host_list_errors");
--- a/packages/entry/src/Sweeper.ts
+++ b/packages/entry/src/ReconcileLoop.ts
@@ -14,7 +14,7 @@
 import type { HostListWatcher } from "./HostListWatcher.js";
 import type { SideDirectory } from "./SideDirectory.js";
 
-export interface SweeperOptions {
+export interface ReconcileLoopOptions {
   readonly fold: Fold;
   readonly follower: LogFollower;
   readonly sides: SideDirectory;
@@ -31,15 +31,15 @@
 /** Changes that come close together are handled in one sweep. */
 const GATHER_MS = 5;
 
-export class Sweeper {
+export class ReconcileLoop {
   private readonly changed = new ChangeSignal();
   private isDirty = true;
 
-  constructor(private readonly options: SweeperOptions) {
+  constructor(private readonly options: ReconcileLoopOptions) {
     const { fold, sides, hostList, certifier, follower } = options;
     fold.applied.on(() => this.markDirty());
     sides.changed.on(() => this.markDirty());
-    hostList.read.on((records) => {
+    hostList.updated.on((records) => {
       if (follower.caughtUp) certifier.sweep(records);
       this.markDirty();
     });
--- a/packages/entry/src/RequestServer.ts
+++ b/packages/entry/src/RequestServer.ts
@@ -20,17 +20,20 @@
 } from "@rackspan/protocol";
 import type { Fold } from "@rackspan/state";
 import { parseCallerRequest } from "./callerRequest.js";
-import { RequestRun, type RequestRunOptions } from "./RequestRun.js";
+import {
+  CallerRequestHandler,
+  type CallerRequestHandlerOptions,
+} from "./CallerRequestHandler.js";
 import { RouteTable } from "./RouteTable.js";
 import { openTunnel } from "./openTunnel.js";
 
 export interface RequestServerOptions extends Omit<
-  RequestRunOptions,
+  CallerRequestHandlerOptions,
   "closingWatches"
 > {
   readonly fold: Fold;
   /** Whether the configuration is known; before that no route is. */
-  readonly ready: () => boolean;
+  readonly isReady: () => boolean;
   readonly maxHeaderBytes: number;
   readonly headersTimeoutMs: number;
   readonly maxConnections: number;
@@ -47,7 +50,7 @@
   private inProgress = 0;
   private refusing = false;
   private closingWatches = false;
-  private readonly runOptions: RequestRunOptions;
+  private readonly runOptions: CallerRequestHandlerOptions;
   private readonly watches = new Set<Duplex | ServerResponse>();
 
   constructor(private readonly options: RequestServerOptions) {
@@ -127,7 +130,12 @@
     this.inProgress += 1;
     if (parsed.request.match.route.class === "watch") this.addWatch(res);
     try {
-      await new RequestRun(this.runOptions, parsed.request, req, res).run();
+      await new CallerRequestHandler(
+        this.runOptions,
+        parsed.request,
+        req,
+        res,
+      ).run();
     } catch (err) {
       this.options.logger.error("request.failed", {
         error: describeError(err),
@@ -147,7 +155,7 @@
 
   private refusalForAll(): Problem | undefined {
     if (this.refusing) return leaving;
-    return this.options.ready() ? undefined : notReady;
+    return this.options.isReady() ? undefined : notReady;
   }
 
   private refuse(
--- a/packages/entry/src/SidePeer.ts
+++ b/packages/entry/src/SidePeer.ts
@@ -240,7 +240,7 @@
         parseAddress(this.record.address),
       );
     }
-    this.endpointState.heard(status.busySlots, clock.monotonic());
+    this.endpointState.recordBusySlots(status.busySlots, clock.monotonic());
     if (!status.tasks) {
       if (wasAvoided) this.changed.emit();
       return;
--- a/packages/entry/src/jobs/JobEntryProcess.ts
+++ b/packages/entry/src/jobs/JobEntryProcess.ts
@@ -13,7 +13,10 @@
 } from "@rackspan/common";
 import { MetricsServer } from "@rackspan/protocol";
 import type { JobEntrySettings } from "./settings.js";
-import { wireJobEntry, type JobEntryParts } from "./wireJobEntry.js";
+import {
+  createJobEntryParts,
+  type JobEntryParts,
+} from "./createJobEntryParts.js";
 
 /** Of the time for a planned stop, this much is left for the end itself. */
 const STOP_MARGIN_MS = 700;
@@ -39,7 +42,7 @@
       logger ??
       createLogger({ level: settings.logLevel, write: writeToStandardOutput });
     const metrics = new Metrics();
-    this.parts = wireJobEntry({
+    this.parts = createJobEntryParts({
       settings,
       clock: clock ?? new SystemClock(),
       logger: this.logger,
@@ -54,7 +57,7 @@
   }
 
   async start(): Promise<void> {
-    const { followers, front, sideServer, election } = this.parts;
+    const { followers, callerFront: front, sideServer, election } = this.parts;
     for (const follower of followers) follower.start();
     await front.start();
     await sideServer.start();
@@ -68,7 +71,13 @@
   /** A planned stop: leadership is handed over, open requests are answered. */
   async shutDown(): Promise<void> {
     const { entry, graceSeconds } = this.settings;
-    const { store, followers, front, sideServer, election } = this.parts;
+    const {
+      store,
+      followers,
+      callerFront: front,
+      sideServer,
+      election,
+    } = this.parts;
     const graceMs = graceSeconds * MS_PER_SECOND;
     this.stopping = true;
     this.logger.info("entry.stopping", { entry });
@@ -84,8 +93,8 @@
   }
 
   private isReady(): boolean {
-    const { desk, config } = this.parts;
-    const { isReady, reachesStore } = desk;
+    const { jobService: desk, config } = this.parts;
+    const { isReady, isStoreReachable: reachesStore } = desk;
     const ready = !this.stopping && isReady && reachesStore;
     if (ready !== this.wasReady) {
       this.wasReady = ready;
--- a/packages/entry/src/jobs/JobDesk.ts
+++ b/packages/entry/src/jobs/JobService.ts
@@ -35,22 +35,22 @@
   type StampedWriter,
   type TopicFollower,
 } from "@rackspan/state";
-import { HOLD, holdUntil } from "./holdRefused.js";
-import type { StoreReach } from "./StoreReach.js";
+import { STORE_RETRY, retryDeadline } from "./storeRetry.js";
+import type { StoreReachability } from "./StoreReachability.js";
 
-export const DESK = {
+export const JOB_SERVICE = {
   /** A refused caller is asked to come back after this. */
   retryAfterMs: 1_000,
   /** A view older than this does not prove that a job does not exist. */
   maxViewAgeMs: 2_600,
   /** Longest wait for a fresh view; the store answers in some milliseconds when it is well. */
-  refreshMs: 400,
+  viewRefreshTimeoutMs: 400,
   /** An answer is sent this long before the caller stops waiting for it. */
-  answerMarginMs: 120,
+  responseMarginMs: 120,
 } as const;
 
 /** `unknown` callers may repeat at once; `refused` was not and never will be run. */
-export type DeskOutcome =
+export type JobRequestOutcome =
   | { readonly kind: "accepted" }
   | {
       readonly kind: "refused";
@@ -60,7 +60,7 @@
   | { readonly kind: "unknown"; readonly reason: string }
   | { readonly kind: "no-such-job" };
 
-export type StateOutcome =
+export type JobStateOutcome =
   | { readonly kind: "known"; readonly state: JobStateName }
   | { readonly kind: "no-such-job" }
   | {
@@ -69,11 +69,11 @@
       readonly retryAfterMs: number;
     };
 
-export interface JobDeskOptions {
+export interface JobServiceOptions {
   readonly view: JobView;
   readonly config: ConfigHolder;
   readonly jobsFollower: TopicFollower;
-  readonly reach: StoreReach;
+  readonly storeReachability: StoreReachability;
   readonly jobsWriter: StampedWriter;
   readonly cancelsWriter: StampedWriter;
   readonly clock: Clock;
@@ -82,7 +82,11 @@
 }
 
 const refused = (reason: string) =>
-  ({ kind: "refused", reason, retryAfterMs: DESK.retryAfterMs }) as const;
+  ({
+    kind: "refused",
+    reason,
+    retryAfterMs: JOB_SERVICE.retryAfterMs,
+  }) as const;
 
 /** What of the queue must hold for the job even when the queue is dropped. */
 const termsOf = ({
@@ -101,8 +105,8 @@
   permitRule,
 });
 
-export class JobDesk {
-  constructor(private readonly options: JobDeskOptions) {}
+export class JobService {
+  constructor(private readonly options: JobServiceOptions) {}
 
   /** Whether callers can be served at all. */
   get isReady(): boolean {
@@ -111,8 +115,8 @@
   }
 
   /** Whether jobs can be kept now; callers are better off elsewhere while not. */
-  get reachesStore(): boolean {
-    return this.options.reach.isReached;
+  get isStoreReachable(): boolean {
+    return this.options.storeReachability.isReachable;
   }
 
   findQueue(hostName: string, path: string): QueueSpec | undefined {
@@ -128,7 +132,7 @@
     queue: QueueSpec,
     spec: JobSpec,
     deadline: Monotonic,
-  ): Promise<DeskOutcome> {
+  ): Promise<JobRequestOutcome> {
     const { view, jobsWriter, clock, metrics } = this.options;
     const began = clock.monotonic();
     const known = view.get(spec.id);
@@ -161,7 +165,7 @@
     queue: QueueKey,
     id: JobId,
     deadline: Monotonic,
-  ): Promise<StateOutcome> {
+  ): Promise<JobStateOutcome> {
     const known = this.knownState(queue, id);
     if (known) return known;
     await this.refreshJobs(deadline);
@@ -177,7 +181,7 @@
     queue: QueueKey,
     id: JobId,
     deadline: Monotonic,
-  ): Promise<StateOutcome> {
+  ): Promise<JobStateOutcome> {
     const { clock, jobsFollower } = this.options;
     const began = clock.monotonic();
     const found = await this.state(queue, id, deadline);
@@ -187,7 +191,7 @@
     return refused("the store could not be asked whether the job exists");
   }
 
-  private knownState(queue: QueueKey, id: JobId): StateOutcome | undefined {
+  private knownState(queue: QueueKey, id: JobId): JobStateOutcome | undefined {
     const { view } = this.options;
     const entry = view.get(id);
     const state = view.stateOf(id);
@@ -197,11 +201,11 @@
 
   /** Waits until the view is fresh, or until the caller must be answered. */
   private async refreshJobs(deadline: Monotonic): Promise<void> {
-    const { clock, jobsFollower, reach } = this.options;
-    if (!reach.isReached) return;
+    const { clock, jobsFollower, storeReachability: reach } = this.options;
+    if (!reach.isReachable) return;
     const waitMs = Math.min(
-      DESK.refreshMs,
-      deadline - clock.monotonic() - DESK.answerMarginMs,
+      JOB_SERVICE.viewRefreshTimeoutMs,
+      deadline - clock.monotonic() - JOB_SERVICE.responseMarginMs,
     );
     if (waitMs <= 0) return;
     const abort = new AbortController();
@@ -212,10 +216,10 @@
     abort.abort();
   }
 
-  private unknownJob(id: JobId): StateOutcome {
+  private unknownJob(id: JobId): JobStateOutcome {
     const { logger, jobsFollower } = this.options;
     const viewAge = Math.round(jobsFollower.ageMs);
-    if (viewAge > DESK.maxViewAgeMs) {
+    if (viewAge > JOB_SERVICE.maxViewAgeMs) {
       logger.info("job.state-unsure", { job: id, viewAge });
       return refused("the view of the store is too old to tell");
     }
@@ -227,7 +231,7 @@
     queue: QueueKey,
     id: JobId,
     deadline: Monotonic,
-  ): Promise<DeskOutcome> {
+  ): Promise<JobRequestOutcome> {
     const began = this.options.clock.monotonic();
     const found = await this.stateToCancel(queue, id, deadline);
     const outcome = await this.cancelFound(found, id, deadline);
@@ -239,10 +243,10 @@
    * may cancel it before its record is kept. The cancel waits for it in the store.
    */
   private async cancelFound(
-    found: StateOutcome,
+    found: JobStateOutcome,
     id: JobId,
     deadline: Monotonic,
-  ): Promise<DeskOutcome> {
+  ): Promise<JobRequestOutcome> {
     switch (found.kind) {
       case "refused":
         return found;
@@ -259,7 +263,10 @@
     }
   }
 
-  private keepCancel(id: JobId, deadline: Monotonic): Promise<DeskOutcome> {
+  private keepCancel(
+    id: JobId,
+    deadline: Monotonic,
+  ): Promise<JobRequestOutcome> {
     const { view, cancelsWriter, clock } = this.options;
     const at = clock.now();
     const record = { key: id, value: encodeCancel(at) };
@@ -278,18 +285,19 @@
     record: KeyedRecord,
     deadline: Monotonic,
     onKept: () => void,
-  ): Promise<DeskOutcome> {
+  ): Promise<JobRequestOutcome> {
     const { clock } = this.options;
-    const lastTryAt = holdUntil(clock.monotonic(), deadline) - HOLD.retryMs;
+    const lastTryAt =
+      retryDeadline(clock.monotonic(), deadline) - STORE_RETRY.retryMs;
     for (let tries = 1; ; tries += 1) {
       const outcome = await this.settle(writer.write(record), deadline, onKept);
       // A refused record was not kept and never will be: it may be written anew.
       if (outcome.kind !== "refused") return outcome;
       if (clock.monotonic() > lastTryAt) {
-        const { retryAfterMs } = tries > 1 ? HOLD : DESK;
+        const { retryAfterMs } = tries > 1 ? STORE_RETRY : JOB_SERVICE;
         return { ...outcome, retryAfterMs };
       }
-      await sleep(clock, HOLD.retryMs);
+      await sleep(clock, STORE_RETRY.retryMs);
     }
   }
 
@@ -298,21 +306,22 @@
     write: PendingWrite,
     deadline: Monotonic,
     onKept: () => void,
-  ): Promise<DeskOutcome> {
+  ): Promise<JobRequestOutcome> {
     const { clock } = this.options;
     const kept = write.kept.then(
-      (): DeskOutcome => {
+      (): JobRequestOutcome => {
         onKept();
         return { kind: "accepted" };
       },
-      (err: unknown): DeskOutcome =>
+      (err: unknown): JobRequestOutcome =>
         err instanceof StoreRefusedError || err instanceof FencedError
           ? refused(describeError(err))
           : { kind: "unknown", reason: describeError(err) },
     );
     let cancelTimer = (): void => undefined;
-    const gaveUp = new Promise<DeskOutcome>((resolve) => {
-      const waitMs = deadline - clock.monotonic() - DESK.answerMarginMs;
+    const gaveUp = new Promise<JobRequestOutcome>((resolve) => {
+      const waitMs =
+        deadline - clock.monotonic() - JOB_SERVICE.responseMarginMs;
       const timer = clock.after(waitMs, () => {
         const notSent = write.abandon();
         const reason = "the store has not answered in time";
@@ -325,12 +334,12 @@
     return outcome;
   }
 
-  private note<T extends DeskOutcome | StateOutcome>(
+  private note<T extends JobRequestOutcome | JobStateOutcome>(
     request: "submit" | "cancel",
     job: JobId,
     outcome: T,
     began: Monotonic,
-  ): DeskOutcome {
+  ): JobRequestOutcome {
     const { logger, metrics, clock, config, jobsFollower } = this.options;
     metrics.count("caller_requests", { request, outcome: outcome.kind });
     logger.info(`job.${request}`, {
@@ -341,6 +350,6 @@
       config: config.current?.version,
       viewAge: Math.round(jobsFollower.ageMs),
     });
-    return outcome as DeskOutcome;
+    return outcome as JobRequestOutcome;
   }
 }
--- a/packages/entry/src/jobs/Leadership.ts
+++ b/packages/entry/src/jobs/Leadership.ts
@@ -53,8 +53,8 @@
   readonly leaseMs: number;
   readonly stopMs: number;
   /** Jobs that ended are kept this long. */
-  readonly keepEndedMs: number;
-  readonly progressGatherMs: number;
+  readonly endedJobRetentionMs: number;
+  readonly progressBatchWindowMs: number;
   readonly order: string;
   readonly placer: string;
   readonly policy: SchedulingPolicy;
@@ -62,10 +62,10 @@
   readonly permits: PermitService | undefined;
   readonly mayDecide: () => boolean;
   /** Called when the writes of this leader are refused for good. */
-  readonly onDeposed: (reason: string) => void;
+  readonly onTermFailed: (reason: string) => void;
 }
 
-export interface LeadingEngine {
+export interface ActiveTerm {
   readonly epoch: Epoch;
   readonly engine: JobEngine;
 }
@@ -76,14 +76,14 @@
   constructor(private readonly options: LeadershipOptions) {}
 
   /** Undefined while this entry does not lead, or has not read its view yet. */
-  get leading(): LeadingEngine | undefined {
+  get activeTerm(): ActiveTerm | undefined {
     const { term } = this;
     if (!term?.engine) return undefined;
     return { epoch: term.epoch, engine: term.engine };
   }
 
-  begin(epoch: Epoch): void {
-    this.end();
+  beginTerm(epoch: Epoch): void {
+    this.endTerm();
     const term = new Term(this.options, epoch);
     this.term = term;
     term.run().catch((err: unknown) => {
@@ -91,11 +91,11 @@
       if (this.term !== term) return;
       const error = describeError(err);
       this.options.logger.warn("leader.term-failed", { epoch, error });
-      this.options.onDeposed(error);
+      this.options.onTermFailed(error);
     });
   }
 
-  end(): void {
+  endTerm(): void {
     this.term?.end();
     this.term = undefined;
   }
@@ -218,7 +218,7 @@
       journal: new ProgressJournal({
         writer: this.progressWriter,
         clock,
-        gatherMs: this.options.progressGatherMs,
+        gatherMs: this.options.progressBatchWindowMs,
       }),
       roster: new StoredRoster(this.hostsWriter, logger, roster),
       gate,
@@ -288,7 +288,7 @@
   private sweep(): void {
     const { engine } = this;
     if (!engine) return;
-    const { view, clock, keepEndedMs } = this.options;
+    const { view, clock, endedJobRetentionMs: keepEndedMs } = this.options;
     for (const id of engine.expiredJobs(keepEndedMs)) {
       engine.forgetJob(id);
       this.dropJob(id).catch((err: unknown) => this.noteNotDropped(err));
--- a/packages/entry/src/jobs/SideServer.ts
+++ b/packages/entry/src/jobs/SideServer.ts
@@ -23,7 +23,7 @@
   type StopTaskCall,
 } from "@rackspan/protocol";
 import { ENGINE, type HostSession } from "@rackspan/scheduling";
-import type { LeadingEngine } from "./Leadership.js";
+import type { ActiveTerm } from "./Leadership.js";
 
 const SERVER = {
   /** Sides report at least twice a second; longer silence ends the connection. */
@@ -44,7 +44,7 @@
 }
 
 /** The end of a worker that a next leader may still wait for. */
-export class NotNotedError extends RackspanError {
+export class WorkerEndNotPersistedError extends RackspanError {
   readonly kind = "not-noted";
   constructor(instance: WorkerInstance) {
     super({
@@ -58,16 +58,16 @@
 
 export interface SideServerOptions {
   readonly listen: ListenAddress;
-  readonly leading: () => LeadingEngine | undefined;
+  readonly activeTerm: () => ActiveTerm | undefined;
   readonly clock: Clock;
   readonly logger: Logger;
 }
 
 export class SideServer {
   private readonly server: Server;
-  private readonly peers = new Set<SidePeer>();
+  private readonly peers = new Set<SideSession>();
   /** The connection of each host that attached last. */
-  private readonly byHost = new Map<HostId, SidePeer>();
+  private readonly byHost = new Map<HostId, SideSession>();
 
   constructor(private readonly options: SideServerOptions) {
     this.server = createServer((socket) => this.accept(socket));
@@ -94,7 +94,7 @@
   }
 
   private accept(socket: Socket): void {
-    const peer = new SidePeer(socket, {
+    const peer = new SideSession(socket, {
       ...this.options,
       onAttach: (host) => this.replaceFormer(host, peer),
     });
@@ -107,13 +107,13 @@
    * given up may concern a former life of the worker. When requests to attach
    * came out of order, this ends the one in use, and its side attaches anew.
    */
-  private replaceFormer(host: HostId, peer: SidePeer): void {
+  private replaceFormer(host: HostId, peer: SideSession): void {
     const former = this.byHost.get(host);
     this.byHost.set(host, peer);
     if (former !== peer) former?.close("the host attached anew");
   }
 
-  private drop(peer: SidePeer): void {
+  private drop(peer: SideSession): void {
     this.peers.delete(peer);
     const { host } = peer;
     if (host !== undefined && this.byHost.get(host) === peer) {
@@ -122,20 +122,20 @@
   }
 }
 
-interface SidePeerOptions extends SideServerOptions {
+interface SideSessionOptions extends SideServerOptions {
   /** Called when the connection is the host's from now on. */
   readonly onAttach: (host: HostId) => void;
 }
 
 /** One connected side. */
-class SidePeer implements HostSession {
+class SideSession implements HostSession {
   readonly closed: Promise<void>;
   private readonly connection: SideConnection;
   private attached: Attached | undefined;
 
   constructor(
     socket: Socket,
-    private readonly options: SidePeerOptions,
+    private readonly options: SideSessionOptions,
   ) {
     const { clock, logger } = options;
     this.connection = new LineConnection({
@@ -160,7 +160,7 @@
           );
           const tooLate = sleep(clock, SERVER.noteMs).then(() => false);
           if (await Promise.race([noted, tooLate])) return {};
-          throw new NotNotedError(instance);
+          throw new WorkerEndNotPersistedError(instance);
         },
         workerSilent: ({ overInMs, neverBegun }) => {
           const { host, leading } = this.current();
@@ -205,8 +205,8 @@
   private attach(
     host: HostId,
     zone: AvailabilityZone,
-  ): { epoch: LeadingEngine["epoch"] } {
-    const leading = this.options.leading();
+  ): { epoch: ActiveTerm["epoch"] } {
+    const leading = this.options.activeTerm();
     if (!leading) throw new NotLeadingError();
     this.attached = { host, zone, leading };
     leading.engine.attach(host, this);
@@ -221,7 +221,7 @@
    */
   private current(): Attached {
     const { attached } = this;
-    const leading = this.options.leading();
+    const leading = this.options.activeTerm();
     const isSame = leading?.engine === attached?.leading.engine;
     if (!attached || !isSame || !this.connection.isOpen) {
       throw new NotLeadingError();
@@ -240,5 +240,5 @@
 interface Attached {
   readonly host: HostId;
   readonly zone: AvailabilityZone;
-  readonly leading: LeadingEngine;
+  readonly leading: ActiveTerm;
 }
--- a/packages/entry/src/jobs/StoreReach.ts
+++ b/packages/entry/src/jobs/StoreReachability.ts
@@ -21,19 +21,19 @@
   silentMs: 3_000,
 } as const;
 
-export interface StoreReachOptions {
+export interface StoreReachabilityOptions {
   readonly followers: readonly TopicFollower[];
   readonly writers: readonly StampedWriter[];
   readonly clock: Clock;
   /** Whether a cut is looked for at all. */
-  readonly watches: boolean;
+  readonly enabled: boolean;
 }
 
-export class StoreReach {
-  constructor(private readonly options: StoreReachOptions) {}
+export class StoreReachability {
+  constructor(private readonly options: StoreReachabilityOptions) {}
 
-  get isReached(): boolean {
-    const { followers, watches } = this.options;
+  get isReachable(): boolean {
+    const { followers, enabled: watches } = this.options;
     if (!watches) return true;
     if (followers.every(({ failing }) => failing)) return false;
     return !this.isSilent();
--- a/packages/entry/src/jobs/callerFronts.ts
+++ b/packages/entry/src/jobs/callerFronts.ts
@@ -7,7 +7,7 @@
   type Logger,
   type Metrics,
 } from "@rackspan/common";
-import type { JobDesk } from "./JobDesk.js";
+import type { JobService } from "./JobService.js";
 
 export interface CallerFront {
   start(): Promise<void>;
@@ -21,7 +21,7 @@
   /** Where the platform asks whether this entry takes callers. */
   readonly readiness: ListenAddress;
   readonly isReady: () => boolean;
-  readonly desk: JobDesk;
+  readonly jobService: JobService;
   readonly clock: Clock;
   readonly logger: Logger;
   readonly metrics: Metrics;
--- a/packages/entry/src/jobs/wireJobEntry.ts
+++ b/packages/entry/src/jobs/createJobEntryParts.ts
@@ -8,7 +8,7 @@
   type Logger,
   type Metrics,
 } from "@rackspan/common";
-import { LEADER_PROCESSORS, LeaderElection } from "@rackspan/leadership";
+import { MIN_LEADER_PROCESSORS, LeaderElection } from "@rackspan/leadership";
 import {
   permitServices,
   storeClients,
@@ -28,10 +28,10 @@
   TOPICS,
 } from "@rackspan/state";
 import { callerFronts, type CallerFront } from "./callerFronts.js";
-import { JobDesk } from "./JobDesk.js";
+import { JobService } from "./JobService.js";
 import { Leadership } from "./Leadership.js";
-import { processorsOf, type JobEntrySettings } from "./settings.js";
-import { StoreReach } from "./StoreReach.js";
+import { availableProcessors, type JobEntrySettings } from "./settings.js";
+import { StoreReachability } from "./StoreReachability.js";
 import { SideServer } from "./SideServer.js";
 
 /** Hosts join and leave rarely: their topic is polled less often. */
@@ -40,7 +40,7 @@
 /** Each life of an entry writes under a producer's name of its own, and so its first epoch. */
 const FIRST_EPOCH = 1;
 
-export interface JobEntryBase {
+export interface JobEntryContext {
   readonly settings: JobEntrySettings;
   readonly clock: Clock;
   readonly logger: Logger;
@@ -48,7 +48,7 @@
   readonly incarnation: Incarnation;
 }
 
-export interface JobEntryWiring extends JobEntryBase {
+export interface JobEntryPartsOptions extends JobEntryContext {
   /** Whether the entry takes callers. */
   readonly isReady: () => boolean;
 }
@@ -57,10 +57,10 @@
   readonly store: StoreClient;
   readonly config: ConfigHolder;
   readonly followers: readonly TopicFollower[];
-  readonly desk: JobDesk;
+  readonly jobService: JobService;
   readonly election: LeaderElection;
   readonly sideServer: SideServer;
-  readonly front: CallerFront;
+  readonly callerFront: CallerFront;
 }
 
 /** What the entry knows of the store's records, and how it adds to them. */
@@ -76,22 +76,24 @@
   readonly cancelsWriter: StampedWriter;
 }
 
-export const wireJobEntry = (wiring: JobEntryWiring): JobEntryParts => {
+export const createJobEntryParts = (
+  wiring: JobEntryPartsOptions,
+): JobEntryParts => {
   const { settings, clock, logger, metrics, isReady } = wiring;
-  const leads = (): boolean => leading.election.leads;
+  const leads = (): boolean => leading.election.isLeader;
   const storeParts = buildStoreParts({ ...wiring, leads });
   const leading = buildLeading(wiring, storeParts);
   const { store, view, config, jobsFollower } = storeParts;
   const { jobsWriter, cancelsWriter } = storeParts;
-  const desk = new JobDesk({
+  const desk = new JobService({
     view,
     config,
     jobsFollower,
-    reach: new StoreReach({
+    storeReachability: new StoreReachability({
       followers: storeParts.followers,
       writers: [jobsWriter, cancelsWriter],
       clock,
-      watches: settings.readyFollowsStore,
+      enabled: settings.readyFollowsStore,
     }),
     jobsWriter,
     cancelsWriter,
@@ -103,7 +105,7 @@
     listen: settings.callers,
     readiness: settings.readiness,
     isReady,
-    desk,
+    jobService: desk,
     clock,
     logger,
     metrics,
@@ -112,14 +114,14 @@
     store,
     config,
     followers: storeParts.followers,
-    desk,
+    jobService: desk,
     ...leading,
-    front,
+    callerFront: front,
   };
 };
 
 /** Whether this entry leads now; it follows topics more closely then. */
-interface StoreWiring extends JobEntryBase {
+interface StoreWiring extends JobEntryContext {
   readonly leads: () => boolean;
 }
 
@@ -176,7 +178,7 @@
 };
 
 const buildWriter = (
-  { settings, clock, logger, incarnation }: JobEntryBase,
+  { settings, clock, logger, incarnation }: JobEntryContext,
   store: StoreClient,
   topic: TopicName,
 ): StampedWriter =>
@@ -200,7 +202,7 @@
 
 /** The election, and what it begins and ends. */
 const buildLeading = (
-  base: JobEntryBase,
+  base: JobEntryContext,
   storeParts: StoreParts,
 ): Pick<JobEntryParts, "election" | "sideServer"> => {
   const { settings, clock, logger, metrics, incarnation } = base;
@@ -225,18 +227,18 @@
     leadershipTtlMs,
     leaseMs: leases.workerLeaseMs,
     stopMs: leases.stopMs,
-    keepEndedMs: settings.keepEndedSeconds * MS_PER_SECOND,
-    progressGatherMs: batching.progressMs,
+    endedJobRetentionMs: settings.keepEndedSeconds * MS_PER_SECOND,
+    progressBatchWindowMs: batching.progressMs,
     order: scheduling.order,
     placer: scheduling.placer,
     policy: scheduling.policy,
     permits: buildPermitService(settings),
-    mayDecide: () => election.leads,
-    onDeposed: (reason) => void election.stepDown(reason),
+    mayDecide: () => election.isLeader,
+    onTermFailed: (reason) => void election.stepDown(reason),
   });
   const sideServer = new SideServer({
     listen: sides,
-    leading: () => leadership.leading,
+    activeTerm: () => leadership.activeTerm,
     clock,
     logger,
   });
@@ -251,11 +253,11 @@
     ttlMs: leadershipTtlMs,
     clock,
     random: new SeededRandom(Date.now() ^ process.pid),
-    standsBack: processorsOf(settings) < LEADER_PROCESSORS,
+    isLowPriority: availableProcessors(settings) < MIN_LEADER_PROCESSORS,
     logger,
-    onAcquired: (epoch) => leadership.begin(epoch),
+    onAcquired: (epoch) => leadership.beginTerm(epoch),
     onLost: (reason) => {
-      leadership.end();
+      leadership.endTerm();
       sideServer.disconnectAll(reason);
     },
   });
--- a/packages/entry/src/jobs/index.ts
+++ b/packages/entry/src/jobs/index.ts
@@ -1,8 +1,8 @@
 export * from "./callerFronts.js";
-export * from "./JobDesk.js";
+export * from "./JobService.js";
 export * from "./JobEntryProcess.js";
 export * from "./settings.js";
-export { Leadership, type LeadingEngine } from "./Leadership.js";
-export { StoreReach } from "./StoreReach.js";
+export { Leadership, type ActiveTerm } from "./Leadership.js";
+export { StoreReachability } from "./StoreReachability.js";
 export { StoredRoster } from "./StoredRoster.js";
 export { SideServer } from "./SideServer.js";
--- a/packages/entry/src/jobs/settings.ts
+++ b/packages/entry/src/jobs/settings.ts
@@ -126,5 +126,5 @@
 export type JobEntrySettings = z.infer<typeof jobEntrySettingsSchema>;
 
 /** What the process may use, in processors of the usual speed. */
-export const processorsOf = ({ processor }: JobEntrySettings): number =>
+export const availableProcessors = ({ processor }: JobEntrySettings): number =>
   processor.share * processor.speed;
--- a/packages/entry/src/jobs/holdRefused.ts
+++ b/packages/entry/src/jobs/storeRetry.ts
@@ -6,12 +6,12 @@
 
 import type { Monotonic } from "@rackspan/common";
 
-export const HOLD = {
+export const STORE_RETRY = {
   /**
    * Share of the caller's time for which its job is held. The store may refuse this
    * entry alone, so time is left for other entries.
    */
-  share: 1 / 3,
+  callerTimeShare: 1 / 3,
   /** Between two tries, milliseconds: a store that comes back is noticed within this. */
   retryMs: 100,
   /** The caller has waited here; another entry may be served by the store now. */
@@ -22,5 +22,7 @@
  * @param cameAt when the caller came
  * @param deadline when it stops waiting for this answer
  */
-export const holdUntil = (cameAt: Monotonic, deadline: Monotonic): Monotonic =>
-  cameAt + HOLD.share * (deadline - cameAt);
+export const retryDeadline = (
+  cameAt: Monotonic,
+  deadline: Monotonic,
+): Monotonic => cameAt + STORE_RETRY.callerTimeShare * (deadline - cameAt);
--- a/packages/entry/src/operatorHandlers.ts
+++ b/packages/entry/src/operatorHandlers.ts
@@ -40,7 +40,7 @@
   readonly hostList: HostListWatcher;
   readonly clock: Clock;
   readonly metrics: Metrics;
-  readonly ready: () => boolean;
+  readonly isReady: () => boolean;
   readonly appendTimeoutMs: number;
 }
 
@@ -201,7 +201,7 @@
   fold,
   follower,
   appender,
-  ready,
+  isReady: ready,
 }: OperatorHandlersOptions) => ({
   entry: host as string,
   ready: ready(),
--- a/packages/entry/tests/createDesk.ts
+++ b/packages/entry/tests/createJobService.ts
@@ -1,7 +1,7 @@
 /** A job desk over the given store, with the parts of its entry that it needs. */
 
 import { Metrics, silentLogger, type ManualClock } from "@rackspan/common";
-import { JobDesk, StoreReach } from "@rackspan/entry";
+import { JobService, StoreReachability } from "@rackspan/entry";
 import {
   ConfigHolder,
   JobView,
@@ -55,11 +55,16 @@
   const jobsWriter = createWriter(TOPICS.jobs, options);
   const followers = [jobsFollower];
   const writers = [jobsWriter];
-  const desk = new JobDesk({
+  const desk = new JobService({
     view,
     config: new ConfigHolder(logger),
     jobsFollower,
-    reach: new StoreReach({ followers, writers, clock, watches: true }),
+    storeReachability: new StoreReachability({
+      followers,
+      writers,
+      clock,
+      enabled: true,
+    }),
     jobsWriter,
     cancelsWriter: createWriter(TOPICS.cancels, options),
     clock,
--- a/packages/entry/tests/jobDesk.test.ts
+++ b/packages/entry/tests/jobService.test.ts
@@ -5,7 +5,7 @@
 import { brand, ManualClock, type Monotonic } from "@rackspan/common";
 import { encodeJob, TOPICS, type JobId, type QueueKey } from "@rackspan/state";
 import { MemoryStore, plainJob } from "@rackspan/standins";
-import { createDesk, createWriter } from "./createDesk.js";
+import { createDesk, createWriter } from "./createJobService.js";
 
 const JOB = brand<JobId>("5c0e7a21d94b36f8");
 const NEVER = brand<JobId>("0000000000000000");
--- a/packages/entry/tests/leadership.test.ts
+++ b/packages/entry/tests/leadership.test.ts
@@ -94,21 +94,21 @@
     leadershipTtlMs: FORMER_TERM_MS,
     leaseMs: 6_000,
     stopMs: 200,
-    keepEndedMs: 10_000,
-    progressGatherMs: 5,
+    endedJobRetentionMs: 10_000,
+    progressBatchWindowMs: 5,
     order: "byWorth",
     permits: undefined,
     placer: "colocating",
     policy: DEFAULT_POLICY,
     mayDecide: () => true,
-    onDeposed: (reason) => deposed.push(reason),
+    onTermFailed: (reason) => deposed.push(reason),
   });
   const lastState = () => {
     const record = store.recordsOf(TOPICS.progress).at(-1);
     return record?.value && decodeProgress(JOB, record.value).state;
   };
   const stop = async (): Promise<void> => {
-    leadership.end();
+    leadership.endTerm();
     const stopped = Promise.all([jobs.stop(), cancels.stop()]);
     await clock.advance(2_000);
     await stopped;
@@ -144,7 +144,7 @@
 
 test("a cancel that is read before its job is carried out all the same", async () => {
   const { clock, view, jobsWriter, leadership, lastState, stop } = setUp();
-  leadership.begin(brand<Epoch>(1));
+  leadership.beginTerm(brand<Epoch>(1));
   await clock.advance(200);
   view.noteCancelled(JOB, clock.now());
   const value = encodeJob(acceptedJob(clock.now()));
@@ -161,7 +161,7 @@
   const kept = jobsWriter.write({ key: JOB, value }).kept;
   await clock.advance(50);
   await kept;
-  leadership.begin(brand<Epoch>(1));
+  leadership.beginTerm(brand<Epoch>(1));
   await clock.advance(200);
   view.noteCancelled(JOB, clock.now());
   await clock.advance(16_000);
@@ -174,7 +174,7 @@
 
 test("a cancel that only another entry has acknowledged reaches the leader at once", async () => {
   const { clock, leadership, lastState, stop, keepJob, keepCancel } = setUp();
-  leadership.begin(brand<Epoch>(1));
+  leadership.beginTerm(brand<Epoch>(1));
   await clock.advance(200);
   await keepJob();
   await keepCancel();
@@ -187,7 +187,7 @@
   const { clock, leadership, lastState, stop, keepJob, keepCancel } = setUp();
   await keepJob();
   await keepCancel();
-  leadership.begin(brand<Epoch>(1));
+  leadership.beginTerm(brand<Epoch>(1));
   await clock.advance(100);
   expect(lastState()).toEqual("cancelled");
   await stop();
@@ -200,7 +200,7 @@
   const { kept } = jobsWriter.write({ key: JOB, value });
   await clock.advance(50);
   await kept;
-  leadership.begin(brand<Epoch>(1));
+  leadership.beginTerm(brand<Epoch>(1));
   await clock.advance(200);
   await keepCancel();
   await clock.advance(16_000);
@@ -211,7 +211,7 @@
 test("a cancel whose job never came is dropped when ended jobs are", async () => {
   // Such a cancel has no job with which it could be dropped.
   const { clock, store, leadership, stop, keepCancel } = setUp();
-  leadership.begin(brand<Epoch>(1));
+  leadership.beginTerm(brand<Epoch>(1));
   await clock.advance(200);
   await keepCancel();
   const last = () => store.recordsOf(TOPICS.cancels).at(-1);
@@ -270,14 +270,14 @@
   } as never);
   await keepJob();
   store.fault = "refuses";
-  leadership.begin(brand<Epoch>(2));
+  leadership.beginTerm(brand<Epoch>(2));
   await clock.advance(FORMER_TERM_MS + 500);
   store.fault = "none";
   await clock.advance(500);
   const host = brand<HostId>("h2");
   const session = new WillingHost();
   const zone = brand<AvailabilityZone>("obihiro-a");
-  const engine = leadership.leading?.engine;
+  const engine = leadership.activeTerm?.engine;
   engine?.attach(host, session);
   const reportFor = async (ms: number): Promise<void> => {
     const endAt = clock.monotonic() + ms;
@@ -299,14 +299,14 @@
 test("a term that fails after the next one has begun deposes nobody", async () => {
   const { clock, store, leadership, jobs, deposed } = setUp();
   store.fault = "refuses";
-  leadership.begin(brand<Epoch>(1));
+  leadership.beginTerm(brand<Epoch>(1));
   await clock.advance(20);
-  leadership.begin(brand<Epoch>(2));
+  leadership.beginTerm(brand<Epoch>(2));
   store.fault = "none";
   await clock.advance(1_000);
   expect(deposed).toEqual([]);
-  expect(leadership.leading?.epoch).toEqual(brand<Epoch>(2));
-  leadership.end();
+  expect(leadership.activeTerm?.epoch).toEqual(brand<Epoch>(2));
+  leadership.endTerm();
   await clock.advance(200);
   expect(deposed).toEqual([]);
   const stopped = jobs.stop();
@@ -322,10 +322,10 @@
     stamp: { producer: "leader", epoch: 5, sequence: 0 },
     timeoutMs: 100,
   });
-  leadership.begin(brand<Epoch>(2));
+  leadership.beginTerm(brand<Epoch>(2));
   await clock.advance(200);
   expect(deposed.length).toEqual(1);
-  leadership.end();
+  leadership.endTerm();
   const stopped = jobs.stop();
   await clock.advance(2_000);
   await stopped;
--- a/packages/entry/tests/sideServer.test.ts
+++ b/packages/entry/tests/sideServer.test.ts
@@ -6,7 +6,7 @@
 import { expect } from "earl";
 import {
   brand,
-  ownLoopback,
+  processLoopbackAddress,
   silentLogger,
   sleep,
   SystemClock,
@@ -18,7 +18,7 @@
   type WorkerInstance,
   type WorkerTime,
 } from "@rackspan/common";
-import { SideServer, type LeadingEngine } from "@rackspan/entry";
+import { SideServer, type ActiveTerm } from "@rackspan/entry";
 import {
   addressOf,
   hostMethods,
@@ -31,7 +31,7 @@
 const HOST = brand<HostId>("h1");
 const ZONE = brand<AvailabilityZone>("a");
 const TIMEOUT_MS = 1_000;
-const ADDRESS = ownLoopback(1);
+const ADDRESS = processLoopbackAddress(1);
 
 const reportOf = (life: string): HostReport => ({
   worker: {
@@ -116,10 +116,10 @@
   const leading = {
     epoch: brand<Epoch>(1),
     engine: probe,
-  } as unknown as LeadingEngine;
+  } as unknown as ActiveTerm;
   const server = new SideServer({
     listen,
-    leading: () => leading,
+    activeTerm: () => leading,
     clock: new SystemClock(),
     logger: silentLogger,
   });
--- a/packages/entry/tests/storeOutage.test.ts
+++ b/packages/entry/tests/storeOutage.test.ts
@@ -3,10 +3,10 @@
 import { test } from "node:test";
 import { expect } from "earl";
 import { brand, ManualClock, sleep, type Monotonic } from "@rackspan/common";
-import type { DeskOutcome } from "@rackspan/entry";
+import type { JobRequestOutcome } from "@rackspan/entry";
 import { TOPICS, type JobId } from "@rackspan/state";
 import { MemoryStore, plainJob } from "@rackspan/standins";
-import { createDesk } from "./createDesk.js";
+import { createDesk } from "./createJobService.js";
 
 const CALLER = { timeMs: 3_000, retries: 4, everyMs: 100 };
 const ENTRIES = 3;
@@ -14,7 +14,7 @@
 const QUEUE = {} as never;
 
 interface Told {
-  readonly outcome: DeskOutcome;
+  readonly outcome: JobRequestOutcome;
   readonly refusals: number;
   /** Longest time that one entry held the caller before it refused. */
   readonly heldMs: number;
--- a/packages/entry/tests/storeReach.test.ts
+++ b/packages/entry/tests/storeReachability.test.ts
@@ -3,7 +3,7 @@
 import { test } from "node:test";
 import { expect } from "earl";
 import { ManualClock } from "@rackspan/common";
-import { StoreReach } from "@rackspan/entry";
+import { StoreReachability } from "@rackspan/entry";
 import type { StampedWriter, TopicFollower } from "@rackspan/state";
 
 const setUp = () => {
@@ -14,11 +14,11 @@
     sendingSince: undefined,
   };
   const reachOf = (watches: boolean) =>
-    new StoreReach({
+    new StoreReachability({
       followers: [follower, other] as unknown as TopicFollower[],
       writers: [writer as unknown as StampedWriter],
       clock,
-      watches,
+      enabled: watches,
     });
   return { clock, follower, other, writer, reachOf };
 };
@@ -29,34 +29,34 @@
   await clock.advance(10);
   writer.sendingSince = clock.monotonic();
   await clock.advance(500);
-  expect(reach.isReached).toEqual(true);
+  expect(reach.isReachable).toEqual(true);
   await clock.advance(200);
-  expect(reach.isReached).toEqual(false);
+  expect(reach.isReachable).toEqual(false);
   // A slow store answers other calls in the meantime.
   follower.heardAt = clock.monotonic();
-  expect(reach.isReached).toEqual(true);
+  expect(reach.isReachable).toEqual(true);
 });
 
 test("an entry that hears nothing for long is cut off, also when nobody writes", async () => {
   const { clock, other, reachOf } = setUp();
   const reach = reachOf(true);
   await clock.advance(2_900);
-  expect(reach.isReached).toEqual(true);
+  expect(reach.isReachable).toEqual(true);
   await clock.advance(200);
-  expect(reach.isReached).toEqual(false);
+  expect(reach.isReachable).toEqual(false);
   other.heardAt = clock.monotonic();
-  expect(reach.isReached).toEqual(true);
+  expect(reach.isReachable).toEqual(true);
 });
 
 test("an entry that the store turns away on every topic is out of reach until one answers", () => {
   const { follower, other, reachOf } = setUp();
   const reach = reachOf(true);
   follower.failing = true;
-  expect(reach.isReached).toEqual(true);
+  expect(reach.isReachable).toEqual(true);
   other.failing = true;
-  expect(reach.isReached).toEqual(false);
+  expect(reach.isReachable).toEqual(false);
   other.failing = false;
-  expect(reach.isReached).toEqual(true);
+  expect(reach.isReachable).toEqual(true);
 });
 
 test("where it is switched off, the store always counts as reached", async () => {
@@ -65,5 +65,5 @@
   follower.failing = true;
   other.failing = true;
   await clock.advance(60_000);
-  expect(reach.isReached).toEqual(true);
+  expect(reach.isReachable).toEqual(true);
 });
--- a/packages/harness/src/Site.ts
+++ b/packages/harness/src/Site.ts
@@ -164,7 +164,7 @@
 
   private isReady(): boolean {
     const entriesReady = [...this.entries.values()].every(
-      (entry) => entry.notReady() === undefined,
+      (entry) => entry.notReadyReason() === undefined,
     );
     const sidesReady = [...this.sides.values()].every(
       ({ tasks }) => tasks.ready,
--- a/packages/harness/tests/failures.test.ts
+++ b/packages/harness/tests/failures.test.ts
@@ -268,7 +268,7 @@
   await site.startEntry("entry-1");
   await waitUntil(
     "it has read the log",
-    () => site.entry("entry-1").notReady() === undefined,
+    () => site.entry("entry-1").notReadyReason() === undefined,
   );
   expect(await site.operator.must("get", "config", "--json")).toEqual(before);
   expect(unitAt(site, "job/a")?.finish).toEqual("succeeded");
--- a/packages/jobs/src/TakeoverGate.ts
+++ b/packages/jobs/src/TakeoverGate.ts
@@ -7,7 +7,7 @@
  */
 
 import type { HostId, Monotonic } from "@rackspan/common";
-import { leaseOverBy } from "@rackspan/leadership";
+import { latestLeaseExpiry } from "@rackspan/leadership";
 
 export interface TakeoverGateOptions {
   readonly takenOverAt: Monotonic;
@@ -32,7 +32,7 @@
   constructor(options: TakeoverGateOptions) {
     const { takenOverAt, roster, leadershipTtlMs, leaseMs } = options;
     this.authorityOverBy = takenOverAt + leadershipTtlMs;
-    this.leasesOverBy = leaseOverBy(this.authorityOverBy, leaseMs);
+    this.leasesOverBy = latestLeaseExpiry(this.authorityOverBy, leaseMs);
     this.silent = new Map([...roster].map((host) => [host, this.leasesOverBy]));
   }
 
--- a/packages/leadership/src/LeaderElection.ts
+++ b/packages/leadership/src/LeaderElection.ts
@@ -26,17 +26,17 @@
 export const ELECTION = {
   group: "leaders",
   /** How often a follower looks for an owner. */
-  watchEveryMs: 500,
+  ownerPollIntervalMs: 500,
   /** How often the leader renews. */
-  renewEveryMs: 500,
+  renewIntervalMs: 500,
   /** Between joins while the store assigns partitions, and after a failure. */
   retryMs: 80,
   /** A call without an answer for this long is made again on a new connection. */
   callTimeoutMs: 600,
   /** The leader stops deciding this long before its lease is over. */
-  marginMs: 150,
+  expiryMarginMs: 150,
   /** Joins in a row that bring no ownership before the entry leaves the group. */
-  maxFruitlessJoins: 4,
+  maxUnsuccessfulJoins: 4,
 } as const;
 
 export interface LeaderElectionOptions {
@@ -47,7 +47,7 @@
   readonly clock: Clock;
   readonly random: Random;
   /** Whether entries with more processor time should lead first. */
-  readonly standsBack: boolean;
+  readonly isLowPriority: boolean;
   readonly logger: Logger;
   /** Called once the entry leads under an epoch that it did not lead under before. */
   readonly onAcquired: (epoch: Epoch) => void;
@@ -88,7 +88,7 @@
   }
 
   /** Whether this entry may decide now. */
-  get leads(): boolean {
+  get isLeader(): boolean {
     const now = this.options.clock.leaseTime();
     return this.epoch !== undefined && now < this.validUntil;
   }
@@ -129,7 +129,7 @@
 
   private next(): Promise<number> {
     if (!this.joined) return this.watch();
-    const hasLapsed = this.epoch !== undefined && !this.leads;
+    const hasLapsed = this.epoch !== undefined && !this.isLeader;
     return hasLapsed ? this.resume() : this.renew();
   }
 
@@ -140,7 +140,7 @@
     if (owner === undefined || owner === this.name) return this.renew();
     this.resign("replaced");
     await this.leave();
-    return ELECTION.watchEveryMs;
+    return ELECTION.ownerPollIntervalMs;
   }
 
   private async watch(): Promise<number> {
@@ -149,7 +149,7 @@
     if (owner === undefined) return this.joinSoon();
     this.sawNoOwner = false;
     const isFormerSelf = parseMember(owner)?.entry === self.entry;
-    if (!isFormerSelf) return ELECTION.watchEveryMs;
+    if (!isFormerSelf) return ELECTION.ownerPollIntervalMs;
     // It held the partition under a name that it has given up since.
     logger.info("leader.former-self", { member: owner });
     await membership.leave(ELECTION.group, owner);
@@ -160,7 +160,7 @@
   private joinSoon(): Promise<number> | number {
     if (this.sawNoOwner) return this.renew();
     this.sawNoOwner = true;
-    const { random, standsBack } = this.options;
+    const { random, isLowPriority: standsBack } = this.options;
     return joinDelayMs(random.next(), standsBack);
   }
 
@@ -168,7 +168,7 @@
     const { membership, topic, ttlMs, clock } = this.options;
     const { name } = this;
     // Stopped while it looked who leads.
-    if (this.abort.signal.aborted) return ELECTION.watchEveryMs;
+    if (this.abort.signal.aborted) return ELECTION.ownerPollIntervalMs;
     this.joined = true;
     const sentAt = clock.leaseTime();
     const answer = await membership.join({
@@ -179,16 +179,16 @@
       generation: this.generation,
       timeoutMs: ELECTION.callTimeoutMs,
     });
-    if (this.hasGivenUp(name)) return ELECTION.watchEveryMs;
+    if (this.hasGivenUp(name)) return ELECTION.ownerPollIntervalMs;
     const changed = answer.generation !== this.generation;
     this.generation = answer.generation;
     if (answer.owns) return this.confirm(sentAt, changed);
     if (this.epoch !== undefined) this.resign("dealt-to-another");
     this.fruitlessJoins += 1;
-    if (this.fruitlessJoins < ELECTION.maxFruitlessJoins)
+    if (this.fruitlessJoins < ELECTION.maxUnsuccessfulJoins)
       return ELECTION.retryMs;
     await this.leave();
-    return ELECTION.watchEveryMs;
+    return ELECTION.ownerPollIntervalMs;
   }
 
   /**
@@ -210,8 +210,8 @@
       onAcquired(this.epoch);
     }
     this.fruitlessJoins = 0;
-    this.validUntil = sentAt + ttlMs - ELECTION.marginMs;
-    return ELECTION.renewEveryMs;
+    this.validUntil = sentAt + ttlMs - ELECTION.expiryMarginMs;
+    return ELECTION.renewIntervalMs;
   }
 
   private resign(reason: string): void {
@@ -254,7 +254,7 @@
       this.validUntil - this.options.clock.leaseTime(),
     );
     this.options.logger.warn("membership.lost", {
-      leads: this.leads,
+      leads: this.isLeader,
       leaseLeftMs,
       error: describeError(err),
     });
--- a/packages/leadership/src/joinDelay.ts
+++ b/packages/leadership/src/joinDelay.ts
@@ -7,13 +7,13 @@
    */
   windowMs: 250,
   /** How strongly waits gather at the end of the window; see joinDelayMs. */
-  gathering: 3,
+  skew: 3,
   /** Added for entries that stand back, so that others notice first that nobody leads. */
-  standBackMs: 500,
+  lowPriorityDelayMs: 500,
 } as const;
 
 /** Processors that an entry should have to lead; one with less stands back. */
-export const LEADER_PROCESSORS = 0.5;
+export const MIN_LEADER_PROCESSORS = 0.5;
 
 /**
  * Waits get more frequent towards the end of the window. So however many entries
@@ -24,7 +24,11 @@
  * @param standsBack whether entries with more processor time should lead first
  */
 export const joinDelayMs = (drawn: number, standsBack: boolean): number => {
-  const { windowMs, gathering, standBackMs } = JOIN_DELAY;
+  const {
+    windowMs,
+    skew: gathering,
+    lowPriorityDelayMs: standBackMs,
+  } = JOIN_DELAY;
   const share = Math.log1p(drawn * Math.expm1(gathering)) / gathering;
   return share * windowMs + (standsBack ? standBackMs : 0);
 };
--- a/packages/leadership/src/leaseBounds.ts
+++ b/packages/leadership/src/leaseBounds.ts
@@ -14,13 +14,13 @@
    * From the end of a lease until what ran under it has begun elsewhere, with an order
    * or two that are refused before, milliseconds.
    */
-  replaceMs: 250,
+  replacementDelayMs: 250,
 } as const;
 
 /** What bounds the lease of a worker whose side is gone; all in milliseconds. */
-export interface UnattendedBounds {
+export interface UnattendedLeaseBounds {
   /** A shorter one would be lost whenever the side is started anew. */
-  readonly leastMs: number;
+  readonly minMs: number;
   /** Silence after which a host is out of touch; undefined where no bound is stated. */
   readonly outOfTouchMs: number | undefined;
   /** Time within which the tasks of a cancelled job are to be ordered to stop. */
@@ -39,19 +39,19 @@
  *
  * @returns Infinity where nothing bounds it
  */
-export const unattendedLeaseMs = ({
-  leastMs,
+export const maxUnattendedLeaseMs = ({
+  minMs: leastMs,
   outOfTouchMs,
   cancelMs,
   stopMs = 0,
   lastingGapMs,
-}: UnattendedBounds): number => {
+}: UnattendedLeaseBounds): number => {
   const bounds: number[] = [];
   if (outOfTouchMs !== undefined && cancelMs !== undefined) {
     bounds.push(outOfTouchMs + cancelMs + stopMs);
   }
   if (lastingGapMs !== undefined) {
-    bounds.push(lastingGapMs - LEASE.marginMs - LEASE.replaceMs);
+    bounds.push(lastingGapMs - LEASE.marginMs - LEASE.replacementDelayMs);
   }
   const overWithinMs = Math.min(Infinity, ...bounds);
   const leaseMs = Math.floor(overWithinMs / (1 + LEASE.workerClockDrift));
@@ -62,7 +62,7 @@
  * When a lease of `leaseMs`, counted from a clock reading that was received at
  * `receivedAt`, is over for certain, on the receiver's clock.
  */
-export const leaseOverBy = (
+export const latestLeaseExpiry = (
   receivedAt: Monotonic,
   leaseMs: number,
 ): Monotonic =>
--- a/packages/leadership/tests/leaderElection.test.ts
+++ b/packages/leadership/tests/leaderElection.test.ts
@@ -40,7 +40,7 @@
       ttlMs: TTL_MS,
       clock,
       random: { next },
-      standsBack,
+      isLowPriority: standsBack,
       logger: silentLogger,
       onAcquired: (epoch: Epoch) => terms.push(`${name} leads ${epoch}`),
       onLost: (reason) => terms.push(`${name} lost: ${reason}`),
@@ -57,11 +57,11 @@
   await clock.advance(100);
   const b = entry("b");
   await clock.advance(2_000);
-  expect([a.leads, b.leads]).toEqual([true, false]);
+  expect([a.isLeader, b.isLeader]).toEqual([true, false]);
   const stopped = a.stop();
   await clock.advance(700);
   await stopped;
-  expect([a.leads, b.leads]).toEqual([false, true]);
+  expect([a.isLeader, b.isLeader]).toEqual([false, true]);
   expect(terms[1]).toEqual("a lost: planned-stop");
 });
 
@@ -71,9 +71,9 @@
   await clock.advance(700);
   store.fault = "silent";
   await clock.advance(TTL_MS - 600);
-  expect(a.leads).toEqual(true);
+  expect(a.isLeader).toEqual(true);
   await clock.advance(600);
-  expect(a.leads).toEqual(false);
+  expect(a.isLeader).toEqual(false);
 });
 
 test("leadership that lapsed goes on under the same epoch if the group did not change", async () => {
@@ -83,10 +83,10 @@
   await clock.advance(700);
   store.fault = "refuses";
   await clock.advance(TTL_MS + 200);
-  expect(a.leads).toEqual(false);
+  expect(a.isLeader).toEqual(false);
   store.fault = "none";
   await clock.advance(300);
-  expect(a.leads).toEqual(true);
+  expect(a.isLeader).toEqual(true);
   expect(terms).toEqual(["a leads 1"]);
 });
 
@@ -98,7 +98,7 @@
   await clock.advance(TTL_MS + 200);
   store.fault = "none";
   await clock.advance(300);
-  expect(a.leads).toEqual(true);
+  expect(a.isLeader).toEqual(true);
   expect(terms).toEqual(["a leads 1", "a lost: group-changed", "a leads 3"]);
 });
 
@@ -108,7 +108,7 @@
   await clock.advance(700);
   store.revoke();
   await clock.advance(1_500);
-  expect(a.leads).toEqual(true);
+  expect(a.isLeader).toEqual(true);
   expect(terms.at(-1)).toEqual("a leads 3");
 });
 
@@ -119,7 +119,7 @@
   void former;
   const next = entry("a", "2");
   await clock.advance(300);
-  expect(next.leads).toEqual(true);
+  expect(next.isLeader).toEqual(true);
   expect(terms.includes("a leads 3")).toEqual(true);
 });
 
@@ -201,7 +201,7 @@
     const { membership, hold, letGo } = slowToAnswer(store);
     const a = entry("a", "1", undefined, membership);
     await clock.advance(700);
-    expect(a.leads).toEqual(true);
+    expect(a.isLeader).toEqual(true);
     hold();
     await clock.advance(600);
     const over = way === "stops" ? a.stop() : a.stepDown("term failed");
@@ -209,7 +209,7 @@
     letGo();
     await clock.advance(10);
     await over;
-    expect(a.leads).toEqual(false);
+    expect(a.isLeader).toEqual(false);
     expect(terms.filter((term) => term === "a leads 1")).toEqual(["a leads 1"]);
     await a.stop();
   });
@@ -267,10 +267,10 @@
   await clock.advance(240);
   const strong = entry("strong", "1", () => 0.999);
   await clock.advance(1_000);
-  expect([weak.leads, strong.leads]).toEqual([false, true]);
+  expect([weak.isLeader, strong.isLeader]).toEqual([false, true]);
   await strong.stop();
   await clock.advance(1_500);
-  expect(weak.leads).toEqual(true);
+  expect(weak.isLeader).toEqual(true);
 });
 
 // A steady clock stands still while the machine is suspended.
@@ -278,11 +278,11 @@
   const { clock, entry } = setUp();
   const a = entry("a");
   await clock.advance(700);
-  expect(a.leads).toEqual(true);
+  expect(a.isLeader).toEqual(true);
   clock.suspend(TTL_MS);
-  expect(a.leads).toEqual(false);
+  expect(a.isLeader).toEqual(false);
   await clock.advance(700);
-  expect(a.leads).toEqual(true);
+  expect(a.isLeader).toEqual(true);
 });
 
 test("a leader whose machine was suspended for a moment leads on", async () => {
@@ -290,5 +290,5 @@
   const a = entry("a");
   await clock.advance(700);
   clock.suspend(TTL_MS / 2);
-  expect(a.leads).toEqual(true);
+  expect(a.isLeader).toEqual(true);
 });
--- a/packages/protocol/tests/confirmedHttpClient.test.ts
+++ b/packages/protocol/tests/confirmedHttpClient.test.ts
@@ -3,7 +3,7 @@
 import { createServer, type Server } from "node:http";
 import { test, type TestContext } from "node:test";
 import { expect } from "earl";
-import { ownLoopback } from "@rackspan/common";
+import { processLoopbackAddress } from "@rackspan/common";
 import {
   addressOf,
   closeServer,
@@ -19,7 +19,7 @@
 /** For calls that get one, however busy the machine is. */
 const PATIENT_MS = 30_000;
 
-const ADDRESS = ownLoopback(1);
+const ADDRESS = processLoopbackAddress(1);
 
 class OtherPeerError extends Error {}
 
--- a/packages/scheduling/src/HostIntake.ts
+++ b/packages/scheduling/src/HostIntake.ts
@@ -7,7 +7,7 @@
   type Monotonic,
 } from "@rackspan/common";
 import { describeTask, HostLedger } from "@rackspan/jobs";
-import { leaseOverBy } from "@rackspan/leadership";
+import { latestLeaseExpiry } from "@rackspan/leadership";
 import type { HostReport } from "@rackspan/protocol";
 import type { EngineParts } from "./engineParts.js";
 import type { HostEntry } from "./engineTypes.js";
@@ -69,7 +69,7 @@
     };
     hosts.set(entry);
     // Until it is heard the host may hold leases of a former leader.
-    ledger.noteGrant(leaseOverBy(now, options.leaseMs));
+    ledger.noteGrant(latestLeaseExpiry(now, options.leaseMs));
     logger.info("host.joined", {
       host,
       instance: worker.instance,
--- a/packages/scheduling/src/JobEngine.ts
+++ b/packages/scheduling/src/JobEngine.ts
@@ -17,7 +17,7 @@
   reconcileReport,
   type ReportChanges,
 } from "@rackspan/jobs";
-import { leaseOverBy } from "@rackspan/leadership";
+import { latestLeaseExpiry } from "@rackspan/leadership";
 import type { RunRef } from "@rackspan/ports";
 import type { Grant, HostReport, LostRun } from "@rackspan/protocol";
 import { OutlierEjector } from "@rackspan/routing";
@@ -327,7 +327,7 @@
     const { mayDecide, leaseMs } = this.options;
     const acknowledged = ledger.acknowledgedEnds;
     if (!mayDecide() || !rostered) return { acknowledged };
-    ledger.noteGrant(leaseOverBy(now, leaseMs));
+    ledger.noteGrant(latestLeaseExpiry(now, leaseMs));
     return {
       leaseUntil: (report.at + leaseMs) as WorkerTime,
       acknowledged,
@@ -343,7 +343,7 @@
   ): void {
     if (formerStartsForMs === 0) return;
     const latestAt = now + formerStartsForMs;
-    ledger.noteFormerStarts(leaseOverBy(latestAt, this.options.leaseMs));
+    ledger.noteFormerStarts(latestLeaseExpiry(latestAt, this.options.leaseMs));
   }
 
   private takeChanges(entry: HostEntry, changes: ReportChanges): void {
--- a/packages/scheduling/src/RunControl.ts
+++ b/packages/scheduling/src/RunControl.ts
@@ -7,7 +7,7 @@
   type RunNumber,
   type WorkerTime,
 } from "@rackspan/common";
-import { leaseOverBy } from "@rackspan/leadership";
+import { latestLeaseExpiry } from "@rackspan/leadership";
 import {
   avoidHost,
   natureOf,
@@ -107,7 +107,7 @@
       this.logAlreadyPlaced(host, run);
       return;
     }
-    ledger.noteOrder(leaseOverBy(now, orderMs));
+    ledger.noteOrder(latestLeaseExpiry(now, orderMs));
     void this.orderStart(host, run, { ticket, firstPercent });
   }
 
--- a/packages/side/src/jobs/JobSideProcess.ts
+++ b/packages/side/src/jobs/JobSideProcess.ts
@@ -9,7 +9,7 @@
   type Clock,
   type Logger,
 } from "@rackspan/common";
-import { unattendedLeaseMs } from "@rackspan/leadership";
+import { maxUnattendedLeaseMs } from "@rackspan/leadership";
 import {
   storeClients,
   taskHostClients,
@@ -74,8 +74,8 @@
       pacer,
       clock,
       logger,
-      unattendedLeaseMs: unattendedLeaseMs({
-        leastMs: SIDE.restartMs,
+      unattendedLeaseMs: maxUnattendedLeaseMs({
+        minMs: SIDE.restartMs,
         outOfTouchMs: settings.leases.outOfTouchMs,
         cancelMs: settings.leases.cancelMs,
         stopMs: settings.leases.stopMs,
--- a/packages/side/src/jobs/SentLease.ts
+++ b/packages/side/src/jobs/SentLease.ts
@@ -11,7 +11,7 @@
   WorkerInstance,
   WorkerTime,
 } from "@rackspan/common";
-import { leaseOverBy } from "@rackspan/leadership";
+import { latestLeaseExpiry } from "@rackspan/leadership";
 
 /** The newest reading of a life's clock. */
 interface ClockReading {
@@ -53,7 +53,7 @@
       return;
     }
     const leaseMs = Math.max(0, leaseUntil - reading.at);
-    this.raise(leaseOverBy(reading.receivedAt, leaseMs));
+    this.raise(latestLeaseExpiry(reading.receivedAt, leaseMs));
   }
 
   /** A lease was sent, here or by another, of which this process cannot tell the end. */
@@ -69,7 +69,7 @@
 
   private longestFromNow(): Monotonic {
     const { clock, longestLeaseMs } = this.options;
-    return leaseOverBy(clock.monotonic(), longestLeaseMs);
+    return latestLeaseExpiry(clock.monotonic(), longestLeaseMs);
   }
 
   private raise(overBy: Monotonic): void {
--- a/packages/side/tests/fencedLease.test.ts
+++ b/packages/side/tests/fencedLease.test.ts
@@ -10,7 +10,7 @@
   type WorkerInstance,
   type WorkerTime,
 } from "@rackspan/common";
-import { leaseOverBy } from "@rackspan/leadership";
+import { latestLeaseExpiry } from "@rackspan/leadership";
 import {
   TaskRefusedError,
   WorkerSilentError,
@@ -93,7 +93,7 @@
   worker.isSilent = true;
   await clock.advance(2 * CALL_TIMEOUT_MS);
   const overInMs = watch.boundLease() ?? Infinity;
-  const mostMs = leaseOverBy(0, UNATTENDED_MS);
+  const mostMs = latestLeaseExpiry(0, UNATTENDED_MS);
   expect(Math.max(overInMs, mostMs)).toEqual(mostMs);
   await stop();
 });
--- a/scripts/src/demoLoad.ts
+++ b/scripts/src/demoLoad.ts
@@ -96,7 +96,7 @@
   /** As the platform's balancer does: only entries that say that they are ready. */
   private nextUrl(): string {
     const ready = [...this.site.entries.values()].filter(
-      (entry) => entry.notReady() === undefined,
+      (entry) => entry.notReadyReason() === undefined,
     );
     this.turn += 1;
     const entry = ready[this.turn % ready.length];
--- a/soak/src/SoakSite.ts
+++ b/soak/src/SoakSite.ts
@@ -2,7 +2,12 @@
 
 import { mkdirSync, writeFileSync } from "node:fs";
 import { join } from "node:path";
-import { brand, ownLoopback, SystemClock, type HostId } from "@rackspan/common";
+import {
+  brand,
+  processLoopbackAddress,
+  SystemClock,
+  type HostId,
+} from "@rackspan/common";
 import { freePort, StoreServer } from "@rackspan/platform-standins";
 import { MemoryStore } from "@rackspan/standins";
 import { ManagedProcess } from "./ManagedProcess.js";
@@ -97,7 +102,7 @@
   }
 
   private addressOfEntry(at: number): string {
-    return ownLoopback(1 + at);
+    return processLoopbackAddress(1 + at);
   }
 
   /** Where callers reach the entries, `IP:PORT` each. */
@@ -185,7 +190,7 @@
   private async startHost(at: number): Promise<void> {
     const { seed, recorder, programs, sharesId } = this.options;
     const name = hostAt(at);
-    const inbox = `${ownLoopback(FIRST_INBOX + at)}:${await freePort()}`;
+    const inbox = `${processLoopbackAddress(FIRST_INBOX + at)}:${await freePort()}`;
     const worker = new SoakWorker({
       host: name,
       service: QUEUE.service,
