--- a/bench/src/decisions.ts
+++ b/bench/src/decisions.ts
@@ -11,7 +11,7 @@
 import {
   chooseSubset,
   OutlierEjector,
-  pickers,
+  endpointPickers,
   type EndpointView,
 } from "@rackspan/routing";
 import { placers } from "@rackspan/scheduling";
@@ -42,7 +42,7 @@
     slots: 8,
     inFlight: index % 5,
     busySlots: index % 7,
-    heardAt: 0,
+    busySlotsReportedAt: 0,
     latencyMs: 3 + (index % 11),
   }));
 
@@ -94,9 +94,9 @@
   const subset = chooseSubset({
     members: all,
     nameOf: ({ host }) => host,
-    place: 1,
-    places: ENTRIES,
-    least: SUBSET_LEAST,
+    entryIndex: 1,
+    entryCount: ENTRIES,
+    minSize: SUBSET_LEAST,
   });
   const ejector = new OutlierEjector({
     clock: new SystemClock(),
@@ -105,7 +105,7 @@
     maxEjectMs: 1,
     maxEjectedShare: 0.5,
   });
-  const picker = pickers.create("pooled", {
+  const picker = endpointPickers.create("pooled", {
     random,
     availabilityZone: brand<AvailabilityZone>("zone-1"),
   });
--- a/bench/src/fakeEndpoints.ts
+++ b/bench/src/fakeEndpoints.ts
@@ -139,7 +139,7 @@
   readonly slots: number;
   inFlight = 0;
   busySlots = 0;
-  heardAt = 0;
+  busySlotsReportedAt = 0;
   latencyMs = 0;
 
   constructor(readonly endpoint: FakeEndpoint) {
--- a/bench/src/routing.ts
+++ b/bench/src/routing.ts
@@ -9,7 +9,7 @@
 } from "@rackspan/common";
 import {
   OutlierEjector,
-  pickers,
+  endpointPickers,
   RetryBudget,
   type EndpointPicker,
 } from "@rackspan/routing";
@@ -121,7 +121,7 @@
   ) {
     this.zone = ZONES[index % ZONES.length] as AvailabilityZone;
     this.views = endpoints.map((endpoint) => new FakeView(endpoint));
-    this.picker = pickers.create(picker, {
+    this.picker = endpointPickers.create(picker, {
       random,
       availabilityZone: this.zone,
     });
@@ -192,7 +192,7 @@
     const answered = (outcome: FakeOutcome): void => {
       view.inFlight -= 1;
       view.busySlots = view.endpoint.busySlots;
-      view.heardAt = events.now;
+      view.busySlotsReportedAt = events.now;
       const latencyMs = events.now - sentAt;
       if (outcome !== "refused") {
         entry.ejector.report({
@@ -211,7 +211,7 @@
         if (total > TARGET_MS) count.over += 1;
         return;
       }
-      if (number >= MAX_ATTEMPTS || !entry.budget.trySpend()) {
+      if (number >= MAX_ATTEMPTS || !entry.budget.tryWithdraw()) {
         count.over += 1;
         return;
       }
@@ -229,7 +229,7 @@
   const arrive = (): void => {
     const entry = entries[count.sent % ENTRIES] as FakeEntry;
     count.sent += 1;
-    entry.budget.earn();
+    entry.budget.deposit();
     attempt(entry, events.now, new Set(), 1);
     events.at(events.now - Math.log(1 - random.next()) / perMs, arrive);
   };
@@ -289,7 +289,7 @@
     const baseline = seeds.map((seed) =>
       runOnce("leastLoadedOfTwo", scenario, seed),
     );
-    const rows = pickers
+    const rows = endpointPickers
       .names()
       .map((picker) =>
         summarize(
--- a/packages/checker/src/EntryNode.ts
+++ b/packages/checker/src/EntryNode.ts
@@ -25,7 +25,11 @@
   type HostDirectory,
 } from "@rackspan/jobs";
 import type { HostRecord, LogService } from "@rackspan/ports";
-import { OutlierEjector, pickers, RetryBudget } from "@rackspan/routing";
+import {
+  OutlierEjector,
+  endpointPickers,
+  RetryBudget,
+} from "@rackspan/routing";
 import { placers } from "@rackspan/scheduling";
 import {
   Appender,
@@ -167,7 +171,10 @@
             .find((side) => side?.incarnation === incarnation),
         nextFault: options.nextFault,
       }),
-      picker: pickers.create("random", { random, availabilityZone: ZONE }),
+      picker: endpointPickers.create("random", {
+        random,
+        availabilityZone: ZONE,
+      }),
       ejector: new OutlierEjector({
         clock,
         failuresToEject: 99,
--- a/packages/checker/src/jobs/LeaderModel.ts
+++ b/packages/checker/src/jobs/LeaderModel.ts
@@ -137,7 +137,7 @@
       mayDecide: () => this.mayDecide(),
       queueOf: () => queue,
       isEvacuated: this.options.isEvacuated,
-      keepLearnt: () => undefined,
+      persistLearned: () => undefined,
       permits: undefined,
     });
 
@@ -165,7 +165,7 @@
 
   /** The operator has written something. */
   noteOperator(): void {
-    if (!this.isOver) this.engine?.noteOperator();
+    if (!this.isOver) this.engine?.handleOperatorChange();
   }
 
   addLink(host: HostId, link: SideLink): void {
@@ -198,7 +198,7 @@
     if (this.isOver || !this.engine) return undefined;
     const now = this.clock.monotonic();
     this.grantsOverBy.set(host, latestLeaseExpiry(now, LEADERSHIP.leaseMs));
-    return this.engine.report(host, zone, report);
+    return this.engine.handleReport(host, zone, report);
   }
 
   /** @returns whether it may still grant leases; undefined when it does not answer */
@@ -208,7 +208,7 @@
     neverBegun: readonly RunRef[],
   ): boolean | undefined {
     if (this.isOver) return undefined;
-    return this.engine?.noteWorkerSilent(host, overInMs, neverBegun);
+    return this.engine?.handleWorkerSilent(host, overInMs, neverBegun);
   }
 
   noteWorkerGone(
@@ -218,7 +218,7 @@
     unheardEnds: readonly RunRef[],
   ): void {
     if (this.isOver) return;
-    void this.engine?.noteWorkerGone(host, instance, lostRuns, unheardEnds);
+    void this.engine?.handleWorkerGone(host, instance, lostRuns, unheardEnds);
   }
 
   /** Its term is over: it decides nothing more, and its connections end. */
--- a/packages/entry/src/AttemptLoop.ts
+++ b/packages/entry/src/AttemptLoop.ts
@@ -148,7 +148,7 @@
     const tried = new Set<HostId>();
     let last: Failure | undefined;
     let mayHaveRun = false;
-    budget.earn();
+    budget.deposit();
     for (let attempt = 1; attempt <= maxAttempts; attempt += 1) {
       const peer = this.pick(request.service, tried);
       if (!peer) break;
@@ -202,7 +202,7 @@
       request.body === undefined || Buffer.isBuffer(request.body);
     if (!replayable || clock.monotonic() >= request.deadline) return false;
     if (failure.outcome === "unknown" && !request.repeatable) return false;
-    if (budget.trySpend()) return true;
+    if (budget.tryWithdraw()) return true;
     metrics.count("retries_denied", { reason: failure.reason });
     return false;
   }
--- a/packages/entry/src/CallerRequestHandler.ts
+++ b/packages/entry/src/CallerRequestHandler.ts
@@ -19,7 +19,7 @@
   type BodyStream,
   type Problem,
 } from "@rackspan/protocol";
-import type { PolicyBook } from "@rackspan/policies";
+import type { PolicyEvaluator } from "@rackspan/policies";
 import type { DeadlineQueue } from "@rackspan/routing";
 import type { RequestClass } from "@rackspan/state";
 import {
@@ -48,7 +48,7 @@
   readonly clock: Clock;
   readonly metrics: Metrics;
   readonly logger: Logger;
-  readonly policies: PolicyBook;
+  readonly policies: PolicyEvaluator;
   readonly keepBodyBytes: number;
   readonly keepAnswerBytes: number;
 }
@@ -102,7 +102,7 @@
     if (!policies.has("admission")) return undefined;
     const { match, timeoutMs } = this.request;
     const queue = queues[match.route.class];
-    return policies.refusedBy({
+    return policies.findRefusingPolicy({
       service: match.service,
       class: match.route.class,
       path: this.req.url ?? "/",
--- a/packages/entry/src/EndpointState.ts
+++ b/packages/entry/src/EndpointState.ts
@@ -19,7 +19,7 @@
   readonly slots: number;
   inFlight = 0;
   busySlots = 0;
-  heardAt: Monotonic = 0;
+  busySlotsReportedAt: Monotonic = 0;
   latencyMs = 0;
 
   constructor(
@@ -34,7 +34,7 @@
 
   recordBusySlots(busySlots: number, at: Monotonic): void {
     this.busySlots = busySlots;
-    this.heardAt = at;
+    this.busySlotsReportedAt = at;
   }
 
   recordLatency(latencyMs: number): void {
--- a/packages/entry/src/EntryProcess.ts
+++ b/packages/entry/src/EntryProcess.ts
@@ -29,11 +29,11 @@
   type HostList,
   type LogService,
 } from "@rackspan/ports";
-import { PolicyBook } from "@rackspan/policies";
+import { PolicyEvaluator } from "@rackspan/policies";
 import {
   DeadlineQueue,
   OutlierEjector,
-  pickers,
+  endpointPickers,
   RetryBudget,
 } from "@rackspan/routing";
 import { placers } from "@rackspan/scheduling";
@@ -70,7 +70,7 @@
   readonly fold = new Fold();
   readonly sides: SideDirectory;
   readonly follower: LogFollower;
-  private readonly policies: PolicyBook;
+  private readonly policies: PolicyEvaluator;
   private readonly appender: Appender;
   private readonly hostList: HostListWatcher;
   private readonly requests: RequestServer;
@@ -105,7 +105,7 @@
       logger: this.logger,
     };
 
-    this.policies = new PolicyBook(shared);
+    this.policies = new PolicyEvaluator(shared);
     fold.applied.on(({ record, verdict }) => {
       if (record.type === "apply" && verdict.accepted) this.usePolicies();
     });
@@ -227,7 +227,10 @@
     const loop = new AttemptLoop({
       ...shared,
       sides,
-      picker: pickers.create(routing.picker, { random, availabilityZone }),
+      picker: endpointPickers.create(routing.picker, {
+        random,
+        availabilityZone,
+      }),
       ejector: new OutlierEjector({ clock, ...routing }),
       budget: new RetryBudget({
         ratio: routing.retryRatio,
--- a/packages/entry/src/PolicyPlacer.ts
+++ b/packages/entry/src/PolicyPlacer.ts
@@ -1,7 +1,7 @@
 /** Lets the operators' score policies re-order what a placer found fitting. */
 
 import type { HostView, Placer } from "@rackspan/jobs";
-import type { PolicyBook, VariablesOf } from "@rackspan/policies";
+import type { PolicyEvaluator, VariablesOf } from "@rackspan/policies";
 import type { Unit } from "@rackspan/state";
 
 const tasksOf = ({ tasks }: HostView, kind: string): number =>
@@ -28,7 +28,7 @@
 export class PolicyPlacer implements Placer {
   constructor(
     private readonly base: Placer,
-    private readonly policies: PolicyBook,
+    private readonly policies: PolicyEvaluator,
   ) {}
 
   /** Hosts of equal penalty keep the order of the placer. */
@@ -38,7 +38,7 @@
     return ranked
       .map((host) => ({
         host,
-        penalty: this.policies.penalty(variablesOf(unit, host)),
+        penalty: this.policies.totalPenalty(variablesOf(unit, host)),
       }))
       .sort((a, b) => a.penalty - b.penalty)
       .map(({ host }) => host);
--- a/packages/entry/src/SideDirectory.ts
+++ b/packages/entry/src/SideDirectory.ts
@@ -91,9 +91,9 @@
     return chooseSubset({
       members: peers,
       nameOf: (peer) => peer.record.host,
-      place: Math.max(0, this.entries.indexOf(entry as string as HostId)),
-      places: this.entries.length,
-      least: subsetLeast,
+      entryIndex: Math.max(0, this.entries.indexOf(entry as string as HostId)),
+      entryCount: this.entries.length,
+      minSize: subsetLeast,
     });
   }
 
--- a/packages/entry/src/jobs/Leadership.ts
+++ b/packages/entry/src/jobs/Leadership.ts
@@ -158,7 +158,7 @@
     try {
       const { records } = await store.newest(TOPICS.learnt);
       if (this.abort.signal.aborted) return;
-      engine.restoreLearnt(
+      engine.restoreLearned(
         records.flatMap((record) => this.readLearnt(record)),
       );
     } catch (err) {
@@ -230,7 +230,7 @@
       mayDecide: () => !this.abort.signal.aborted && mayDecide(),
       queueOf: (queue) => config.queue(queue),
       isEvacuated: (zone) => zones.has(zone),
-      keepLearnt: (record) => this.keepLearnt(record),
+      persistLearned: (record) => this.keepLearnt(record),
       permits: this.options.permits,
     });
     for (const { accepted, cancelled, progress } of view.all()) {
@@ -249,8 +249,8 @@
         // The two topics are read apart: the cancel may have come first.
         if (view.get(id)?.cancelled) engine.cancelJob(id);
       }),
-      config.changes.on(() => engine.noteOperator()),
-      zones.changes.on(() => engine.noteOperator()),
+      config.changes.on(() => engine.handleOperatorChange()),
+      zones.changes.on(() => engine.handleOperatorChange()),
     );
     engine.start();
     this.tellNewJobsLater(gate);
--- a/packages/entry/src/jobs/SideServer.ts
+++ b/packages/entry/src/jobs/SideServer.ts
@@ -147,12 +147,12 @@
           this.attach(host, availabilityZone),
         report: (report) => {
           const { host, zone, leading } = this.current();
-          return leading.engine.report(host, zone, report);
+          return leading.engine.handleReport(host, zone, report);
         },
         workerGone: async ({ instance, lostRuns, unheardEnds }) => {
           const { host, leading } = this.current();
           const { engine } = leading;
-          const noted = engine.noteWorkerGone(
+          const noted = engine.handleWorkerGone(
             host,
             instance,
             lostRuns,
@@ -165,7 +165,7 @@
         workerSilent: ({ overInMs, neverBegun }) => {
           const { host, leading } = this.current();
           const { engine } = leading;
-          const grants = engine.noteWorkerSilent(host, overInMs, neverBegun);
+          const grants = engine.handleWorkerSilent(host, overInMs, neverBegun);
           return { grants };
         },
         ping: () => ({}),
--- a/packages/entry/src/jobs/StoredRoster.ts
+++ b/packages/entry/src/jobs/StoredRoster.ts
@@ -24,11 +24,11 @@
     this.kept = new Map(roster);
   }
 
-  instanceOf(host: HostId): WorkerInstance | undefined {
+  recordedInstance(host: HostId): WorkerInstance | undefined {
     return this.kept.get(host);
   }
 
-  async keep(host: HostId, instance: WorkerInstance): Promise<void> {
+  async persist(host: HostId, instance: WorkerInstance): Promise<void> {
     this.written.set(host, instance);
     this.removals.delete(host);
     await this.writer.write({ key: host, value: encodeHost(instance) }).kept;
@@ -42,7 +42,7 @@
     this.removals.set(host, this.writeRemoval(host));
   }
 
-  async removed(host: HostId): Promise<boolean> {
+  async removalPersisted(host: HostId): Promise<boolean> {
     return (await this.removals.get(host)) ?? true;
   }
 
--- a/packages/entry/src/settings.ts
+++ b/packages/entry/src/settings.ts
@@ -3,7 +3,7 @@
 import { z } from "zod";
 import { idSchema, type AvailabilityZone, type HostId } from "@rackspan/common";
 import { hostLists, logServices } from "@rackspan/ports";
-import { pickers } from "@rackspan/routing";
+import { endpointPickers } from "@rackspan/routing";
 import { placers } from "@rackspan/scheduling";
 
 const listenSchema = z.strictObject({
@@ -56,7 +56,7 @@
   routing: z
     .strictObject({
       picker: z
-        .enum(pickers.names() as [string, ...string[]])
+        .enum(endpointPickers.names() as [string, ...string[]])
         .default("pooled"),
       /** Services with up to this many endpoints are used whole by each entry. */
       subsetLeast: z.number().int().min(1).max(10_000).default(32),
--- a/packages/entry/tests/leadership.test.ts
+++ b/packages/entry/tests/leadership.test.ts
@@ -282,7 +282,7 @@
   const reportFor = async (ms: number): Promise<void> => {
     const endAt = clock.monotonic() + ms;
     while (clock.monotonic() < endAt) {
-      engine?.report(host, zone, reportAt(clock.monotonic()));
+      engine?.handleReport(host, zone, reportAt(clock.monotonic()));
       await clock.advance(100);
     }
   };
--- a/packages/entry/tests/storedRoster.test.ts
+++ b/packages/entry/tests/storedRoster.test.ts
@@ -37,36 +37,36 @@
 
 test("a host is listed once the store keeps it", async () => {
   const { clock, roster } = setUp();
-  const added = roster.keep(HOST, FIRST);
-  expect(roster.instanceOf(HOST)).toEqual(undefined);
+  const added = roster.persist(HOST, FIRST);
+  expect(roster.recordedInstance(HOST)).toEqual(undefined);
   await clock.advance(10);
   await added;
-  expect(roster.instanceOf(HOST)).toEqual(FIRST);
+  expect(roster.recordedInstance(HOST)).toEqual(FIRST);
 });
 
 test("a host that is removed while it is being added is not listed", async () => {
   const { clock, store, roster } = setUp();
   store.fault = "refuses";
-  const added = roster.keep(HOST, FIRST);
+  const added = roster.persist(HOST, FIRST);
   await clock.advance(100);
   roster.remove(HOST);
   store.fault = "none";
   await clock.advance(500);
   await added;
   expect(store.recordsOf(TOPICS.hosts).at(-1)?.value).toEqual(undefined);
-  expect(roster.instanceOf(HOST)).toEqual(undefined);
+  expect(roster.recordedInstance(HOST)).toEqual(undefined);
 });
 
 test("the next life of a worker is listed once the store keeps that life", async () => {
   const { clock, store, roster } = setUp();
-  const first = roster.keep(HOST, FIRST);
+  const first = roster.persist(HOST, FIRST);
   await clock.advance(10);
   await first;
-  const second = roster.keep(HOST, SECOND);
-  expect(roster.instanceOf(HOST)).toEqual(FIRST);
+  const second = roster.persist(HOST, SECOND);
+  expect(roster.recordedInstance(HOST)).toEqual(FIRST);
   await clock.advance(10);
   await second;
-  expect(roster.instanceOf(HOST)).toEqual(SECOND);
+  expect(roster.recordedInstance(HOST)).toEqual(SECOND);
   const kept = store.recordsOf(TOPICS.hosts).at(-1)?.value as Buffer;
   expect(decodeHost("h1", kept)).toEqual(SECOND);
 });
@@ -74,11 +74,11 @@
 test("a life that is replaced while it is being kept is not listed", async () => {
   const { clock, store, roster } = setUp();
   store.fault = "refuses";
-  const first = roster.keep(HOST, FIRST);
-  const second = roster.keep(HOST, SECOND);
+  const first = roster.persist(HOST, FIRST);
+  const second = roster.persist(HOST, SECOND);
   await clock.advance(100);
   store.fault = "none";
   await clock.advance(500);
   await Promise.all([first, second]);
-  expect(roster.instanceOf(HOST)).toEqual(SECOND);
+  expect(roster.recordedInstance(HOST)).toEqual(SECOND);
 });
--- a/packages/policies/src/PolicyBook.ts
+++ b/packages/policies/src/PolicyEvaluator.ts
@@ -8,7 +8,7 @@
   type PolicyPointName,
   type ResultOf,
   type VariablesOf,
-} from "./points.js";
+} from "./policyPoints.js";
 
 export interface PolicySource {
   readonly name: string;
@@ -21,15 +21,15 @@
   readonly program: ParseResult;
 }
 
-export interface PolicyBookOptions {
+export interface PolicyEvaluatorOptions {
   readonly metrics: Metrics;
   readonly logger: Logger;
 }
 
-export class PolicyBook {
+export class PolicyEvaluator {
   private byPoint = new Map<PolicyPointName, readonly Compiled[]>();
 
-  constructor(private readonly options: PolicyBookOptions) {}
+  constructor(private readonly options: PolicyEvaluatorOptions) {}
 
   /** Takes these in the place of those before; one that does not compile is left out. */
   replace(sources: readonly PolicySource[]): void {
@@ -50,14 +50,14 @@
   }
 
   /** Names the first policy that does not let the request in. */
-  refusedBy(variables: VariablesOf<"admission">): string | undefined {
+  findRefusingPolicy(variables: VariablesOf<"admission">): string | undefined {
     return (this.byPoint.get("admission") ?? []).find(
       (policy) => !this.ask("admission", policy, variables),
     )?.name;
   }
 
   /** The sum of what the policies add. */
-  penalty(variables: VariablesOf<"score">): number {
+  totalPenalty(variables: VariablesOf<"score">): number {
     return (this.byPoint.get("score") ?? []).reduce(
       (sum, policy) => sum + this.ask("score", policy, variables),
       0,
--- a/packages/policies/src/compilePolicy.ts
+++ b/packages/policies/src/compilePolicy.ts
@@ -6,7 +6,7 @@
   POLICY_POINTS,
   type PolicyPoint,
   type PolicyPointName,
-} from "./points.js";
+} from "./policyPoints.js";
 
 /** A program that may not be published. */
 export class PolicyError extends RackspanError {
--- a/packages/policies/src/index.ts
+++ b/packages/policies/src/index.ts
@@ -1,3 +1,3 @@
 export * from "./compilePolicy.js";
-export * from "./points.js";
-export * from "./PolicyBook.js";
+export * from "./policyPoints.js";
+export * from "./PolicyEvaluator.js";
--- a/packages/policies/tests/policies.test.ts
+++ b/packages/policies/tests/policies.test.ts
@@ -3,7 +3,7 @@
 import { Metrics, silentLogger } from "@rackspan/common";
 import {
   compilePolicy,
-  PolicyBook,
+  PolicyEvaluator,
   PolicyError,
   type VariablesOf,
 } from "@rackspan/policies";
@@ -73,7 +73,10 @@
 
 const createBook = () => {
   const metrics = new Metrics();
-  return { metrics, book: new PolicyBook({ metrics, logger: silentLogger }) };
+  return {
+    metrics,
+    book: new PolicyEvaluator({ metrics, logger: silentLogger }),
+  };
 };
 
 test("the first policy that says no is named", () => {
@@ -86,8 +89,10 @@
       program: "class != 'query' || timeoutMs > 500.0",
     },
   ]);
-  expect(book.refusedBy(request)).toEqual("no-late-batch");
-  expect(book.refusedBy({ ...request, timeoutMs: 900 })).toEqual(undefined);
+  expect(book.findRefusingPolicy(request)).toEqual("no-late-batch");
+  expect(book.findRefusingPolicy({ ...request, timeoutMs: 900 })).toEqual(
+    undefined,
+  );
 });
 
 test("penalties add up", () => {
@@ -100,7 +105,7 @@
     },
     { name: "b", point: "score", program: "1.0 - freeMemoryShare" },
   ]);
-  expect(book.penalty(host)).toEqual(4.5);
+  expect(book.totalPenalty(host)).toEqual(4.5);
 });
 
 test("a policy that fails while it runs gives way to the built-in rule, and is counted", async () => {
@@ -118,8 +123,8 @@
     },
     { name: "does-not-compile", point: "score", program: "nothing" },
   ]);
-  expect(book.refusedBy(request)).toEqual(undefined);
-  expect(book.penalty(host)).toEqual(0);
+  expect(book.findRefusingPolicy(request)).toEqual(undefined);
+  expect(book.totalPenalty(host)).toEqual(0);
   const failures = await metrics.values("policy_failures");
   expect(failures.map(({ labels }) => labels["policy"]).sort()).toEqual([
     "bad-index",
--- a/packages/routing/src/DeadlineQueue.ts
+++ b/packages/routing/src/DeadlineQueue.ts
@@ -9,7 +9,7 @@
   readonly maxQueued: number;
 }
 
-export type Entered = "entered" | "full" | "late";
+export type QueueResult = "entered" | "full" | "late";
 
 export class DeadlineQueue {
   private readonly queue: PQueue;
@@ -30,7 +30,10 @@
   }
 
   /** Runs the work once there is room; tells why it did not. */
-  async run(timeoutMs: number, work: () => Promise<void>): Promise<Entered> {
+  async run(
+    timeoutMs: number,
+    work: () => Promise<void>,
+  ): Promise<QueueResult> {
     const { concurrency, maxQueued, clock } = this.options;
     if (this.running < concurrency && this.queue.size === 0) {
       await this.queue.add(() => this.track(work));
--- a/packages/routing/src/EndpointPicker.ts
+++ b/packages/routing/src/EndpointPicker.ts
@@ -17,6 +17,6 @@
   readonly availabilityZone: AvailabilityZone;
 }
 
-export const pickers = new Registry<PickerOptions, EndpointPicker>(
+export const endpointPickers = new Registry<PickerOptions, EndpointPicker>(
   "endpoint picker",
 );
--- a/packages/routing/src/RetryBudget.ts
+++ b/packages/routing/src/RetryBudget.ts
@@ -15,13 +15,13 @@
   }
 
   /** A request came in. */
-  earn(): void {
+  deposit(): void {
     const { ratio, burst } = this.options;
     this.tokens = Math.min(burst, this.tokens + ratio);
   }
 
   /** @returns whether a retry may be sent; it is then paid for */
-  trySpend(): boolean {
+  tryWithdraw(): boolean {
     if (this.tokens < 1) return false;
     this.tokens -= 1;
     return true;
--- a/packages/routing/src/chooseSubset.ts
+++ b/packages/routing/src/chooseSubset.ts
@@ -10,10 +10,10 @@
   readonly members: readonly T[];
   readonly nameOf: (member: T) => string;
   /** This entry's place among the live ones, from 0, and their number. */
-  readonly place: number;
-  readonly places: number;
+  readonly entryIndex: number;
+  readonly entryCount: number;
   /** Sets up to this size are used whole. */
-  readonly least: number;
+  readonly minSize: number;
 }
 
 /** Each endpoint is used by at least this many entries, where there are so many. */
@@ -26,9 +26,9 @@
 export const chooseSubset = <T>({
   members,
   nameOf,
-  place,
-  places,
-  least,
+  entryIndex: place,
+  entryCount: places,
+  minSize: least,
 }: SubsetOptions<T>): readonly T[] => {
   const count = members.length;
   const size = Math.max(
--- a/packages/routing/src/leastLoadedOfTwoPicker.ts
+++ b/packages/routing/src/leastLoadedOfTwoPicker.ts
@@ -1,7 +1,7 @@
 /** Baseline: of two random endpoints, the one with less of this entry's work. */
 
 import { pickIndex, type Random } from "@rackspan/common";
-import { pickers, type EndpointPicker } from "./EndpointPicker.js";
+import { endpointPickers, type EndpointPicker } from "./EndpointPicker.js";
 import type { EndpointView } from "./types.js";
 
 /** The side's count of busy slots may be old; this entry's own count is not. */
@@ -24,7 +24,7 @@
   }
 }
 
-pickers.register({
+endpointPickers.register({
   name: "leastLoadedOfTwo",
   create: ({ random }) => new LeastLoadedOfTwoPicker(random),
 });
--- a/packages/routing/src/pooledPicker.ts
+++ b/packages/routing/src/pooledPicker.ts
@@ -10,7 +10,7 @@
   type AvailabilityZone,
   type Random,
 } from "@rackspan/common";
-import { pickers, type EndpointPicker } from "./EndpointPicker.js";
+import { endpointPickers, type EndpointPicker } from "./EndpointPicker.js";
 import type { EndpointView } from "./types.js";
 
 export interface PooledPickerOptions {
@@ -20,14 +20,14 @@
   /** Endpoints drawn for each request. */
   readonly draws: number;
   /** What leaving the own zone must save before it is worth it, milliseconds. */
-  readonly zoneCostMs: number;
+  readonly crossZonePenaltyMs: number;
   /** Share of slots in use from which an endpoint counts as hot, in [0, 1]. */
   readonly hotShare: number;
 }
 
 export const POOLED_PICKER_DEFAULTS = {
   draws: 3,
-  zoneCostMs: 0.5,
+  crossZonePenaltyMs: 0.5,
   hotShare: 0.9,
 } as const;
 
@@ -68,7 +68,7 @@
     const away = availabilityZone !== this.options.availabilityZone;
     const known = latencyMs > 0 ? latencyMs : UNKNOWN_LATENCY_MS;
     const expected = known * (1 + loadShare(endpoint));
-    return expected + (away ? this.options.zoneCostMs : 0);
+    return expected + (away ? this.options.crossZonePenaltyMs : 0);
   }
 }
 
@@ -76,7 +76,7 @@
 const loadShare = ({ inFlight, busySlots, slots }: EndpointView): number =>
   Math.max(inFlight, busySlots) / slots;
 
-pickers.register({
+endpointPickers.register({
   name: "pooled",
   create: ({ random, availabilityZone }) =>
     new PooledPicker({ random, availabilityZone, ...POOLED_PICKER_DEFAULTS }),
--- a/packages/routing/src/randomPicker.ts
+++ b/packages/routing/src/randomPicker.ts
@@ -1,7 +1,7 @@
 /** Baseline: any endpoint with equal chance. */
 
 import { pickIndex, type Random } from "@rackspan/common";
-import { pickers, type EndpointPicker } from "./EndpointPicker.js";
+import { endpointPickers, type EndpointPicker } from "./EndpointPicker.js";
 import type { EndpointView } from "./types.js";
 
 export class RandomPicker implements EndpointPicker {
@@ -14,7 +14,7 @@
   }
 }
 
-pickers.register({
+endpointPickers.register({
   name: "random",
   create: ({ random }) => new RandomPicker(random),
 });
--- a/packages/routing/src/roundRobinPicker.ts
+++ b/packages/routing/src/roundRobinPicker.ts
@@ -1,7 +1,7 @@
 /** Baseline: each endpoint in turn, from a random start. */
 
 import { pickIndex, type Random } from "@rackspan/common";
-import { pickers, type EndpointPicker } from "./EndpointPicker.js";
+import { endpointPickers, type EndpointPicker } from "./EndpointPicker.js";
 import type { EndpointView } from "./types.js";
 
 const START_RANGE = 1_000_000;
@@ -20,7 +20,7 @@
   }
 }
 
-pickers.register({
+endpointPickers.register({
   name: "roundRobin",
   create: ({ random }) => new RoundRobinPicker(random),
 });
--- a/packages/routing/src/types.ts
+++ b/packages/routing/src/types.ts
@@ -19,7 +19,7 @@
   readonly inFlight: number;
   /** Slots in use as the side last reported, and when that was heard. */
   readonly busySlots: number;
-  readonly heardAt: Monotonic;
+  readonly busySlotsReportedAt: Monotonic;
   /** Smoothed latency of answers to this entry, milliseconds; 0 while unknown. */
   readonly latencyMs: number;
 }
--- a/packages/routing/tests/routing.test.ts
+++ b/packages/routing/tests/routing.test.ts
@@ -12,7 +12,7 @@
   chooseSubset,
   DeadlineQueue,
   OutlierEjector,
-  pickers,
+  endpointPickers,
   RetryBudget,
   type EndpointView,
 } from "@rackspan/routing";
@@ -30,7 +30,7 @@
   slots: 8,
   inFlight: 0,
   busySlots: 0,
-  heardAt: 0,
+  busySlotsReportedAt: 0,
   latencyMs: 5,
   ...changes,
 });
@@ -40,7 +40,7 @@
   host: string,
   candidates: readonly EndpointView[],
 ): number => {
-  const chosen = pickers.create(picker, {
+  const chosen = endpointPickers.create(picker, {
     random: new SeededRandom(3),
     availabilityZone: OWN_ZONE,
   });
@@ -55,7 +55,7 @@
   Array.from({ length: count }, (_, index) => endpoint(`other-${index}`));
 
 test("every picker uses every endpoint when all are alike", () => {
-  for (const name of pickers.names()) {
+  for (const name of endpointPickers.names()) {
     const share = shareOf(name, "other-0", others(4));
     expect(share > 0.15 && share < 0.35).toEqual(true);
   }
@@ -134,9 +134,9 @@
   const budget = new RetryBudget({ ratio: 0.1, burst: 5 });
   let retries = 0;
   for (let request = 0; request < 1_000; request += 1) {
-    budget.earn();
-    if (budget.trySpend()) retries += 1;
-    if (budget.trySpend()) retries += 1;
+    budget.deposit();
+    if (budget.tryWithdraw()) retries += 1;
+    if (budget.tryWithdraw()) retries += 1;
   }
   expect(retries <= 105).toEqual(true);
   expect(retries >= 95).toEqual(true);
@@ -168,9 +168,9 @@
     chooseSubset({
       members,
       nameOf: (name) => name,
-      place,
-      places: 6,
-      least: 32,
+      entryIndex: place,
+      entryCount: 6,
+      minSize: 32,
     });
   const covered = new Map<string, number>();
   for (let place = 0; place < 6; place += 1) {
--- a/packages/scheduling/src/CheckpointKeeper.ts
+++ b/packages/scheduling/src/CheckpointWriter.ts
@@ -11,28 +11,28 @@
 } from "@rackspan/common";
 import type { JobRun, JobTask, ProgressJournal } from "@rackspan/jobs";
 
-export interface CheckpointKeeperOptions {
+export interface CheckpointWriterOptions {
   readonly journal: ProgressJournal;
   readonly clock: Clock;
   readonly logger: Logger;
   /** Milliseconds; 0 for never. */
-  readonly everyMs: number;
+  readonly intervalMs: number;
 }
 
-export class CheckpointKeeper {
+export class CheckpointWriter {
   /** Jobs with checkpoints that the store does not keep yet. */
   private readonly changed = new Set<JobRun>();
   private timer: Timer | undefined;
 
-  constructor(private readonly options: CheckpointKeeperOptions) {}
+  constructor(private readonly options: CheckpointWriterOptions) {}
 
   stop(): void {
     this.timer?.cancel();
   }
 
   /** Takes tasks of which a host has just reported. */
-  noteTasks(tasks: Iterable<JobTask>): void {
-    const { clock, everyMs } = this.options;
+  trackTasks(tasks: Iterable<JobTask>): void {
+    const { clock, intervalMs: everyMs } = this.options;
     if (everyMs === 0) return;
     for (const { step } of tasks) {
       if (step.job.hasUnkeptProgress) this.changed.add(step.job);
--- a/packages/scheduling/src/CrashKeeper.ts
+++ b/packages/scheduling/src/CrashTracker.ts
@@ -24,12 +24,12 @@
 import { BoundedMap, type CrashEvidence } from "@rackspan/state";
 import { ENGINE, type HostEntry } from "./engineTypes.js";
 import type { EngineParts } from "./engineParts.js";
-import type { JobCloser } from "./JobCloser.js";
-import type { ProgressKeeper } from "./ProgressKeeper.js";
+import type { JobFinisher } from "./JobFinisher.js";
+import type { ProgressRecorder } from "./ProgressRecorder.js";
 
-export interface CrashKeeperOptions extends EngineParts {
-  readonly closer: JobCloser;
-  readonly keeper: ProgressKeeper;
+export interface CrashTrackerOptions extends EngineParts {
+  readonly closer: JobFinisher;
+  readonly progressRecorder: ProgressRecorder;
 }
 
 const PROOFS: readonly CrashEvidence[] = ["sole", "unanswered"];
@@ -49,7 +49,7 @@
 /** Runs that are remembered as judged: a side repeats what it tells until it is answered. */
 const MAX_JUDGED = 10_000;
 
-export class CrashKeeper {
+export class CrashTracker {
   /** Lost runs that this leader has judged, those it let go free among them. */
   private readonly judged = new BoundedMap<string, true>(MAX_JUDGED);
 
@@ -65,7 +65,7 @@
   /** Tasks held until the order to a run that would give them up is answered. */
   private readonly awaitingAnswer = new Map<JobTask, AwaitedAnswer>();
 
-  constructor(private readonly parts: CrashKeeperOptions) {}
+  constructor(private readonly parts: CrashTrackerOptions) {}
 
   /**
    * The worker's life is lost, and all its runs with it: their tasks wait again,
@@ -73,7 +73,7 @@
    * @param reason what showed it, for logs
    * @param lostRuns what the side tells of them
    */
-  loseRuns(
+  handleLostRuns(
     entry: HostEntry,
     loss: WorkerLoss,
     reason: string,
@@ -102,7 +102,7 @@
     });
     for (const run of [...ledger.runs.values()]) {
       this.judged.set(runKeyOf(refOf(run)), true);
-      runs.giveBack(entry, run, reason);
+      runs.returnRun(entry, run, reason);
     }
     const toldOpen = keysOfOpen(lostRuns);
     for (const [run, evidence] of blamed) {
@@ -113,7 +113,7 @@
   }
 
   /** The answer to its order shows that a lost run never began: it speaks against nothing. */
-  noteNotBegun({ task, run }: TaskRun): void {
+  handleNeverStarted({ task, run }: TaskRun): void {
     const { job } = task.step;
     if (job.isEnded || !task.crashes.forget(run)) return;
     const { clock, logger, metrics } = this.parts.options;
@@ -122,11 +122,11 @@
     logger.info("task.crash-taken-back", { task: task.id, run, points });
     if (this.endWait(task, run)) task.heldUntil = clock.monotonic();
     this.keep(job, task);
-    this.parts.requestPass();
+    this.parts.requestCycle();
   }
 
   /** Takes which runs had ended before their workers crashed: these speak against nothing. */
-  noteUnheardEnds(refs: readonly RunRef[]): void {
+  recordUnreportedEnds(refs: readonly RunRef[]): void {
     for (const ref of refs) this.ended.set(runKeyOf(ref), true);
   }
 
@@ -134,11 +134,11 @@
    * Takes what a side tells of lost runs that never began. A former leader may have
    * ordered them, and have ended before their orders were answered.
    */
-  noteNeverBegun(refs: readonly RunRef[]): void {
+  handleNeverStartedRuns(refs: readonly RunRef[]): void {
     for (const ref of refs) {
       this.judged.set(runKeyOf(ref), true);
       const task = this.parts.jobs.findTask(ref.task);
-      if (task) this.noteNotBegun({ task, run: ref.run });
+      if (task) this.handleNeverStarted({ task, run: ref.run });
     }
   }
 
@@ -165,7 +165,7 @@
    * Takes what a side tells of runs that were lost before it spoke to this leader:
    * a former one may have ended without having heard of them.
    */
-  noteTold(host: HostId, lostRuns: readonly LostRun[]): void {
+  handleReportedLosses(host: HostId, lostRuns: readonly LostRun[]): void {
     const open = lostRuns.flatMap((lost) => this.openLoss(lost));
     const young = open.filter(
       ({ lost }) => !hasSettledAfter(lost.workedMs ?? 0),
@@ -195,7 +195,7 @@
     if (!this.endWait(task, lost.run)) return;
     task.heldUntil = this.parts.options.clock.monotonic();
     this.keep(task.step.job, task);
-    this.parts.requestPass();
+    this.parts.requestCycle();
   }
 
   /** @returns whether the task was held for the answer to the order of that run */
@@ -225,7 +225,7 @@
    * Counts a run that a former leader announced and that nobody has seen since, and
    * gives the task up where a former leader had proof, and no time to act on it.
    */
-  settle(task: JobTask): void {
+  resolvePreviousRun(task: JobTask): void {
     const { job } = task.step;
     const isNew = job.settleAnnounced(task);
     if (isNew) this.logCount(task, "unknown");
@@ -256,7 +256,7 @@
    */
   private doubtLater(host: HostId, task: JobTask, run: RunNumber): void {
     const at = this.parts.options.clock.monotonic();
-    this.parts.keeper.keepJob(task.step.job);
+    this.parts.progressRecorder.recordJob(task.step.job);
     this.judgeLater(task, CRASH_LIMITS.togetherMs, () => {
       if (task.step.job.isEnded || !this.othersWereLost(host, at)) return;
       task.crashes.note(run, "doubted");
@@ -279,7 +279,7 @@
 
   /** Holds the task until all that speaks for it has had time to arrive. */
   private judgeLater(task: JobTask, ms: number, onDue: () => void): Timer {
-    const { options, requestPass } = this.parts;
+    const { options, requestCycle: requestPass } = this.parts;
     const { job } = task.step;
     task.heldUntil = options.clock.monotonic() + ms;
     return options.clock.after(ms, () => {
@@ -291,9 +291,9 @@
   }
 
   private keep(job: JobRun, task: JobTask): void {
-    const { closer, keeper } = this.parts;
-    closer.closeIfEnded(job, task);
-    if (!job.isEnded) keeper.keepJob(job);
+    const { closer, progressRecorder: keeper } = this.parts;
+    closer.finishIfEnded(job, task);
+    if (!job.isEnded) keeper.recordJob(job);
   }
 
   private logCount(
--- a/packages/scheduling/src/HeldBackHosts.ts
+++ b/packages/scheduling/src/CycleHostFilter.ts
@@ -4,14 +4,14 @@
 import type { HostLedger, StepRun } from "@rackspan/jobs";
 import { ENGINE } from "./engineTypes.js";
 
-export class HeldBackHosts {
+export class CycleHostFilter {
   /** Emptied for a lasting task: plain ones keep off them. */
   private readonly emptying = new Set<HostLedger>();
 
   constructor(private readonly clock: Clock) {}
 
   /** A pass begins. */
-  clear(): void {
+  startCycle(): void {
     this.emptying.clear();
   }
 
@@ -19,7 +19,7 @@
    * All tasks keep off hosts where a suspected one has just begun, plain ones also
    * off those that are being emptied for a lasting one.
    */
-  openTo(
+  hostsOpenTo(
     { spec }: StepRun,
     hosts: readonly HostLedger[],
   ): readonly HostLedger[] {
@@ -32,7 +32,7 @@
    * Lasting tasks are large: room for one comes only when the plain tasks of a
    * host end and no others take their place.
    */
-  noteUnplaced(step: StepRun, hosts: readonly HostLedger[]): void {
+  recordUnplaced(step: StepRun, hosts: readonly HostLedger[]): void {
     const now = this.clock.monotonic();
     step.unplacedSince ??= now;
     if (!isOverdueLasting(step, now)) return;
@@ -60,4 +60,4 @@
 ): boolean =>
   spec.lasting &&
   unplacedSince !== undefined &&
-  now - unplacedSince > ENGINE.lastingPatienceMs;
+  now - unplacedSince > ENGINE.lastingGraceMs;
--- a/packages/scheduling/src/Dispatcher.ts
+++ b/packages/scheduling/src/Dispatcher.ts
@@ -4,16 +4,16 @@
 import type { HostLedger, JobRun, JobTask, StepRun } from "@rackspan/jobs";
 import type { OutlierEjector } from "@rackspan/routing";
 import type { PermitRule, JobTerms, QueueSpec } from "@rackspan/state";
-import { ApartTurns } from "./ApartTurns.js";
+import { IsolatedStartQueue } from "./IsolatedStartQueue.js";
 import { chooseGangHosts } from "./chooseGangHosts.js";
-import { ENGINE, type EngineOptions, type LiveJob } from "./engineTypes.js";
-import { HeldBackHosts, isOverdueLasting } from "./HeldBackHosts.js";
-import type { HostBook } from "./HostBook.js";
-import type { PermitBook } from "./PermitBook.js";
-import { PassTimer } from "./PassTimer.js";
-import { mayHoldApart, pickApart } from "./pickApart.js";
-import type { RunAnnouncer } from "./RunAnnouncer.js";
-import type { RunControl } from "./RunControl.js";
+import { ENGINE, type EngineOptions, type TrackedJob } from "./engineTypes.js";
+import { CycleHostFilter, isOverdueLasting } from "./CycleHostFilter.js";
+import type { HostRegistry } from "./HostRegistry.js";
+import type { PermitTracker } from "./PermitTracker.js";
+import { SchedulingCycleTimer } from "./SchedulingCycleTimer.js";
+import { mayIsolate, pickIsolatedHost } from "./pickIsolatedHost.js";
+import type { RunWriteAheadLog } from "./RunWriteAheadLog.js";
+import type { RunStarter } from "./RunStarter.js";
 import type { Candidate, StepOrder } from "./stepOrders.js";
 import {
   isAllowedOn,
@@ -24,46 +24,50 @@
 
 export interface DispatcherOptions {
   readonly engine: EngineOptions;
-  readonly hosts: HostBook;
-  readonly runs: RunControl;
+  readonly hosts: HostRegistry;
+  readonly runs: RunStarter;
   readonly order: StepOrder;
   readonly placer: TaskPlacer;
   readonly ejector: OutlierEjector;
-  readonly permits: PermitBook;
-  readonly announcer: RunAnnouncer;
+  readonly permits: PermitTracker;
+  readonly runLog: RunWriteAheadLog;
   /** Jobs that may have tasks to start; a pass drops those that have none. */
-  readonly active: Set<LiveJob>;
+  readonly active: Set<TrackedJob>;
 }
 
 export class Dispatcher {
-  private readonly timer: PassTimer;
-  private readonly heldBack: HeldBackHosts;
-  private readonly turns = new ApartTurns();
+  private readonly timer: SchedulingCycleTimer;
+  private readonly heldBack: CycleHostFilter;
+  private readonly turns = new IsolatedStartQueue();
   /** Of the present pass. */
   private hostsByService: ReturnType<typeof usableHosts> = new Map();
 
   constructor(private readonly options: DispatcherOptions) {
     const { clock, logger } = options.engine;
-    this.timer = new PassTimer({ clock, logger, pass: () => this.pass() });
-    this.heldBack = new HeldBackHosts(clock);
+    this.timer = new SchedulingCycleTimer({
+      clock,
+      logger,
+      runCycle: () => this.pass(),
+    });
+    this.heldBack = new CycleHostFilter(clock);
   }
 
   /** See PassTimer. */
-  requestPass(): void {
+  requestCycle(): void {
     this.timer.request();
   }
 
   /** See PassTimer. */
-  passIfOverdue(): void {
-    this.timer.passIfOverdue();
+  runCycleIfOverdue(): void {
+    this.timer.runIfOverdue();
   }
 
   private pass(): void {
     const { engine, order, hosts, ejector } = this.options;
     if (!engine.mayDecide()) return;
     const began = engine.clock.monotonic();
-    this.heldBack.clear();
-    this.turns.beginPass(began);
+    this.heldBack.startCycle();
+    this.turns.startCycle(began);
     const now = engine.clock.now();
     const candidates = order.sort(this.candidates(now), now);
     this.hostsByService = usableHosts({
@@ -92,8 +96,8 @@
         continue;
       }
       if (!engine.gate.mayStart(firstSeenAt, monotonic)) continue;
-      if (this.options.hosts.hasRunsOf(job)) live.busyAt = monotonic;
-      const isStarved = monotonic - live.busyAt > ENGINE.starvedMs;
+      if (this.options.hosts.hasRunsOf(job)) live.lastRunSeenAt = monotonic;
+      const isStarved = monotonic - live.lastRunSeenAt > ENGINE.starvedMs;
       candidates.push(...steps.map((step) => ({ job, step, isStarved })));
     }
     return candidates;
@@ -135,7 +139,7 @@
     if (isAnyPermitted) this.placeTasks(candidate, permitted);
     if (step.waiting.size === 0) return;
     const wanted = [...inService, ...this.lastResortOf(step, ejected)];
-    permits.want({ step, rule, hosts: ableHosts(step, wanted) });
+    permits.request({ step, rule, hosts: ableHosts(step, wanted) });
   }
 
   private permittedOf(
@@ -154,12 +158,13 @@
       this.placeGang(step, hosts);
       return;
     }
-    const { placer, runs, announcer } = this.options;
-    let open = this.heldBack.openTo(step, hosts);
+    const { placer, runs, runLog: announcer } = this.options;
+    let open = this.heldBack.hostsOpenTo(step, hosts);
     let isUnplaced = false;
     for (const task of [...step.waiting]) {
-      if (announcer.isNeeded(task)) {
-        if (this.placeOverdue(job)) open = this.heldBack.openTo(step, hosts);
+      if (announcer.needsRecord(task)) {
+        if (this.placeOverdue(job))
+          open = this.heldBack.hostsOpenTo(step, hosts);
         if (job.isEnded) return;
         if (!step.waiting.has(task)) continue;
         let outcome = this.placeApart(task, open);
@@ -169,7 +174,7 @@
         }
         if (outcome === "no-host") isUnplaced = true;
         // No other begins where it did.
-        if (outcome === "placed") open = this.heldBack.openTo(step, hosts);
+        if (outcome === "placed") open = this.heldBack.hostsOpenTo(step, hosts);
         if (job.isEnded) return;
         continue;
       }
@@ -181,12 +186,12 @@
         placer.pick(task, this.lastResortOf(step, ejected), mustPlace);
       // Tasks of a step ask for the same, but each avoids hosts of its own.
       if (!host) {
-        this.heldBack.noteUnplaced(step, hosts);
+        this.heldBack.recordUnplaced(step, hosts);
         return;
       }
-      this.startOn(host, task, runs.nextRun());
+      this.startOn(host, task, runs.nextRunNumber());
     }
-    if (isUnplaced) this.heldBack.noteUnplaced(step, hosts);
+    if (isUnplaced) this.heldBack.recordUnplaced(step, hosts);
     else step.unplacedSince = undefined;
   }
 
@@ -197,7 +202,7 @@
   ): readonly HostLedger[] {
     if (!isOverdueLasting(step, this.options.engine.clock.monotonic()))
       return [];
-    return this.heldBack.openTo(step, ejected);
+    return this.heldBack.hostsOpenTo(step, ejected);
   }
 
   /**
@@ -209,20 +214,20 @@
     task: JobTask,
     open: readonly HostLedger[],
   ): "placed" | "not-now" | "no-host" {
-    const { announcer, hosts: book, placer, engine } = this.options;
+    const { runLog: announcer, hosts: book, placer, engine } = this.options;
     const now = engine.clock.monotonic();
     if (now < task.heldUntil) return "not-now";
-    const run = announcer.runFor([task]);
+    const run = announcer.recordedRunFor([task]);
     if (run === undefined || task.step.job.isEnded) return "not-now";
-    this.turns.noteWaiting(task, now);
+    this.turns.enqueue(task, now);
     // Users want a lasting task to have a run again soon, and it has lost its last one.
     const { lasting } = task.step.spec;
     const takesTurn = lasting || this.turns.hasWaitedLong(task, now);
-    const isApart = mayHoldApart(open, book.all(), takesTurn);
+    const isApart = mayIsolate(open, book.all(), takesTurn);
     // Where no host more may be held, a lasting task whose workers outlived its start shares one.
     const mayShare = lasting && task.crashes.hasCrashedNoneAtStart;
     if (!isApart && !mayShare) return "not-now";
-    const host = pickApart({ task, open, placer, mustPlace: takesTurn });
+    const host = pickIsolatedHost({ task, open, placer, mustPlace: takesTurn });
     if (!host) return isApart ? "no-host" : "not-now";
     this.startOn(host, task, run, isApart);
     return "placed";
@@ -247,7 +252,7 @@
       if (this.options.engine.clock.monotonic() < step.heldUntil) continue;
       const { permitRule } = this.termsOf(step.job);
       const allowed = permitRule ? this.permittedOf(step, hosts) : hosts;
-      const open = this.heldBack.openTo(step, allowed);
+      const open = this.heldBack.hostsOpenTo(step, allowed);
       if (this.placeApart(task, open) === "placed") isAnyPlaced = true;
     }
     return isAnyPlaced;
@@ -257,10 +262,10 @@
   private placeGang(step: StepRun, hosts: readonly HostLedger[]): void {
     const waiting = [...step.waiting];
     if (waiting.length < step.tasks.length - step.doneCount) return;
-    const open = this.heldBack.openTo(step, hosts);
+    const open = this.heldBack.hostsOpenTo(step, hosts);
     const chosen = chooseGangHosts(step, waiting, open);
     if (!chosen) return;
-    const number = this.options.announcer.runFor(waiting);
+    const number = this.options.runLog.recordedRunFor(waiting);
     if (number === undefined || step.job.isEnded) return;
     step.job.shareCheckpoint(step);
     for (const [task, host] of chosen) this.startOn(host, task, number);
@@ -273,13 +278,14 @@
     number: RunNumber,
     isApart = false,
   ): void {
-    const { hosts, runs, permits, announcer } = this.options;
+    const { hosts, runs, permits, runLog: announcer } = this.options;
     const entry = hosts.get(host.host);
     const ticket = permits.ticketFor(task.step, host);
-    announcer.noteOrdered(task);
-    this.turns.noteStarted(task);
+    announcer.markOrdered(task);
+    this.turns.remove(task);
     const apartMs = isApart ? task.crashes.apartMs : 0;
-    if (entry) runs.start(entry, task, number, { ticket, apartMs });
+    if (entry)
+      runs.start(entry, task, number, { ticket, isolationMs: apartMs });
   }
 }
 
--- a/packages/scheduling/src/HostWatch.ts
+++ b/packages/scheduling/src/HostMonitor.ts
@@ -8,7 +8,7 @@
   type WorkerLoss,
 } from "@rackspan/jobs";
 import type { HostReport, LostRun } from "@rackspan/protocol";
-import type { CrashKeeper } from "./CrashKeeper.js";
+import type { CrashTracker } from "./CrashTracker.js";
 import type { EngineParts } from "./engineParts.js";
 import { ENGINE, type HostEntry } from "./engineTypes.js";
 import { runsToMove, SLOWNESS } from "./slowHosts.js";
@@ -21,33 +21,33 @@
   leastChangeMs: 150,
 } as const;
 
-export interface HostWatchOptions extends EngineParts {
-  readonly crashes: CrashKeeper;
+export interface HostMonitorOptions extends EngineParts {
+  readonly crashes: CrashTracker;
 }
 
-export class HostWatch {
-  constructor(private readonly parts: HostWatchOptions) {}
+export class HostMonitor {
+  constructor(private readonly parts: HostMonitorOptions) {}
 
-  look(): void {
+  check(): void {
     const now = this.parts.options.clock.monotonic();
     this.dropExpiredHosts(now);
     for (const entry of [...this.parts.hosts.all()]) {
       if (now >= entry.ledger.leaseOverBy) {
         noteUnplaced(entry);
-        this.dropHost(entry, "silent", "lease-over");
+        this.removeHost(entry, "silent", "lease-over");
       } else this.watchRuns(entry, now);
     }
   }
 
   /** When the next host's leases are over, unless it is heard before; Infinity without any. */
-  nextOverBy(): Monotonic {
+  nextLeaseExpiry(): Monotonic {
     const { options, hosts } = this.parts;
     const ledgers = [...hosts.all()].map(({ ledger }) => ledger.leaseOverBy);
     return Math.min(options.gate.nextOverBy, ...ledgers);
   }
 
   /** Nothing runs there any more: it ended, or was silent until its lease was over. */
-  dropHost(
+  removeHost(
     entry: HostEntry,
     loss: WorkerLoss,
     reason: string,
@@ -55,7 +55,7 @@
   ): void {
     const { hosts, ejector, crashes } = this.parts;
     const { host, instance } = entry.ledger;
-    crashes.loseRuns(entry, loss, reason, lostRuns);
+    crashes.handleLostRuns(entry, loss, reason, lostRuns);
     hosts.delete(host);
     ejector.forget(host);
     this.forgetHost(host, instance, reason);
@@ -66,11 +66,11 @@
    * this life, it was the last that could hold a lease there, so the take-over need
    * not wait for the host.
    */
-  dropUnheard(host: HostId, instance: WorkerInstance): void {
+  removeUnreported(host: HostId, instance: WorkerInstance): void {
     const { roster } = this.parts.options;
-    if (roster.instanceOf(host) !== instance) return;
+    if (roster.recordedInstance(host) !== instance) return;
     this.forgetHost(host, instance, "gone-before-take-over");
-    this.parts.requestPass();
+    this.parts.requestCycle();
   }
 
   /**
@@ -78,8 +78,8 @@
    * ledger of a host that has reported. One with ends left to list is waited for in full:
    * a task whose end is among them would start again.
    */
-  noteSilent(host: HostId, overInMs: number): void {
-    const { options, hosts, requestPass } = this.parts;
+  recordSilence(host: HostId, overInMs: number): void {
+    const { options, hosts, requestCycle: requestPass } = this.parts;
     const { gate, clock, logger } = options;
     const now = clock.monotonic();
     const overBy = now + overInMs;
@@ -102,7 +102,7 @@
     const { options, hosts } = this.parts;
     for (const host of options.gate.takeExpired(now)) {
       if (hosts.get(host)) continue;
-      const instance = options.roster.instanceOf(host);
+      const instance = options.roster.recordedInstance(host);
       this.forgetHost(host, instance, "never-reported");
     }
   }
@@ -125,7 +125,7 @@
   ): void {
     const { crashes, ejector } = this.parts;
     const { ledger } = entry;
-    crashes.loseRuns(entry, "crashed", "worker-replaced", lostRuns);
+    crashes.handleLostRuns(entry, "crashed", "worker-replaced", lostRuns);
     ledger.replaceWorker(worker);
     ejector.forget(ledger.host);
   }
@@ -161,7 +161,7 @@
         other.session !== undefined &&
         !other.ledger.worker.draining &&
         !this.parts.options.isEvacuated(other.ledger.availabilityZone) &&
-        other.ledger.slowness + SLOWNESS.clearlyFaster < ledger.slowness,
+        other.ledger.slowness + SLOWNESS.minAdvantage < ledger.slowness,
     );
   }
 
--- a/packages/scheduling/src/HostIntake.ts
+++ b/packages/scheduling/src/HostRegistrar.ts
@@ -13,7 +13,7 @@
 import type { HostEntry } from "./engineTypes.js";
 import type { HostSession } from "./HostSession.js";
 
-export class HostIntake {
+export class HostRegistrar {
   private readonly sessions = new Map<HostId, HostSession>();
 
   constructor(private readonly parts: EngineParts) {}
@@ -50,7 +50,7 @@
   }
 
   /** The host's entry; a host that is not known yet is taken in. */
-  entryOf(
+  getOrRegister(
     host: HostId,
     zone: AvailabilityZone,
     { worker }: HostReport,
@@ -64,7 +64,7 @@
     const entry: HostEntry = {
       ledger,
       session: this.sessions.get(host),
-      keeping: Promise.resolve(),
+      endsRecorded: Promise.resolve(),
       rostered: false,
     };
     hosts.set(entry);
@@ -76,11 +76,11 @@
       zone,
       milliCores: worker.milliCores,
     });
-    this.keepInRoster(entry);
+    this.addToRoster(entry);
     return entry;
   }
 
-  noteWorker(entry: HostEntry, { worker }: HostReport): void {
+  updateWorker(entry: HostEntry, { worker }: HostReport): void {
     const { ledger } = entry;
     const beganDraining = worker.draining && !ledger.worker.draining;
     ledger.worker = worker;
@@ -96,15 +96,15 @@
    * Until the store names this life it gets no lease: the next leader takes the end
    * of the life that is named for the end of all that may run there.
    */
-  keepInRoster(entry: HostEntry): void {
-    const { options, requestPass } = this.parts;
+  addToRoster(entry: HostEntry): void {
+    const { options, requestCycle: requestPass } = this.parts;
     const { roster, logger } = options;
     const { host, instance } = entry.ledger;
-    this.noteRostered(entry);
+    this.refreshRostered(entry);
     if (entry.rostered) return;
-    roster.keep(host, instance).then(
+    roster.persist(host, instance).then(
       () => {
-        this.noteRostered(entry);
+        this.refreshRostered(entry);
         requestPass();
       },
       (err: unknown) =>
@@ -117,9 +117,10 @@
   }
 
   /** Whether the store keeps the life that the host shows now. */
-  noteRostered(entry: HostEntry): void {
+  refreshRostered(entry: HostEntry): void {
     const { host, instance } = entry.ledger;
-    entry.rostered = this.parts.options.roster.instanceOf(host) === instance;
+    entry.rostered =
+      this.parts.options.roster.recordedInstance(host) === instance;
   }
 
   /** Moves away what would not end before the worker leaves. */
--- a/packages/scheduling/src/HostBook.ts
+++ b/packages/scheduling/src/HostRegistry.ts
@@ -8,7 +8,7 @@
 import type { ActiveRun, JobRun, JobTask } from "@rackspan/jobs";
 import type { HostEntry, PlacedRun } from "./engineTypes.js";
 
-export class HostBook {
+export class HostRegistry {
   private readonly entries = new Map<HostId, HostEntry>();
   private readonly placed = new Map<JobTask, PlacedRun>();
   private readonly runsOfJob = new Map<JobRun, number>();
@@ -71,7 +71,7 @@
   }
 
   /** Runs of the given tasks that are placed now. */
-  runsOf(tasks: Iterable<JobTask>): PlacedRun[] {
+  placedRunsOf(tasks: Iterable<JobTask>): PlacedRun[] {
     const runs: PlacedRun[] = [];
     for (const task of tasks) {
       const placed = this.placed.get(task);
--- a/packages/scheduling/src/ApartTurns.ts
+++ b/packages/scheduling/src/IsolatedStartQueue.ts
@@ -8,13 +8,13 @@
 import type { Monotonic } from "@rackspan/common";
 import { CRASH_LIMITS, type JobTask } from "@rackspan/jobs";
 
-export class ApartTurns {
+export class IsolatedStartQueue {
   /** Since when each has waited, the one that has waited longest first. */
   private readonly since = new Map<JobTask, Monotonic>();
   /** Those whose turn is before others in this pass, and has not come yet. */
   private overdue: JobTask[] = [];
 
-  beginPass(now: Monotonic): void {
+  startCycle(now: Monotonic): void {
     for (const task of [...this.since.keys()]) {
       if (!isWaiting(task)) this.since.delete(task);
     }
@@ -23,11 +23,11 @@
     );
   }
 
-  noteWaiting(task: JobTask, now: Monotonic): void {
+  enqueue(task: JobTask, now: Monotonic): void {
     if (!this.since.has(task)) this.since.set(task, now);
   }
 
-  noteStarted(task: JobTask): void {
+  remove(task: JobTask): void {
     this.since.delete(task);
   }
 
--- a/packages/scheduling/src/JobEngine.ts
+++ b/packages/scheduling/src/JobEngine.ts
@@ -27,31 +27,31 @@
   type LearntRecord,
   type ProgressRecord,
 } from "@rackspan/state";
-import { CheckpointKeeper } from "./CheckpointKeeper.js";
-import { CrashKeeper } from "./CrashKeeper.js";
+import { CheckpointWriter } from "./CheckpointWriter.js";
+import { CrashTracker } from "./CrashTracker.js";
 import { Dispatcher } from "./Dispatcher.js";
-import { EndTaker } from "./EndTaker.js";
+import { RunEndHandler } from "./RunEndHandler.js";
 import type { EngineParts } from "./engineParts.js";
 import { ENGINE, type EngineOptions, type HostEntry } from "./engineTypes.js";
-import { EstimateBook } from "./EstimateBook.js";
-import { HostBook } from "./HostBook.js";
-import { HostIntake } from "./HostIntake.js";
+import { RuntimeEstimator } from "./RuntimeEstimator.js";
+import { HostRegistry } from "./HostRegistry.js";
+import { HostRegistrar } from "./HostRegistrar.js";
 import type { HostSession } from "./HostSession.js";
-import { HostWatch } from "./HostWatch.js";
-import { JobBook } from "./JobBook.js";
-import { JobCloser } from "./JobCloser.js";
-import { disturbancesOn, learnInterference } from "./learnInterference.js";
-import { PermitBook } from "./PermitBook.js";
-import { LearntKeeper } from "./LearntKeeper.js";
-import { ProgressKeeper } from "./ProgressKeeper.js";
+import { HostMonitor } from "./HostMonitor.js";
+import { JobRegistry } from "./JobRegistry.js";
+import { JobFinisher } from "./JobFinisher.js";
+import { disturbancesFor, learnInterference } from "./learnInterference.js";
+import { PermitTracker } from "./PermitTracker.js";
+import { LearnedStateStore } from "./LearnedStateStore.js";
+import { ProgressRecorder } from "./ProgressRecorder.js";
 import { RunAdopter } from "./RunAdopter.js";
-import { RunAnnouncer } from "./RunAnnouncer.js";
-import { RunControl } from "./RunControl.js";
-import { learnSlowness } from "./slowHosts.js";
-import { StopControl } from "./StopControl.js";
+import { RunWriteAheadLog } from "./RunWriteAheadLog.js";
+import { RunStarter } from "./RunStarter.js";
+import { updateSlowness } from "./slowHosts.js";
+import { RunStopper } from "./RunStopper.js";
 import { stepOrders } from "./stepOrders.js";
 import { TailForecast } from "./TailForecast.js";
-import { WaitWatch } from "./WaitWatch.js";
+import { WaitMonitor } from "./WaitMonitor.js";
 import { taskPlacers } from "./taskPlacers.js";
 
 const EJECTION = {
@@ -64,22 +64,22 @@
 } as const;
 
 export class JobEngine {
-  private readonly jobs = new JobBook();
-  private readonly hosts = new HostBook();
+  private readonly jobs = new JobRegistry();
+  private readonly hosts = new HostRegistry();
   private readonly interference: InterferenceBook;
-  private readonly checkpoints: CheckpointKeeper;
-  private readonly learnt: LearntKeeper;
-  private readonly permits: PermitBook;
-  private readonly runs: RunControl;
-  private readonly stops: StopControl;
+  private readonly checkpoints: CheckpointWriter;
+  private readonly learnt: LearnedStateStore;
+  private readonly permits: PermitTracker;
+  private readonly runs: RunStarter;
+  private readonly stops: RunStopper;
   private readonly dispatcher: Dispatcher;
-  private readonly intake: HostIntake;
-  private readonly watch: HostWatch;
-  private readonly waits: WaitWatch;
+  private readonly intake: HostRegistrar;
+  private readonly watch: HostMonitor;
+  private readonly waits: WaitMonitor;
   private readonly adopter: RunAdopter;
-  private readonly closer: JobCloser;
-  private readonly ends: EndTaker;
-  private readonly crashes: CrashKeeper;
+  private readonly closer: JobFinisher;
+  private readonly ends: RunEndHandler;
+  private readonly crashes: CrashTracker;
   private timer: Timer | undefined;
   /** When the next tick is due. */
   private tickAt: Monotonic = Infinity;
@@ -91,32 +91,32 @@
     const { jobs, hosts } = this;
     const interference = new InterferenceBook(policy.learnsInterference);
     this.interference = interference;
-    const estimates = new EstimateBook(policy.correctsEstimates);
+    const estimates = new RuntimeEstimator(policy.correctsEstimates);
     const failuresToEject = policy.ejectsFailingHosts
       ? EJECTION.failuresToEject
       : Infinity;
     const ejector = new OutlierEjector({ clock, ...EJECTION, failuresToEject });
-    const requestPass = () => this.dispatcher.requestPass();
+    const requestPass = () => this.dispatcher.requestCycle();
     const onWaiting = (job: JobRun) => {
       if (jobs.activate(job)) requestPass();
     };
-    const permits = new PermitBook({
+    const permits = new PermitTracker({
       ...options,
       service: options.permits,
-      onPermits: requestPass,
+      onTickets: requestPass,
     });
     this.permits = permits;
     const forecast = new TailForecast({ interference, policy });
-    const runs = new RunControl({
+    const runs = new RunStarter({
       ...options,
       hosts,
       forecast,
-      permitBook: permits,
-      onWaiting,
-      onNotBegun: (run) => this.crashes.noteNotBegun(run),
+      permitTracker: permits,
+      onTaskWaiting: onWaiting,
+      onNeverStarted: (run) => this.crashes.handleNeverStarted(run),
     });
     this.runs = runs;
-    this.stops = new StopControl(options);
+    this.stops = new RunStopper(options);
     this.dispatcher = new Dispatcher({
       engine: options,
       hosts,
@@ -126,12 +126,12 @@
       ejector,
       permits,
       active: jobs.active,
-      announcer: new RunAnnouncer({
+      runLog: new RunWriteAheadLog({
         journal,
         logger,
-        nextRun: () => runs.nextRun(),
-        onKept: requestPass,
-        settleFormer: (task) => this.crashes.settle(task),
+        nextRunNumber: () => runs.nextRunNumber(),
+        onRecorded: requestPass,
+        resolvePreviousRun: (task) => this.crashes.resolvePreviousRun(task),
       }),
     });
     const parts: EngineParts = {
@@ -142,38 +142,45 @@
       stops: this.stops,
       estimates,
       ejector,
-      requestPass,
+      requestCycle: requestPass,
     };
-    this.learnt = new LearntKeeper({
+    this.learnt = new LearnedStateStore({
       interference,
       estimates,
       clock,
       logger,
-      everyMs: policy.learntEveryMs,
-      write: options.keepLearnt,
+      intervalMs: policy.learntEveryMs,
+      write: options.persistLearned,
     });
-    const keeper = new ProgressKeeper({ journal, logger });
+    const progressRecorder = new ProgressRecorder({ journal, logger });
     const everyMs = policy.checkpointEveryMs;
-    this.checkpoints = new CheckpointKeeper({
+    this.checkpoints = new CheckpointWriter({
       journal,
       clock,
       logger,
-      everyMs,
+      intervalMs: everyMs,
     });
-    this.intake = new HostIntake(parts);
+    this.intake = new HostRegistrar(parts);
     this.adopter = new RunAdopter(parts);
-    this.closer = new JobCloser({ ...parts, keeper });
-    const closing = { ...parts, keeper, closer: this.closer };
-    this.ends = new EndTaker(closing);
-    this.crashes = new CrashKeeper(closing);
-    this.watch = new HostWatch({ ...parts, crashes: this.crashes });
-    this.waits = new WaitWatch(parts);
+    this.closer = new JobFinisher({
+      ...parts,
+      progressRecorder: progressRecorder,
+    });
+    const closing = {
+      ...parts,
+      progressRecorder: progressRecorder,
+      closer: this.closer,
+    };
+    this.ends = new RunEndHandler(closing);
+    this.crashes = new CrashTracker(closing);
+    this.watch = new HostMonitor({ ...parts, crashes: this.crashes });
+    this.waits = new WaitMonitor(parts);
   }
 
   start(): void {
     this.schedule();
     this.learnt.start();
-    this.dispatcher.requestPass();
+    this.dispatcher.requestCycle();
   }
 
   /** Gives no more orders; hosts go on until their leases are over. */
@@ -187,7 +194,7 @@
   }
 
   /** Takes what a former leader has learnt; it may come at any time. */
-  restoreLearnt(records: readonly LearntRecord[]): void {
+  restoreLearned(records: readonly LearntRecord[]): void {
     this.learnt.restore(records);
   }
 
@@ -196,7 +203,7 @@
     const { clock, logger } = this.options;
     const job = new JobRun(accepted, progress);
     const now = clock.monotonic();
-    this.jobs.add({ job, firstSeenAt: now, busyAt: now });
+    this.jobs.add({ job, firstSeenAt: now, lastRunSeenAt: now });
     if (job.isEnded) return;
     logger.info("job.seen", {
       job: job.id,
@@ -205,13 +212,13 @@
       tasks: job.steps.reduce((sum, { tasks }) => sum + tasks.length, 0),
       restored: progress !== undefined,
     });
-    this.dispatcher.requestPass();
+    this.dispatcher.requestCycle();
   }
 
   cancelJob(id: JobId): void {
     const live = this.jobs.get(id);
     if (!live || live.job.isEnded) return;
-    this.closer.close(live, "cancelled", "cancelled-by-caller");
+    this.closer.finish(live, "cancelled", "cancelled-by-caller");
   }
 
   /**
@@ -228,8 +235,8 @@
   }
 
   /** Queues may have another service, or a zone may be closed or open to starts. */
-  noteOperator(): void {
-    this.dispatcher.requestPass();
+  handleOperatorChange(): void {
+    this.dispatcher.requestCycle();
   }
 
   attach(host: HostId, session: HostSession): void {
@@ -248,20 +255,20 @@
    * @param unheardEnds runs of ended lives that had ended before
    * @returns whether this leader has taken note of it, and a next one will not wait for it
    */
-  async noteWorkerGone(
+  async handleWorkerGone(
     host: HostId,
     instance: WorkerInstance,
     lostRuns: readonly LostRun[] = [],
     unheardEnds: readonly RunRef[] = [],
   ): Promise<boolean> {
-    this.crashes.noteUnheardEnds(unheardEnds);
+    this.crashes.recordUnreportedEnds(unheardEnds);
     const { roster, mayDecide } = this.options;
     const entry = this.hosts.get(host);
     if (entry?.ledger.instance === instance)
-      this.watch.dropHost(entry, "crashed", "worker-gone", lostRuns);
-    this.crashes.noteTold(host, lostRuns);
-    if (!entry) this.watch.dropUnheard(host, instance);
-    return (await roster.removed(host)) && mayDecide();
+      this.watch.removeHost(entry, "crashed", "worker-gone", lostRuns);
+    this.crashes.handleReportedLosses(host, lostRuns);
+    if (!entry) this.watch.removeUnreported(host, instance);
+    return (await roster.removalPersisted(host)) && mayDecide();
   }
 
   /**
@@ -273,27 +280,31 @@
    * @param neverBegun lost runs that never began, by the answers to their orders
    * @returns whether this leader may still decide
    */
-  noteWorkerSilent(
+  handleWorkerSilent(
     host: HostId,
     overInMs: number | undefined,
     neverBegun: readonly RunRef[] = [],
   ): boolean {
-    this.crashes.noteNeverBegun(neverBegun);
-    if (overInMs !== undefined) this.watch.noteSilent(host, overInMs);
+    this.crashes.handleNeverStartedRuns(neverBegun);
+    if (overInMs !== undefined) this.watch.recordSilence(host, overInMs);
     if (this.nextTickAt() < this.tickAt) this.schedule();
     return this.options.mayDecide();
   }
 
   /** Takes a host's report. */
-  report(host: HostId, zone: AvailabilityZone, report: HostReport): Grant {
+  handleReport(
+    host: HostId,
+    zone: AvailabilityZone,
+    report: HostReport,
+  ): Grant {
     const { clock, gate, logger } = this.options;
     const now = clock.monotonic();
-    const entry = this.intake.entryOf(host, zone, report, now);
+    const entry = this.intake.getOrRegister(host, zone, report, now);
     const { ledger } = entry;
-    this.crashes.noteUnheardEnds(report.unheardEnds ?? []);
+    this.crashes.recordUnreportedEnds(report.unheardEnds ?? []);
     if (ledger.instance !== report.worker.instance) {
       this.watch.replaceWorker(entry, report);
-      this.intake.keepInRoster(entry);
+      this.intake.addToRoster(entry);
     }
     if (ledger.reportedAt !== undefined && report.at <= ledger.reportedAt) {
       // The worker has not answered since: nothing is known anew.
@@ -301,20 +312,20 @@
       return { acknowledged: ledger.acknowledgedEnds };
     }
     this.noteFormerStarts(entry, report, now);
-    this.crashes.noteTold(host, report.lostRuns);
-    this.crashes.noteNeverBegun(report.neverBegun ?? []);
-    this.intake.noteWorker(entry, report);
+    this.crashes.handleReportedLosses(host, report.lostRuns);
+    this.crashes.handleNeverStartedRuns(report.neverBegun ?? []);
+    this.intake.updateWorker(entry, report);
     this.takeChanges(entry, reconcileReport(ledger, report, now));
     const tasks = [...ledger.runs.values()].map(({ task }) => task);
-    this.checkpoints.noteTasks(tasks);
+    this.checkpoints.trackTasks(tasks);
     learnInterference(ledger, this.interference, now);
-    learnSlowness(entry, this.hosts, now);
+    updateSlowness(entry, this.hosts, now);
     // What is still to be listed may have ended under a former leader.
     if (report.hasMoreEnds) gate.forgetSilent(host);
     else gate.noteHeard(host);
-    this.dispatcher.requestPass();
-    this.intake.noteRostered(entry);
-    this.dispatcher.passIfOverdue();
+    this.dispatcher.requestCycle();
+    this.intake.refreshRostered(entry);
+    this.dispatcher.runCycleIfOverdue();
     return this.grant(entry, report, now);
   }
 
@@ -331,7 +342,7 @@
     return {
       leaseUntil: (report.at + leaseMs) as WorkerTime,
       acknowledged,
-      disturbances: disturbancesOn(ledger, this.interference),
+      disturbances: disturbancesFor(ledger, this.interference),
     };
   }
 
@@ -355,10 +366,10 @@
         host: ledger.host,
         phase: run.phase,
       });
-      this.runs.giveBack(entry, run, "vanished");
+      this.runs.returnRun(entry, run, "vanished");
     }
     this.adopter.adopt(entry, changes.unknown);
-    this.ends.take(entry, changes.ended);
+    this.ends.handleEnds(entry, changes.ended);
     this.stops.orderDueStops(entry);
   }
 
@@ -381,9 +392,9 @@
   /** When a host's leases are over its tasks may start elsewhere, so no tick comes later. */
   private nextTickAt(): Monotonic {
     const now = this.options.clock.monotonic();
-    const overBy = Math.max(now, this.watch.nextOverBy());
-    const leastAt = this.lastTickAt + ENGINE.passFloorMs;
-    const soonest = Math.max(leastAt, overBy + ENGINE.timerGrainMs);
+    const overBy = Math.max(now, this.watch.nextLeaseExpiry());
+    const leastAt = this.lastTickAt + ENGINE.minCycleIntervalMs;
+    const soonest = Math.max(leastAt, overBy + ENGINE.timerResolutionMs);
     return Math.min(now + ENGINE.tickMs, soonest);
   }
 
@@ -396,8 +407,8 @@
   }
 
   private tick(): void {
-    this.watch.look();
-    this.waits.look();
-    if (this.jobs.active.size > 0) this.dispatcher.requestPass();
+    this.watch.check();
+    this.waits.check();
+    if (this.jobs.active.size > 0) this.dispatcher.requestCycle();
   }
 }
--- a/packages/scheduling/src/JobCloser.ts
+++ b/packages/scheduling/src/JobFinisher.ts
@@ -3,30 +3,30 @@
 import type { JobRun, JobTask } from "@rackspan/jobs";
 import type { JobStateName } from "@rackspan/state";
 import type { EngineParts } from "./engineParts.js";
-import type { LiveJob } from "./engineTypes.js";
-import type { ProgressKeeper } from "./ProgressKeeper.js";
+import type { TrackedJob } from "./engineTypes.js";
+import type { ProgressRecorder } from "./ProgressRecorder.js";
 
-export interface JobCloserOptions extends EngineParts {
-  readonly keeper: ProgressKeeper;
+export interface JobFinisherOptions extends EngineParts {
+  readonly progressRecorder: ProgressRecorder;
 }
 
-export class JobCloser {
-  constructor(private readonly parts: JobCloserOptions) {}
+export class JobFinisher {
+  constructor(private readonly parts: JobFinisherOptions) {}
 
   /** @param task the task whose run ended last */
-  closeIfEnded(job: JobRun, task: JobTask): void {
+  finishIfEnded(job: JobRun, task: JobTask): void {
     const live = this.parts.jobs.get(job.id);
     if (!live) return;
-    if (job.isComplete) this.close(live, "completed", "all-tasks-done");
+    if (job.isComplete) this.finish(live, "completed", "all-tasks-done");
     else if (job.hasSpentAttempts(task)) {
-      this.close(live, "failed", `attempts-spent:${task.id}`);
+      this.finish(live, "failed", `attempts-spent:${task.id}`);
     } else if (job.hasSpentCrashes(task)) {
-      this.close(live, "failed", `crashed-its-workers:${task.id}`);
+      this.finish(live, "failed", `crashed-its-workers:${task.id}`);
     }
   }
 
-  close(live: LiveJob, state: JobStateName, reason: string): void {
-    const { options, jobs, keeper } = this.parts;
+  finish(live: TrackedJob, state: JobStateName, reason: string): void {
+    const { options, jobs, progressRecorder: keeper } = this.parts;
     const { clock, logger, metrics } = options;
     const { job } = live;
     job.end(state, clock.now());
@@ -39,13 +39,13 @@
       ageMs: Math.round(clock.now() - job.accepted.acceptedAt),
     });
     this.stopRuns(job, `job-${state}`);
-    keeper.keepJob(job);
+    keeper.recordJob(job);
   }
 
   private stopRuns(job: JobRun, reason: string): void {
     const { hosts, stops } = this.parts;
     for (const { tasks } of job.steps) {
-      for (const { host, run } of hosts.runsOf(tasks)) {
+      for (const { host, run } of hosts.placedRunsOf(tasks)) {
         stops.stop(host, run, reason);
       }
     }
--- a/packages/scheduling/src/JobBook.ts
+++ b/packages/scheduling/src/JobRegistry.ts
@@ -3,18 +3,18 @@
 import type { JobTaskId } from "@rackspan/common";
 import type { JobRun, JobTask } from "@rackspan/jobs";
 import { parseTaskId, type JobId } from "@rackspan/state";
-import type { LiveJob } from "./engineTypes.js";
+import type { TrackedJob } from "./engineTypes.js";
 
-export class JobBook {
+export class JobRegistry {
   /** Jobs that may have tasks to start; a pass drops those that have none. */
-  readonly active = new Set<LiveJob>();
-  private readonly entries = new Map<JobId, LiveJob>();
+  readonly active = new Set<TrackedJob>();
+  private readonly entries = new Map<JobId, TrackedJob>();
 
-  get(id: JobId): LiveJob | undefined {
+  get(id: JobId): TrackedJob | undefined {
     return this.entries.get(id);
   }
 
-  add(live: LiveJob): void {
+  add(live: TrackedJob): void {
     this.entries.set(live.job.id, live);
     if (!live.job.isEnded) this.active.add(live);
   }
--- a/packages/scheduling/src/LearntKeeper.ts
+++ b/packages/scheduling/src/LearnedStateStore.ts
@@ -7,28 +7,28 @@
 import type { Clock, Logger, Timer } from "@rackspan/common";
 import type { InterferenceBook } from "@rackspan/jobs";
 import { ageOf, learntKeyOf, type LearntRecord } from "@rackspan/state";
-import type { EstimateBook } from "./EstimateBook.js";
+import type { RuntimeEstimator } from "./RuntimeEstimator.js";
 
 /** Older records say nothing of what runs now, milliseconds. */
 const MAX_AGE_MS = 600_000;
 
-export interface LearntKeeperOptions {
+export interface LearnedStateStoreOptions {
   readonly interference: InterferenceBook;
-  readonly estimates: EstimateBook;
+  readonly estimates: RuntimeEstimator;
   readonly clock: Clock;
   readonly logger: Logger;
   /** Milliseconds; 0 for never. */
-  readonly everyMs: number;
+  readonly intervalMs: number;
   readonly write: (record: LearntRecord) => void;
 }
 
-export class LearntKeeper {
+export class LearnedStateStore {
   private timer: Timer | undefined;
 
-  constructor(private readonly options: LearntKeeperOptions) {}
+  constructor(private readonly options: LearnedStateStoreOptions) {}
 
   start(): void {
-    const { clock, everyMs } = this.options;
+    const { clock, intervalMs: everyMs } = this.options;
     if (everyMs === 0) return;
     this.timer = clock.after(everyMs, () => {
       this.keep();
@@ -42,7 +42,13 @@
 
   /** Takes what a former leader had learnt, where this one knows nothing yet. */
   restore(records: readonly LearntRecord[]): void {
-    const { interference, estimates, clock, logger, everyMs } = this.options;
+    const {
+      interference,
+      estimates,
+      clock,
+      logger,
+      intervalMs: everyMs,
+    } = this.options;
     if (everyMs === 0) return;
     for (const record of records) {
       const age = ageOf(record, clock.now());
--- a/packages/scheduling/src/PermitBook.ts
+++ b/packages/scheduling/src/PermitTracker.ts
@@ -23,7 +23,7 @@
 import { StepPermits } from "./StepPermits.js";
 
 /** Two requests keep a service busy that works on one; the others bound what waits for it. */
-export const PERMITS = {
+export const PERMIT_REQUESTS = {
   /** Requests on their way at once: the service works on one at a time, in turn. */
   concurrency: 2,
   /** Steps that may wait for a request; others ask again at a later pass. */
@@ -31,37 +31,39 @@
   /** Hosts named for each waiting task: the service refuses some of them. */
   hostsPerTask: 3,
   /** Hosts named at least, where there are as many. */
-  leastNamed: 8,
+  minHosts: 8,
   /** A step whose request failed asks again after this; milliseconds. */
   retryMs: 250,
   /** Time for an answer beyond what the queue says that the service takes; milliseconds. */
   slackMs: 1_000,
 } as const;
 
-export interface PermitBookOptions {
+export interface PermitTrackerOptions {
   /** Undefined where the platform has no such service. */
   readonly service: PermitService | undefined;
   readonly clock: Clock;
   readonly logger: Logger;
   readonly metrics: Metrics;
   /** Called when tickets have come. */
-  readonly onPermits: () => void;
+  readonly onTickets: () => void;
 }
 
-export interface PermitWish {
+export interface StepPermitRequest {
   readonly step: StepRun;
   readonly rule: PermitRule;
   /** Hosts that could run the step, the best first. */
   readonly hosts: readonly HostLedger[];
 }
 
-export class PermitBook {
+export class PermitTracker {
   private readonly steps = new WeakMap<StepRun, StepPermits>();
-  private readonly queue = new PQueue({ concurrency: PERMITS.concurrency });
+  private readonly queue = new PQueue({
+    concurrency: PERMIT_REQUESTS.concurrency,
+  });
   private stopped = false;
   private loggedNoService = false;
 
-  constructor(private readonly options: PermitBookOptions) {}
+  constructor(private readonly options: PermitTrackerOptions) {}
 
   stop(): void {
     this.stopped = true;
@@ -75,12 +77,12 @@
   }
 
   /** The worker refused the ticket: it is asked for anew. */
-  forget(step: StepRun, host: HostLedger): void {
-    this.steps.get(step)?.forget(host.instance);
+  discardTicket(step: StepRun, host: HostLedger): void {
+    this.steps.get(step)?.discardTicket(host.instance);
   }
 
   /** Asks for more permits of the step, unless that is under way. */
-  want(wish: PermitWish): void {
+  request(wish: StepPermitRequest): void {
     const { service } = this.options;
     const { step, rule } = wish;
     if (!service) {
@@ -91,7 +93,7 @@
     if (!this.mayAsk(permits)) return;
     const instances = this.toName(wish, permits);
     if (instances.length === 0) return;
-    permits.asking = true;
+    permits.isRequesting = true;
     const priority = -step.job.terms.priority;
     void this.queue.add(() => this.ask(service, step, rule, instances), {
       priority,
@@ -105,10 +107,10 @@
     this.options.logger.error("permits.no-service", { step: nameOf(step) });
   }
 
-  private mayAsk({ asking, pausedUntil }: StepPermits): boolean {
+  private mayAsk({ isRequesting: asking, pausedUntil }: StepPermits): boolean {
     if (asking || this.stopped) return false;
     if (this.options.clock.monotonic() < pausedUntil) return false;
-    if (this.queue.size < PERMITS.maxQueued) return true;
+    if (this.queue.size < PERMIT_REQUESTS.maxQueued) return true;
     // The step asks again at a later pass.
     this.options.metrics.count("permit_requests", { result: "left-out" });
     return false;
@@ -116,17 +118,20 @@
 
   /** Workers without a ticket that may get one, as many as are worth asking for. */
   private toName(
-    { step, hosts }: PermitWish,
+    { step, hosts }: StepPermitRequest,
     permits: StepPermits,
   ): WorkerInstance[] {
     const now = this.options.clock.monotonic();
     const most = Math.min(
       PERMIT_LIMITS.maxNamed,
-      Math.max(PERMITS.leastNamed, PERMITS.hostsPerTask * step.waiting.size),
+      Math.max(
+        PERMIT_REQUESTS.minHosts,
+        PERMIT_REQUESTS.hostsPerTask * step.waiting.size,
+      ),
     );
     return hosts
       .map(({ instance }) => instance)
-      .filter((instance) => permits.lacks(instance, now))
+      .filter((instance) => permits.needsTicket(instance, now))
       .slice(0, most);
   }
 
@@ -136,7 +141,7 @@
     { decideMs, eachMs }: PermitRule,
     instances: readonly WorkerInstance[],
   ): Promise<void> {
-    const { clock, onPermits } = this.options;
+    const { clock, onTickets: onPermits } = this.options;
     const began = clock.monotonic();
     const permits = this.permitsOf(step);
     const takesMs = decideMs + eachMs * instances.length;
@@ -144,15 +149,16 @@
       const answer = await service.ask({
         step: nameOf(step),
         instances,
-        timeoutMs: PERMITS.concurrency * takesMs + PERMITS.slackMs,
+        timeoutMs:
+          PERMIT_REQUESTS.concurrency * takesMs + PERMIT_REQUESTS.slackMs,
       });
-      permits.take(instances, answer, began);
+      permits.applyAnswer(instances, answer, began);
       this.noteAnswer(step, instances.length, answer, began);
     } catch (err) {
-      permits.pausedUntil = clock.monotonic() + PERMITS.retryMs;
+      permits.pausedUntil = clock.monotonic() + PERMIT_REQUESTS.retryMs;
       this.noteFailure(step, err);
     } finally {
-      permits.asking = false;
+      permits.isRequesting = false;
     }
     if (!this.stopped) onPermits();
   }
--- a/packages/scheduling/src/ProgressKeeper.ts
+++ b/packages/scheduling/src/ProgressRecorder.ts
@@ -4,17 +4,17 @@
 import type { JobRun, ProgressJournal } from "@rackspan/jobs";
 import type { HostEntry } from "./engineTypes.js";
 
-export interface ProgressKeeperOptions {
+export interface ProgressRecorderOptions {
   readonly journal: ProgressJournal;
   readonly logger: Logger;
 }
 
-export class ProgressKeeper {
+export class ProgressRecorder {
   private isLost = false;
 
-  constructor(private readonly options: ProgressKeeperOptions) {}
+  constructor(private readonly options: ProgressRecorderOptions) {}
 
-  keepJob(job: JobRun): void {
+  recordJob(job: JobRun): void {
     this.options.journal
       .record(job)
       .catch((err: unknown) => this.noteLost(err));
@@ -26,7 +26,7 @@
    * @param ended the jobs whose ends were listed
    * @param changed those of them of which something new must be kept
    */
-  keepEnds(
+  recordEnds(
     entry: HostEntry,
     ended: ReadonlySet<JobRun>,
     changed: ReadonlySet<JobRun>,
@@ -39,12 +39,14 @@
     const writes = [...ended].map((job) =>
       changed.has(job) ? journal.record(job) : journal.settled(job),
     );
-    entry.keeping = Promise.all([entry.keeping, ...writes]).then(() => {
-      if (ledger.instance !== instance) return;
-      ledger.acknowledgedEnds = Math.max(ledger.acknowledgedEnds, notedEnds);
-      entry.session?.acknowledge(instance, ledger.acknowledgedEnds);
-    });
-    entry.keeping.catch((err: unknown) => this.noteLost(err));
+    entry.endsRecorded = Promise.all([entry.endsRecorded, ...writes]).then(
+      () => {
+        if (ledger.instance !== instance) return;
+        ledger.acknowledgedEnds = Math.max(ledger.acknowledgedEnds, notedEnds);
+        entry.session?.acknowledge(instance, ledger.acknowledgedEnds);
+      },
+    );
+    entry.endsRecorded.catch((err: unknown) => this.noteLost(err));
   }
 
   private noteLost(err: unknown): void {
--- a/packages/scheduling/src/EndTaker.ts
+++ b/packages/scheduling/src/RunEndHandler.ts
@@ -4,28 +4,28 @@
 import type { EndedRun } from "@rackspan/ports";
 import type { EngineParts } from "./engineParts.js";
 import type { HostEntry, PlacedRun } from "./engineTypes.js";
-import type { JobCloser } from "./JobCloser.js";
-import type { ProgressKeeper } from "./ProgressKeeper.js";
+import type { JobFinisher } from "./JobFinisher.js";
+import type { ProgressRecorder } from "./ProgressRecorder.js";
 
 const NO_CHECKPOINT = "";
 
-export interface EndTakerOptions extends EngineParts {
-  readonly closer: JobCloser;
-  readonly keeper: ProgressKeeper;
+export interface RunEndHandlerOptions extends EngineParts {
+  readonly closer: JobFinisher;
+  readonly progressRecorder: ProgressRecorder;
 }
 
-export class EndTaker {
-  constructor(private readonly parts: EndTakerOptions) {}
+export class RunEndHandler {
+  constructor(private readonly parts: RunEndHandlerOptions) {}
 
-  take(entry: HostEntry, ended: readonly EndedRun[]): void {
+  handleEnds(entry: HostEntry, ended: readonly EndedRun[]): void {
     if (ended.length === 0) return;
     const changed = new Set<JobRun>();
     for (const end of voidOutlived(ended)) {
       const job = this.takeOne(entry, end);
       if (job) changed.add(job);
     }
-    this.parts.keeper.keepEnds(entry, this.jobsOf(ended), changed);
-    this.parts.requestPass();
+    this.parts.progressRecorder.recordEnds(entry, this.jobsOf(ended), changed);
+    this.parts.requestCycle();
   }
 
   private jobsOf(ended: readonly EndedRun[]): Set<JobRun> {
@@ -53,8 +53,8 @@
     if (end.outcome === "done" && task.step.spec.gang) {
       job.noteGangDone(task.step);
     }
-    runs.noteWaiting(task);
-    closer.closeIfEnded(job, task);
+    runs.notifyWaiting(task);
+    closer.finishIfEnded(job, task);
     return changed || job.isEnded ? job : undefined;
   }
 
@@ -68,7 +68,7 @@
     if (end.outcome !== "failed") return undefined;
     const { job } = task.step;
     const changed = job.noteEnd(task, end.run, end.outcome, NO_CHECKPOINT);
-    this.parts.closer.closeIfEnded(job, task);
+    this.parts.closer.finishIfEnded(job, task);
     return changed ? job : undefined;
   }
 
@@ -104,7 +104,7 @@
       // A run that went on from a checkpoint took less than the whole task.
       if (!active || task.checkpoint !== "") return;
       const tookMs = options.clock.monotonic() - active.run.startedAt;
-      estimates.note(task.step, tookMs);
+      estimates.recordRunTime(task.step, tookMs);
     }
     if (outcome !== "failed") return;
     ejector.report({ host, ok: false });
--- a/packages/scheduling/src/RunControl.ts
+++ b/packages/scheduling/src/RunStarter.ts
@@ -20,26 +20,26 @@
 import type { StartRefusal } from "@rackspan/ports";
 import { FULL_PACE, type HostCallResult } from "@rackspan/protocol";
 import { ENGINE, type EngineOptions, type HostEntry } from "./engineTypes.js";
-import type { HostBook } from "./HostBook.js";
-import type { PermitBook } from "./PermitBook.js";
+import type { HostRegistry } from "./HostRegistry.js";
+import type { PermitTracker } from "./PermitTracker.js";
 import type { TailForecast } from "./TailForecast.js";
 
-export interface RunControlOptions extends EngineOptions {
-  readonly hosts: HostBook;
+export interface RunStarterOptions extends EngineOptions {
+  readonly hosts: HostRegistry;
   readonly forecast: TailForecast;
-  readonly permitBook: PermitBook;
+  readonly permitTracker: PermitTracker;
   /** Called when a task of the job waits again. */
-  readonly onWaiting: (job: JobRun) => void;
+  readonly onTaskWaiting: (job: JobRun) => void;
   /** Called when the answer to an order shows that a run lost before it never began. */
-  readonly onNotBegun: (run: ActiveRun) => void;
+  readonly onNeverStarted: (run: ActiveRun) => void;
 }
 
 /** How a run is to begin. */
-export interface RunTerms {
+export interface RunStartOptions {
   /** The step's permit for the host, where its queue asks for one. */
   readonly ticket: string | undefined;
   /** For how long no other run begins beside it, milliseconds. */
-  readonly apartMs: number;
+  readonly isolationMs: number;
 }
 
 /** What an order to start says beside the task. */
@@ -65,12 +65,12 @@
   "draining",
 ];
 
-export class RunControl {
+export class RunStarter {
   private started = 0;
 
-  constructor(private readonly options: RunControlOptions) {}
+  constructor(private readonly options: RunStarterOptions) {}
 
-  nextRun(): RunNumber {
+  nextRunNumber(): RunNumber {
     this.started += 1;
     const { epoch } = this.options;
     return (epoch * ENGINE.runsPerEpoch + this.started) as unknown as RunNumber;
@@ -80,7 +80,7 @@
     host: HostEntry,
     task: JobTask,
     number: RunNumber,
-    { ticket, apartMs }: RunTerms,
+    { ticket, isolationMs: apartMs }: RunStartOptions,
   ): void {
     const { clock, hosts, leaseMs } = this.options;
     const now = clock.monotonic();
@@ -115,17 +115,17 @@
    * Frees a run that does not run and never will, and lets its task wait again.
    * @param reason what showed that it never will, for logs
    */
-  giveBack(host: HostEntry, run: ActiveRun, reason: string): void {
+  returnRun(host: HostEntry, run: ActiveRun, reason: string): void {
     this.logGivenBack(host, run, reason);
     if (!this.options.hosts.release(host, run)) return;
     const { task } = run;
     if (task.announced === run.run) task.announced = undefined;
-    this.noteWaiting(task);
+    this.notifyWaiting(task);
   }
 
   /** A task has no run any more: it may have its next one. */
-  noteWaiting(task: JobTask): void {
-    this.options.onWaiting(task.step.job);
+  notifyWaiting(task: JobTask): void {
+    this.options.onTaskWaiting(task.step.job);
   }
 
   /** Tells which run the task has at that moment: it should be the one given back. */
@@ -160,7 +160,7 @@
     const { filling, image, demand } = step.spec;
     if (!filling) return FULL_PACE;
     const cores = demand.milliCores / MILLI_CORES_PER_CORE;
-    const share = this.options.forecast.firstShare(host, image, cores);
+    const share = this.options.forecast.initialPaceShare(host, image, cores);
     return Math.round(FULL_PACE * share);
   }
 
@@ -177,7 +177,7 @@
     const isAwaited = this.awaitsAnswer(run);
     this.logStart(host, run, { result, sentAt, isAwaited });
     if (isAwaited) this.noteStartResult(host, run, result);
-    else if (NOT_BEGUN.includes(result.kind)) this.options.onNotBegun(run);
+    else if (NOT_BEGUN.includes(result.kind)) this.options.onNeverStarted(run);
   }
 
   /** An order without an answer is taken as one to a silent worker. */
@@ -251,13 +251,13 @@
       case "replaced":
       case "draining":
         this.pauseHost(host);
-        this.giveBack(host, run, `start-${result.kind}`);
+        this.returnRun(host, run, `start-${result.kind}`);
         return;
       case "refused":
         if (result.reason === "unhealthy")
           avoidHost(run.task, host.ledger.host);
         this.pauseAfterRefusal(host, run, result.reason);
-        this.giveBack(host, run, `start-${result.reason}`);
+        this.returnRun(host, run, `start-${result.reason}`);
         return;
     }
   }
@@ -268,12 +268,12 @@
     { task }: ActiveRun,
     reason: StartRefusal,
   ): void {
-    const { clock, permitBook } = this.options;
+    const { clock, permitTracker: permitBook } = this.options;
     if (reason !== "bad-ticket") {
       this.pauseHost(host);
       return;
     }
-    permitBook.forget(task.step, host.ledger);
+    permitBook.discardTicket(task.step, host.ledger);
     task.step.heldUntil = clock.monotonic() + ENGINE.badTicketPauseMs;
   }
 
--- a/packages/scheduling/src/StopControl.ts
+++ b/packages/scheduling/src/RunStopper.ts
@@ -11,7 +11,7 @@
 import type { RunRef } from "@rackspan/ports";
 import { ENGINE, type EngineOptions, type HostEntry } from "./engineTypes.js";
 
-export class StopControl {
+export class RunStopper {
   constructor(private readonly options: EngineOptions) {}
 
   /** Orders a stop; its room is taken until the worker lists the end. */
--- a/packages/scheduling/src/RunAnnouncer.ts
+++ b/packages/scheduling/src/RunWriteAheadLog.ts
@@ -8,14 +8,14 @@
 import { describeError, type Logger, type RunNumber } from "@rackspan/common";
 import { crashesOf, type JobTask, type ProgressJournal } from "@rackspan/jobs";
 
-export interface RunAnnouncerOptions {
+export interface RunWriteAheadLogOptions {
   readonly journal: ProgressJournal;
   readonly logger: Logger;
-  readonly nextRun: () => RunNumber;
+  readonly nextRunNumber: () => RunNumber;
   /** Called when the store keeps an announcement: its task may be started. */
-  readonly onKept: () => void;
+  readonly onRecorded: () => void;
   /** Judges what former leaders left of the task; its job may have ended then. */
-  readonly settleFormer: (task: JobTask) => void;
+  readonly resolvePreviousRun: (task: JobTask) => void;
 }
 
 interface Announcement {
@@ -23,14 +23,14 @@
   isKept: boolean;
 }
 
-export class RunAnnouncer {
+export class RunWriteAheadLog {
   /** Announced by this leader, and not ordered yet. */
   private readonly open = new Map<JobTask, Announcement>();
 
-  constructor(private readonly options: RunAnnouncerOptions) {}
+  constructor(private readonly options: RunWriteAheadLogOptions) {}
 
   /** Whether workers crashed under the task so often that its next run is announced. */
-  isNeeded(task: JobTask): boolean {
+  needsRecord(task: JobTask): boolean {
     return task.announced !== undefined || crashesOf(task).isSuspect;
   }
 
@@ -39,9 +39,9 @@
    * @param tasks one task, or all of a gang that wait
    * @returns undefined while the store does not keep it; a pass is asked for then
    */
-  runFor(tasks: readonly JobTask[]): RunNumber | undefined {
-    if (!tasks.some((task) => this.isNeeded(task))) {
-      return this.options.nextRun();
+  recordedRunFor(tasks: readonly JobTask[]): RunNumber | undefined {
+    if (!tasks.some((task) => this.needsRecord(task))) {
+      return this.options.nextRunNumber();
     }
     const [first] = tasks;
     const announcement = first && this.open.get(first);
@@ -56,12 +56,16 @@
   }
 
   /** The run is being ordered: the task's next one needs an announcement of its own. */
-  noteOrdered(task: JobTask): void {
+  markOrdered(task: JobTask): void {
     this.open.delete(task);
   }
 
   private announce(tasks: readonly JobTask[]): void {
-    const { journal, nextRun, settleFormer } = this.options;
+    const {
+      journal,
+      nextRunNumber: nextRun,
+      resolvePreviousRun: settleFormer,
+    } = this.options;
     for (const task of tasks) if (!this.open.has(task)) settleFormer(task);
     if (tasks.some(({ step }) => step.job.isEnded)) return;
     this.forgetEnded();
@@ -86,7 +90,7 @@
 
   private noteKept(announcement: Announcement): void {
     announcement.isKept = true;
-    this.options.onKept();
+    this.options.onRecorded();
   }
 
   /** Another leader has taken over: this one starts nothing more. */
--- a/packages/scheduling/src/EstimateBook.ts
+++ b/packages/scheduling/src/RuntimeEstimator.ts
@@ -15,7 +15,7 @@
   maxFactor: 8,
 } as const;
 
-export class EstimateBook {
+export class RuntimeEstimator {
   /** Mean natural logarithm of (time taken / estimate), by queue. */
   private readonly corrections = new Map<QueueKey, number>();
 
@@ -31,7 +31,7 @@
   constructor(private readonly corrects: boolean) {}
 
   /** @param tookMs run time of one task that ended done */
-  note(step: StepRun, tookMs: number): void {
+  recordRunTime(step: StepRun, tookMs: number): void {
     if (!this.corrects || tookMs <= 0) return;
     this.noteSeen(step, tookMs);
     if (step.spec.estimateMs <= 0) return;
--- a/packages/scheduling/src/PassTimer.ts
+++ b/packages/scheduling/src/SchedulingCycleTimer.ts
@@ -3,24 +3,24 @@
 import type { Clock, Logger, Monotonic } from "@rackspan/common";
 import { ENGINE } from "./engineTypes.js";
 
-export interface PassTimerOptions {
+export interface SchedulingCycleTimerOptions {
   readonly clock: Clock;
   readonly logger: Logger;
-  readonly pass: () => void;
+  readonly runCycle: () => void;
 }
 
-export class PassTimer {
+export class SchedulingCycleTimer {
   /** When the pass that is due was asked for; undefined when none is. */
   private dueSince: Monotonic | undefined;
 
-  constructor(private readonly options: PassTimerOptions) {}
+  constructor(private readonly options: SchedulingCycleTimerOptions) {}
 
   /** Makes a pass soon; many requests make one pass. Never makes it at once. */
   request(): void {
     if (this.dueSince !== undefined) return;
     const { clock } = this.options;
     this.dueSince = clock.monotonic();
-    clock.after(ENGINE.passFloorMs, () => this.passIfDue());
+    clock.after(ENGINE.minCycleIntervalMs, () => this.passIfDue());
   }
 
   /**
@@ -29,11 +29,11 @@
    * the books: a pass in the middle of a report could start a task past its attempts,
    * or beside a run that the report lists.
    */
-  passIfOverdue(): void {
+  runIfOverdue(): void {
     if (this.dueSince === undefined) return;
     const { clock, logger } = this.options;
     const overdueMs = clock.monotonic() - this.dueSince;
-    if (overdueMs < ENGINE.passOverdueMs) return;
+    if (overdueMs < ENGINE.cycleOverdueMs) return;
     logger.warn("dispatch.overdue", { overdueMs: Math.round(overdueMs) });
     this.passIfDue();
   }
@@ -41,6 +41,6 @@
   private passIfDue(): void {
     if (this.dueSince === undefined) return;
     this.dueSince = undefined;
-    this.options.pass();
+    this.options.runCycle();
   }
 }
--- a/packages/scheduling/src/StepPermits.ts
+++ b/packages/scheduling/src/StepPermits.ts
@@ -13,7 +13,7 @@
 
 export class StepPermits {
   /** Whether a request is queued or on its way. */
-  asking = false;
+  isRequesting = false;
   /** Not asked again before. */
   pausedUntil: Monotonic = -Infinity;
   private readonly tickets = new Map<WorkerInstance, Ticket>();
@@ -28,12 +28,12 @@
   }
 
   /** Whether the service may yet give a ticket that is not at hand. */
-  lacks(instance: WorkerInstance, now: Monotonic): boolean {
+  needsTicket(instance: WorkerInstance, now: Monotonic): boolean {
     if (this.refused.has(instance)) return false;
     return this.ticketFor(instance, now) === undefined;
   }
 
-  forget(instance: WorkerInstance): void {
+  discardTicket(instance: WorkerInstance): void {
     this.tickets.delete(instance);
   }
 
@@ -42,7 +42,7 @@
    *
    * @param askedAt tickets count from then: they cannot be valid for longer
    */
-  take(
+  applyAnswer(
     asked: readonly WorkerInstance[],
     { permits, validMs }: PermitAnswer,
     askedAt: Monotonic,
--- a/packages/scheduling/src/TailForecast.ts
+++ b/packages/scheduling/src/TailForecast.ts
@@ -28,7 +28,7 @@
   }
 
   /** By how much the tail of a serving task placed there would pass the limit. */
-  excess(host: HostLedger, image: ImageName): number {
+  excessOverLimit(host: HostLedger, image: ImageName): number {
     const tail = this.interference.predict(image, host.fillingCores);
     return Math.max(0, tail - this.limit);
   }
@@ -38,7 +38,7 @@
    *
    * @returns undefined when a tail would pass the limit
    */
-  mostAdded(
+  maxAddedTail(
     host: HostLedger,
     filling: ImageName,
     cores: number,
@@ -59,7 +59,11 @@
    * The share of full pace at which a filling task of so many cores may begin
    * there without taking a tail past the limit.
    */
-  firstShare(host: HostLedger, filling: ImageName, cores: number): number {
+  initialPaceShare(
+    host: HostLedger,
+    filling: ImageName,
+    cores: number,
+  ): number {
     if (!this.policy.startsSlowly) return 1;
     let share = 1;
     for (const serving of host.servingImages) {
--- a/packages/scheduling/src/WaitWatch.ts
+++ b/packages/scheduling/src/WaitMonitor.ts
@@ -6,7 +6,7 @@
 import type { HostId, Monotonic } from "@rackspan/common";
 import type { JobTask, StepRun } from "@rackspan/jobs";
 import type { EngineParts } from "./engineParts.js";
-import type { LiveJob } from "./engineTypes.js";
+import type { TrackedJob } from "./engineTypes.js";
 import { explainWait } from "./explainWait.js";
 
 const WAIT = {
@@ -34,20 +34,20 @@
 
 /** The task of a step that is to be placed next. */
 interface NextTask {
-  readonly live: LiveJob;
+  readonly live: TrackedJob;
   readonly task: JobTask;
   readonly since: Monotonic;
   toldAt: Monotonic;
 }
 
-export class WaitWatch {
+export class WaitMonitor {
   private readonly next = new Map<StepRun, NextTask>();
   private lookedAt: Monotonic = -Infinity;
 
   constructor(private readonly parts: EngineParts) {}
 
   /** Called at each tick of the engine. */
-  look(): void {
+  check(): void {
     const { clock } = this.parts.options;
     const now = clock.monotonic();
     if (now - this.lookedAt < WAIT.lookEveryMs) return;
--- a/packages/scheduling/src/bestFitPlacer.ts
+++ b/packages/scheduling/src/bestFitPlacer.ts
@@ -2,11 +2,16 @@
 
 import type { HostView, Placer } from "@rackspan/jobs";
 import type { Unit } from "@rackspan/state";
-import { freeShare, hostsWithRoom, placers, sortByScore } from "./placers.js";
+import {
+  freeShare,
+  hostsWithCapacity,
+  placers,
+  sortByScore,
+} from "./placers.js";
 
 export class BestFitPlacer implements Placer {
   rank(unit: Unit, hosts: readonly HostView[]): readonly HostView[] {
-    return sortByScore(hostsWithRoom(unit, hosts), freeShare);
+    return sortByScore(hostsWithCapacity(unit, hosts), freeShare);
   }
 }
 
--- a/packages/scheduling/src/bySlackOrder.ts
+++ b/packages/scheduling/src/bySlackOrder.ts
@@ -7,8 +7,8 @@
 
 import type { Instant } from "@rackspan/common";
 import type { JobRun } from "@rackspan/jobs";
-import type { EstimateBook } from "./EstimateBook.js";
-import { hopeOf } from "./jobHope.js";
+import type { RuntimeEstimator } from "./RuntimeEstimator.js";
+import { deadlineFeasibilityOf } from "./deadlineFeasibility.js";
 import {
   sortByKeys,
   stepOrders,
@@ -18,7 +18,7 @@
 } from "./stepOrders.js";
 
 export class BySlackOrder implements StepOrder {
-  private readonly estimates: EstimateBook;
+  private readonly estimates: RuntimeEstimator;
 
   constructor({ estimates }: StepOrderOptions) {
     this.estimates = estimates;
@@ -32,7 +32,7 @@
     return sortByKeys(candidates, (candidate) => [
       candidate.job.terms.priority,
       candidate.step.spec.lasting ? 0 : 1,
-      hopeOf(candidate, this.estimates, now),
+      deadlineFeasibilityOf(candidate, this.estimates, now),
       work.get(candidate.job) ?? 0,
       candidate.step.number,
     ]);
--- a/packages/scheduling/src/byWorthOrder.ts
+++ b/packages/scheduling/src/byUtilityOrder.ts
@@ -10,8 +10,11 @@
 import type { Instant } from "@rackspan/common";
 import type { JobRun } from "@rackspan/jobs";
 import type { QueueKey } from "@rackspan/state";
-import type { EstimateBook } from "./EstimateBook.js";
-import { Hope, hopeOf } from "./jobHope.js";
+import type { RuntimeEstimator } from "./RuntimeEstimator.js";
+import {
+  DeadlineFeasibility,
+  deadlineFeasibilityOf,
+} from "./deadlineFeasibility.js";
 import {
   sortByKeys,
   stepOrders,
@@ -30,10 +33,10 @@
 } as const;
 
 /** Worth of an end by when it can be, where 1 is an end in time. */
-const WORTH_OF_HOPE: Readonly<Record<Hope, number>> = {
-  [Hope.InTime]: 1,
-  [Hope.Late]: 0.15,
-  [Hope.Lost]: 0,
+const WORTH_OF_HOPE: Readonly<Record<DeadlineFeasibility, number>> = {
+  [DeadlineFeasibility.InTime]: 1,
+  [DeadlineFeasibility.Late]: 0.15,
+  [DeadlineFeasibility.TooLate]: 0,
 };
 
 /** Estimates of nothing are taken as this much, core-milliseconds. */
@@ -45,8 +48,8 @@
   total: number;
 }
 
-export class ByWorthOrder implements StepOrder {
-  private readonly estimates: EstimateBook;
+export class ByUtilityOrder implements StepOrder {
+  private readonly estimates: RuntimeEstimator;
   private readonly means = new Map<QueueKey, MeanWork>();
   private readonly seen = new WeakSet<JobRun>();
 
@@ -70,7 +73,7 @@
   }
 
   private hopeWorth(candidate: Candidate, now: Instant): number {
-    return WORTH_OF_HOPE[hopeOf(candidate, this.estimates, now)];
+    return WORTH_OF_HOPE[deadlineFeasibilityOf(candidate, this.estimates, now)];
   }
 
   private noteWork(job: JobRun): void {
@@ -96,5 +99,5 @@
 
 stepOrders.register({
   name: "byWorth",
-  create: (options) => new ByWorthOrder(options),
+  create: (options) => new ByUtilityOrder(options),
 });
--- a/packages/scheduling/src/chooseGangHosts.ts
+++ b/packages/scheduling/src/chooseGangHosts.ts
@@ -2,7 +2,7 @@
 
 import { groupBy } from "@rackspan/common";
 import type { HostLedger, JobTask, StepRun } from "@rackspan/jobs";
-import { fitsInto, roomLeft } from "./taskPlacers.js";
+import { fitsInto, freeCapacityOf } from "./taskPlacers.js";
 
 /** @returns undefined when the hosts do not have room for every task */
 export const chooseGangHosts = (
@@ -25,7 +25,7 @@
   hosts: readonly HostLedger[],
 ): Map<JobTask, HostLedger> | undefined => {
   const left = new Map(
-    hosts.map((host) => [host, { ...roomLeft(host), ofStep: 0 }]),
+    hosts.map((host) => [host, { ...freeCapacityOf(host), ofStep: 0 }]),
   );
   const chosen = new Map<JobTask, HostLedger>();
   for (const task of tasks) {
--- a/packages/scheduling/src/colocatingTaskPlacer.ts
+++ b/packages/scheduling/src/colocatingTaskPlacer.ts
@@ -96,7 +96,7 @@
     const { worker, room } = host;
     const packed = room.servingMilliCores / worker.milliCores;
     const bonus = host.servesOnly(image) ? COLOCATION.sameImageBonus : 0;
-    const excess = this.forecast.excess(host, image);
+    const excess = this.forecast.excessOverLimit(host, image);
     if (!this.policy.packsServing) return -packed - excess;
     return COLOCATION.packedBonus * packed + bonus - excess;
   }
@@ -121,7 +121,7 @@
     const left = fillableMilliCores(host) / host.worker.milliCores;
     if (host.room.servingMilliCores === 0) return left;
     const cores = demand.milliCores / MILLI_CORES_PER_CORE;
-    const added = this.forecast.mostAdded(host, image, cores);
+    const added = this.forecast.maxAddedTail(host, image, cores);
     if (added === undefined) {
       return mustPlace ? left - COLOCATION.disturbedPenalty : -Infinity;
     }
--- a/packages/scheduling/src/engineParts.ts
+++ b/packages/scheduling/src/engineParts.ts
@@ -2,20 +2,20 @@
 
 import type { OutlierEjector } from "@rackspan/routing";
 import type { EngineOptions } from "./engineTypes.js";
-import type { EstimateBook } from "./EstimateBook.js";
-import type { HostBook } from "./HostBook.js";
-import type { JobBook } from "./JobBook.js";
-import type { RunControl } from "./RunControl.js";
-import type { StopControl } from "./StopControl.js";
+import type { RuntimeEstimator } from "./RuntimeEstimator.js";
+import type { HostRegistry } from "./HostRegistry.js";
+import type { JobRegistry } from "./JobRegistry.js";
+import type { RunStarter } from "./RunStarter.js";
+import type { RunStopper } from "./RunStopper.js";
 
 export interface EngineParts {
   readonly options: EngineOptions;
-  readonly jobs: JobBook;
-  readonly hosts: HostBook;
-  readonly runs: RunControl;
-  readonly stops: StopControl;
-  readonly estimates: EstimateBook;
+  readonly jobs: JobRegistry;
+  readonly hosts: HostRegistry;
+  readonly runs: RunStarter;
+  readonly stops: RunStopper;
+  readonly estimates: RuntimeEstimator;
   readonly ejector: OutlierEjector;
   /** Has the waiting work looked at soon. */
-  readonly requestPass: () => void;
+  readonly requestCycle: () => void;
 }
--- a/packages/scheduling/src/engineTypes.ts
+++ b/packages/scheduling/src/engineTypes.ts
@@ -32,19 +32,19 @@
   /** Sides report each 0.5 s; a host not heard for this long has missed a report. */
   missedReportMs: 700,
   /** Least time between two passes over the waiting work. */
-  passFloorMs: 8,
+  minCycleIntervalMs: 8,
   /** A pass that was due this long ago is made at once, and logged. */
-  passOverdueMs: 400,
+  cycleOverdueMs: 400,
   /** A timer that is later than this is logged, milliseconds. */
   lateTimerMs: 100,
   /** A job with nothing running for this long gets one task started, whatever it disturbs. */
   starvedMs: 1_500,
   /** A lasting task that found no place for this long may take what is kept for plain ones. */
-  lastingPatienceMs: 2_000,
+  lastingGraceMs: 2_000,
   /** How often timers of the engine are looked at, at least. */
   tickMs: 250,
   /** Timers may fire this much before they are due, milliseconds. */
-  timerGrainMs: 1,
+  timerResolutionMs: 1,
   /** Runs of one leader; run numbers of a later one are all higher. */
   runsPerEpoch: 2 ** 20,
   /** A step whose ticket was refused is tried again after this. */
@@ -69,15 +69,15 @@
  */
 export interface HostRoster {
   /** Resolves once the store keeps that life of the host's worker, and no other. */
-  keep(host: HostId, instance: WorkerInstance): Promise<void>;
+  persist(host: HostId, instance: WorkerInstance): Promise<void>;
   remove(host: HostId): void;
   /**
    * Settles once the store keeps the host's last removal, at once where there was none.
    * @returns false when another leads by then
    */
-  removed(host: HostId): Promise<boolean>;
+  removalPersisted(host: HostId): Promise<boolean>;
   /** The life that the store keeps; undefined when it keeps none, or not which. */
-  instanceOf(host: HostId): WorkerInstance | undefined;
+  recordedInstance(host: HostId): WorkerInstance | undefined;
 }
 
 export interface EngineOptions {
@@ -107,7 +107,7 @@
    */
   readonly isEvacuated: (zone: AvailabilityZone) => boolean;
   /** Keeps what was learnt for the next leader. */
-  readonly keepLearnt: (record: LearntRecord) => void;
+  readonly persistLearned: (record: LearntRecord) => void;
   /** Undefined where the platform has no such service. */
   readonly permits: PermitService | undefined;
 }
@@ -117,16 +117,16 @@
   readonly ledger: HostLedger;
   session: HostSession | undefined;
   /** Settles once all ends that were taken note of so far are kept. */
-  keeping: Promise<void>;
+  endsRecorded: Promise<void>;
   /** Whether the store keeps this life of the worker in the roster. */
   rostered: boolean;
 }
 
-export interface LiveJob {
+export interface TrackedJob {
   readonly job: JobRun;
   readonly firstSeenAt: Monotonic;
   /** When a pass last saw a run of the job. */
-  busyAt: Monotonic;
+  lastRunSeenAt: Monotonic;
 }
 
 export interface PlacedRun {
--- a/packages/scheduling/src/explainWait.ts
+++ b/packages/scheduling/src/explainWait.ts
@@ -2,8 +2,8 @@
 
 import { crashesOf, type HostLedger, type StepRun } from "@rackspan/jobs";
 import type { HostEntry } from "./engineTypes.js";
-import { isOverdueLasting } from "./HeldBackHosts.js";
-import { fitsInto, isAllowedOn, roomLeft } from "./taskPlacers.js";
+import { isOverdueLasting } from "./CycleHostFilter.js";
+import { fitsInto, isAllowedOn, freeCapacityOf } from "./taskPlacers.js";
 import {
   closedReason,
   NO_HOSTS,
@@ -37,7 +37,7 @@
   Partial<Record<ClosedReason | RefusalRule | "other-service", number>>
 >;
 
-export interface Wait {
+export interface WaitExplanation {
   readonly cause: WaitCause;
   readonly hosts: HostCounts;
 }
@@ -51,7 +51,7 @@
   readonly entries: readonly HostEntry[];
 }
 
-export const explainWait = (waiting: WaitingStep): Wait => {
+export const explainWait = (waiting: WaitingStep): WaitExplanation => {
   const { step, service, now } = waiting;
   const { ejected } = usableHosts(waiting).get(service) ?? NO_HOSTS;
   const passedOver = new Set(isOverdueLasting(step, now) ? [] : ejected);
@@ -91,5 +91,5 @@
   const [task] = step.waiting;
   if (!task) return "placer";
   if (!isAllowedOn(task, ledger)) return "label-or-limit";
-  return fitsInto(task, roomLeft(ledger)) ? "placer" : "room";
+  return fitsInto(task, freeCapacityOf(ledger)) ? "placer" : "room";
 };
--- a/packages/scheduling/src/firstFitPlacer.ts
+++ b/packages/scheduling/src/firstFitPlacer.ts
@@ -2,11 +2,11 @@
 
 import type { HostView, Placer } from "@rackspan/jobs";
 import type { Unit } from "@rackspan/state";
-import { hostsWithRoom, placers } from "./placers.js";
+import { hostsWithCapacity, placers } from "./placers.js";
 
 export class FirstFitPlacer implements Placer {
   rank(unit: Unit, hosts: readonly HostView[]): readonly HostView[] {
-    return [...hostsWithRoom(unit, hosts)].sort((a, b) =>
+    return [...hostsWithCapacity(unit, hosts)].sort((a, b) =>
       a.host < b.host ? -1 : 1,
     );
   }
--- a/packages/scheduling/src/index.ts
+++ b/packages/scheduling/src/index.ts
@@ -2,13 +2,13 @@
 import "./bestFitPlacer.js";
 import "./byAgeOrder.js";
 import "./bySlackOrder.js";
-import "./byWorthOrder.js";
+import "./byUtilityOrder.js";
 import "./colocatingTaskPlacer.js";
 import "./firstFitPlacer.js";
 import "./leastLoadedPlacer.js";
 import "./spreadPlacer.js";
 
-export { EstimateBook } from "./EstimateBook.js";
+export { RuntimeEstimator } from "./RuntimeEstimator.js";
 export { ENGINE, type EngineOptions, type HostRoster } from "./engineTypes.js";
 export type { StopTaskCall } from "@rackspan/protocol";
 export type { HostSession } from "./HostSession.js";
--- a/packages/scheduling/src/learnInterference.ts
+++ b/packages/scheduling/src/learnInterference.ts
@@ -66,7 +66,7 @@
 };
 
 /** What is known of the images that run there now. */
-export const disturbancesOn = (
+export const disturbancesFor = (
   ledger: HostLedger,
   book: InterferenceBook,
 ): Disturbance[] => {
--- a/packages/scheduling/src/leastLoadedPlacer.ts
+++ b/packages/scheduling/src/leastLoadedPlacer.ts
@@ -2,11 +2,19 @@
 
 import type { HostView, Placer } from "@rackspan/jobs";
 import type { Unit } from "@rackspan/state";
-import { freeShare, hostsWithRoom, placers, sortByScore } from "./placers.js";
+import {
+  freeShare,
+  hostsWithCapacity,
+  placers,
+  sortByScore,
+} from "./placers.js";
 
 export class LeastLoadedPlacer implements Placer {
   rank(unit: Unit, hosts: readonly HostView[]): readonly HostView[] {
-    return sortByScore(hostsWithRoom(unit, hosts), (host) => -freeShare(host));
+    return sortByScore(
+      hostsWithCapacity(unit, hosts),
+      (host) => -freeShare(host),
+    );
   }
 }
 
--- a/packages/scheduling/src/pickApart.ts
+++ b/packages/scheduling/src/pickIsolatedHost.ts
@@ -12,7 +12,7 @@
  *
  * @param open hosts of the service that take new tasks
  */
-export const mayHoldApart = (
+export const mayIsolate = (
   open: readonly HostLedger[],
   all: Iterable<HostEntry>,
   hasWaitedLong: boolean,
@@ -27,7 +27,7 @@
   return hasWaitedLong ? open.length > 1 : held.length < open.length;
 };
 
-export interface PickApartOptions {
+export interface IsolatedHostOptions {
   readonly task: JobTask;
   /** Hosts that take new tasks; those without room are among them. */
   readonly open: readonly HostLedger[];
@@ -40,12 +40,12 @@
  * The allowed host where the fewest runs have just begun, then where the fewest
  * are: its crash can be told from theirs, and takes the fewest along.
  */
-export const pickApart = ({
+export const pickIsolatedHost = ({
   task,
   open,
   placer,
   mustPlace,
-}: PickApartOptions): HostLedger | undefined => {
+}: IsolatedHostOptions): HostLedger | undefined => {
   const ranked = open
     .map((host) => ({ host, young: youngRuns(host), runs: host.runs.size }))
     .sort((a, b) => a.young - b.young || a.runs - b.runs);
--- a/packages/scheduling/src/placers.ts
+++ b/packages/scheduling/src/placers.ts
@@ -11,7 +11,7 @@
 export const placers = new Registry<PlacerOptions, Placer>("placer");
 
 /** Hosts that take new work and have room for the unit by what is known here. */
-export const hostsWithRoom = (
+export const hostsWithCapacity = (
   { spec }: Unit,
   hosts: readonly HostView[],
 ): readonly HostView[] =>
--- a/packages/scheduling/src/slowHosts.ts
+++ b/packages/scheduling/src/slowHosts.ts
@@ -7,21 +7,21 @@
 import { natureOf, type ActiveRun, type HostLedger } from "@rackspan/jobs";
 import type { Monotonic } from "@rackspan/common";
 import type { HostEntry } from "./engineTypes.js";
-import type { HostBook } from "./HostBook.js";
+import type { HostRegistry } from "./HostRegistry.js";
 
 export const SLOWNESS = {
   /** Run time before which progress says too little, milliseconds. */
-  leastRunMs: 400,
+  minRunMs: 400,
   /** Tasks of the step on other hosts that a reading needs. */
-  leastSiblings: 2,
+  minSiblings: 2,
   /** Weight of one reading in the moving mean. */
   weight: 0.15,
   /** A single reading counts as at most this, either way. */
   maxReading: 2.5,
   /** From here on a host is slow (2.7 times as long as expected). */
-  slowFrom: 1,
+  slowThreshold: 1,
   /** Another host is worth moving to when its slowness is lower by this. */
-  clearlyFaster: 0.7,
+  minAdvantage: 0.7,
   /** A task is moved off a slow host when a fresh run elsewhere is this much shorter. */
   moveGain: 1.5,
   /** Points a unit of slowness by which a host comes later. */
@@ -34,7 +34,7 @@
   if (natureOf(run.task).kind !== "plain") return false;
   // A run that goes on from a checkpoint shows progress of earlier runs.
   if (run.task.checkpoint !== "") return false;
-  return now - run.startedAt >= SLOWNESS.leastRunMs;
+  return now - run.startedAt >= SLOWNESS.minRunMs;
 };
 
 /** Run time of the whole task at the pace that its progress shows. */
@@ -45,22 +45,22 @@
 const siblingMs = (
   run: ActiveRun,
   host: HostEntry,
-  hosts: HostBook,
+  hosts: HostRegistry,
   now: Monotonic,
 ): number | undefined => {
   const siblings = hosts
-    .runsOf(run.task.step.tasks)
+    .placedRunsOf(run.task.step.tasks)
     .filter((other) => other.host !== host && isMeasured(other.run, now))
     .map((other) => projectedMs(other.run, now))
     .sort((a, b) => a - b);
-  if (siblings.length < SLOWNESS.leastSiblings) return undefined;
+  if (siblings.length < SLOWNESS.minSiblings) return undefined;
   return siblings[Math.floor(siblings.length / 2)];
 };
 
 /** Reads the host's runs as the last report left them. */
-export const learnSlowness = (
+export const updateSlowness = (
   host: HostEntry,
-  hosts: HostBook,
+  hosts: HostRegistry,
   now: Monotonic,
 ): void => {
   const { ledger } = host;
@@ -84,11 +84,11 @@
 /** Runs of a slow host that would end sooner if they began anew elsewhere. */
 export const runsToMove = (
   host: HostEntry,
-  hosts: HostBook,
+  hosts: HostRegistry,
   now: Monotonic,
 ): ActiveRun[] => {
   const { ledger } = host;
-  if (ledger.slowness < SLOWNESS.slowFrom) return [];
+  if (ledger.slowness < SLOWNESS.slowThreshold) return [];
   return [...ledger.runs.values()].filter((run) => {
     if (!isMeasured(run, now)) return false;
     if (run.task.avoid.includes(ledger.host)) return false;
--- a/packages/scheduling/src/spreadPlacer.ts
+++ b/packages/scheduling/src/spreadPlacer.ts
@@ -5,7 +5,12 @@
 
 import type { HostView, Placer } from "@rackspan/jobs";
 import { familyOf, type Unit } from "@rackspan/state";
-import { freeShare, hostsWithRoom, placers, sortByScore } from "./placers.js";
+import {
+  freeShare,
+  hostsWithCapacity,
+  placers,
+  sortByScore,
+} from "./placers.js";
 
 const ZONE_WEIGHT = 1;
 const RACK_WEIGHT = 10;
@@ -45,7 +50,7 @@
 
 export class SpreadPlacer implements Placer {
   rank(unit: Unit, hosts: readonly HostView[]): readonly HostView[] {
-    const fitting = hostsWithRoom(unit, hosts);
+    const fitting = hostsWithCapacity(unit, hosts);
     if (unit.spec.kind === "job") {
       return sortByScore(fitting, (host) => -freeShare(host));
     }
--- a/packages/scheduling/src/stepOrders.ts
+++ b/packages/scheduling/src/stepOrders.ts
@@ -2,7 +2,7 @@
 
 import { Registry, type Instant } from "@rackspan/common";
 import type { JobRun, StepRun } from "@rackspan/jobs";
-import type { EstimateBook } from "./EstimateBook.js";
+import type { RuntimeEstimator } from "./RuntimeEstimator.js";
 
 /** A step with tasks to start, and what its place in the order may rest on. */
 export interface Candidate {
@@ -18,7 +18,7 @@
 }
 
 export interface StepOrderOptions {
-  readonly estimates: EstimateBook;
+  readonly estimates: RuntimeEstimator;
 }
 
 export const stepOrders = new Registry<StepOrderOptions, StepOrder>(
--- a/packages/scheduling/src/taskPlacers.ts
+++ b/packages/scheduling/src/taskPlacers.ts
@@ -33,13 +33,13 @@
   worker.milliCores - room.plainMilliCores - room.servingMilliCores;
 
 /** What reservations leave of a host; below 0 where it has less than it had. */
-export interface RoomLeft {
+export interface FreeCapacity {
   readonly milliCores: number;
   readonly memoryMiB: number;
   readonly accelerators: number;
 }
 
-export const roomLeft = (host: HostLedger): RoomLeft => {
+export const freeCapacityOf = (host: HostLedger): FreeCapacity => {
   const { worker, room } = host;
   return {
     milliCores: unreservedMilliCores(host),
@@ -49,7 +49,7 @@
 };
 
 /** Whether a worker with this room would take the task by its own rules. */
-export const fitsInto = (task: JobTask, left: RoomLeft): boolean => {
+export const fitsInto = (task: JobTask, left: FreeCapacity): boolean => {
   const { demand, filling } = task.step.spec;
   if (demand.memoryMiB > left.memoryMiB) return false;
   if (demand.accelerators > left.accelerators) return false;
@@ -72,7 +72,8 @@
   let best: HostLedger | undefined;
   let bestScore = -Infinity;
   for (const host of hosts) {
-    if (!isAllowedOn(task, host) || !fitsInto(task, roomLeft(host))) continue;
+    if (!isAllowedOn(task, host) || !fitsInto(task, freeCapacityOf(host)))
+      continue;
     const value = score(host);
     if (value <= bestScore) continue;
     best = host;
--- a/packages/scheduling/src/usableHosts.ts
+++ b/packages/scheduling/src/usableHosts.ts
@@ -10,7 +10,7 @@
 import { ENGINE, type HostEntry } from "./engineTypes.js";
 
 /** What the rules go by besides the host itself. */
-export interface RuleContext {
+export interface HostRuleContext {
   readonly now: Monotonic;
   /** See EngineOptions. */
   readonly isEvacuated: (zone: AvailabilityZone) => boolean;
@@ -18,7 +18,7 @@
 
 interface HostRule {
   readonly reason: string;
-  readonly closes: (entry: HostEntry, context: RuleContext) => boolean;
+  readonly closes: (entry: HostEntry, context: HostRuleContext) => boolean;
 }
 
 /** Any of them closes a host to all new tasks; the first that does is the reason told. */
@@ -53,11 +53,11 @@
 /** @returns undefined for a host that takes tasks */
 export const closedReason = (
   entry: HostEntry,
-  context: RuleContext,
+  context: HostRuleContext,
 ): ClosedReason | undefined =>
   HOST_RULES.find(({ closes }) => closes(entry, context))?.reason;
 
-export interface UsableHostsOptions extends RuleContext {
+export interface UsableHostsOptions extends HostRuleContext {
   readonly entries: Iterable<HostEntry>;
   readonly ejector: OutlierEjector;
 }
--- a/packages/scheduling/tests/byWorthOrder.test.ts
+++ b/packages/scheduling/tests/byWorthOrder.test.ts
@@ -5,7 +5,11 @@
 import { JobRun } from "@rackspan/jobs";
 import type { JobTerms, StepSpec } from "@rackspan/state";
 import { plainJob } from "@rackspan/standins";
-import { EstimateBook, stepOrders, type Candidate } from "@rackspan/scheduling";
+import {
+  RuntimeEstimator,
+  stepOrders,
+  type Candidate,
+} from "@rackspan/scheduling";
 
 const NOW = 1_000_000;
 const demand = { milliCores: 1_000, memoryMiB: 100, accelerators: 0 };
@@ -32,7 +36,7 @@
 };
 
 const orderOf = (candidates: readonly Candidate[]): string[] => {
-  const estimates = new EstimateBook(true);
+  const estimates = new RuntimeEstimator(true);
   const order = stepOrders.create("byWorth", { estimates });
   return order.sort(candidates, NOW).map(({ job }) => String(job.id));
 };
--- a/packages/scheduling/tests/crashingTasks.test.ts
+++ b/packages/scheduling/tests/crashingTasks.test.ts
@@ -236,7 +236,7 @@
   for (const host of site.hosts) {
     host.draining = true;
     site.reportOf(host);
-    site.engine.noteWorkerGone(host.host, host.instance);
+    site.engine.handleWorkerGone(host.host, host.instance);
   }
   await site.run(200, []);
   expect(progressOf(site, JOB)?.crashes ?? []).toEqual([]);
--- a/packages/scheduling/tests/doubtfulCrashes.test.ts
+++ b/packages/scheduling/tests/doubtfulCrashes.test.ts
@@ -163,7 +163,7 @@
   const { instance } = host;
   await loseEnd(site);
   const { unheardEnds } = host;
-  void site.engine.noteWorkerGone(host.host, instance, [], unheardEnds);
+  void site.engine.handleWorkerGone(host.host, instance, [], unheardEnds);
   await site.run(100, []);
   expect(evidenceOf(site)).toEqual([]);
 });
--- a/packages/scheduling/tests/earlierRuns.test.ts
+++ b/packages/scheduling/tests/earlierRuns.test.ts
@@ -23,7 +23,7 @@
   expect(second.isRunning(TASK)).toEqual(true);
   second.save(TASK, "newer");
   await site.run(200, [second]);
-  site.engine.report(first.host, ZONE, {
+  site.engine.handleReport(first.host, ZONE, {
     ...first.report(),
     running: [],
     ended: [
--- a/packages/scheduling/tests/engineHarness.ts
+++ b/packages/scheduling/tests/engineHarness.ts
@@ -338,7 +338,7 @@
     this.hosts = new Map(former.map((host) => [host, firstLifeOf(host)]));
   }
 
-  async keep(host: HostId, instance: WorkerInstance): Promise<void> {
+  async persist(host: HostId, instance: WorkerInstance): Promise<void> {
     if (!this.isKept) return new Promise(() => undefined);
     this.hosts.set(host, instance);
   }
@@ -347,11 +347,11 @@
     this.hosts.delete(host);
   }
 
-  async removed(): Promise<boolean> {
+  async removalPersisted(): Promise<boolean> {
     return this.isKept;
   }
 
-  instanceOf(host: HostId): WorkerInstance | undefined {
+  recordedInstance(host: HostId): WorkerInstance | undefined {
     return this.hosts.get(host);
   }
 }
@@ -435,7 +435,7 @@
       mayDecide: () => this.leads,
       queueOf: () => this.queue,
       isEvacuated: (zone) => this.evacuated.has(zone),
-      keepLearnt: (record) => this.learnt.push(record),
+      persistLearned: (record) => this.learnt.push(record),
       permits: options.permits,
     });
     this.engine.start();
@@ -456,7 +456,7 @@
 
   reportOf(host: FakeHost): Grant {
     const report = host.reportTo(this.epoch);
-    const grant = this.engine.report(host.host, host.zone, report);
+    const grant = this.engine.handleReport(host.host, host.zone, report);
     host.noteTold(report);
     return grant;
   }
--- a/packages/scheduling/tests/estimateBook.test.ts
+++ b/packages/scheduling/tests/estimateBook.test.ts
@@ -3,7 +3,7 @@
 import { test } from "node:test";
 import { expect } from "earl";
 import { JobRun, type StepRun } from "@rackspan/jobs";
-import { EstimateBook } from "@rackspan/scheduling";
+import { RuntimeEstimator } from "@rackspan/scheduling";
 import { plainJob } from "@rackspan/standins";
 
 const stepOf = (id: string, estimateMs: number): StepRun => {
@@ -15,33 +15,33 @@
 };
 
 test("the tasks of a step are expected to take what those that are done took", () => {
-  const book = new EstimateBook(true);
+  const book = new RuntimeEstimator(true);
   const step = stepOf("a", 1_000);
   expect(book.taskMs(step)).toEqual(1_000);
-  book.note(step, 2_900);
-  book.note(step, 3_100);
+  book.recordRunTime(step, 2_900);
+  book.recordRunTime(step, 3_100);
   expect(book.taskMs(step)).toEqual(3_000);
   expect(book.remainingWork(step.job)).toEqual(book.totalWork(step.job));
 });
 
 test("a step of which nothing is done follows its queue a little", () => {
-  const book = new EstimateBook(true);
-  book.note(stepOf("a", 1_000), 3_000);
+  const book = new RuntimeEstimator(true);
+  book.recordRunTime(stepOf("a", 1_000), 3_000);
   const expectedMs = book.taskMs(stepOf("b", 1_000));
   expect(expectedMs).toBeGreaterThan(1_000);
   expect(expectedMs).toBeLessThan(1_200);
 });
 
 test("a step without an estimate is known once one of its tasks is done", () => {
-  const book = new EstimateBook(true);
+  const book = new RuntimeEstimator(true);
   const step = stepOf("a", 0);
-  book.note(step, 700);
+  book.recordRunTime(step, 700);
   expect(book.taskMs(step)).toEqual(700);
 });
 
 test("nothing that was seen changes an estimate where corrections are switched off", () => {
-  const book = new EstimateBook(false);
+  const book = new RuntimeEstimator(false);
   const step = stepOf("a", 1_000);
-  book.note(step, 3_000);
+  book.recordRunTime(step, 3_000);
   expect(book.taskMs(step)).toEqual(1_000);
 });
--- a/packages/scheduling/tests/evacuatedZones.test.ts
+++ b/packages/scheduling/tests/evacuatedZones.test.ts
@@ -56,7 +56,7 @@
   await site.run(8_000);
   expect(startsOn([...here, ...there])).toEqual(0);
   site.evacuated.delete(ZONE);
-  site.engine.noteOperator();
+  site.engine.handleOperatorChange();
   await site.run(200);
   expect(startsOn(here)).toEqual(2);
 });
--- a/packages/scheduling/tests/formerLives.test.ts
+++ b/packages/scheduling/tests/formerLives.test.ts
@@ -30,7 +30,7 @@
   expect(host.isRunning(TASK)).toEqual(true);
   const startCount = host.starts.length;
   const other = await harness.addHost("h2");
-  harness.engine.noteWorkerGone(host.host, former);
+  harness.engine.handleWorkerGone(host.host, former);
   await harness.run(500);
   expect(host.starts.length + other.starts.length).toEqual(startCount);
 });
--- a/packages/scheduling/tests/givenBackTwice.test.ts
+++ b/packages/scheduling/tests/givenBackTwice.test.ts
@@ -28,7 +28,7 @@
   harness.submit("j", [{}]);
   await harness.clock.advance(50);
   const next = await harness.addHost("h2");
-  harness.engine.noteWorkerGone(lost.host, lost.instance);
+  harness.engine.handleWorkerGone(lost.host, lost.instance);
   await harness.run(100, [next]);
   expect(next.isRunning(TASK)).toEqual(true);
   next.draining = true;
@@ -107,7 +107,7 @@
   harness.submit("j", [{}]);
   await harness.clock.advance(50);
   const others = [await harness.addHost("h2"), await harness.addHost("h3")];
-  harness.engine.noteWorkerGone(lost.host, lost.instance);
+  harness.engine.handleWorkerGone(lost.host, lost.instance);
   await harness.clock.advance(10);
   lost.answerHeld({ kind: "replaced" });
   await harness.clock.advance(10);
--- a/packages/scheduling/tests/goodbyes.test.ts
+++ b/packages/scheduling/tests/goodbyes.test.ts
@@ -7,13 +7,13 @@
 
 const goodbye = async (h: EngineHarness): Promise<boolean> => {
   const host = await h.addHost("host-1");
-  return h.engine.noteWorkerGone(host.host, host.instance);
+  return h.engine.handleWorkerGone(host.host, host.instance);
 };
 
 test("the end of a worker is noted once the store's roster names its host no more", async () => {
   const h = new EngineHarness();
   expect(await goodbye(h)).toEqual(true);
-  expect(h.roster.instanceOf(brand("host-1"))).toEqual(undefined);
+  expect(h.roster.recordedInstance(brand("host-1"))).toEqual(undefined);
 });
 
 test("the end of a worker is not noted by a leader whose writes the store refuses", async () => {
@@ -26,7 +26,7 @@
   const h = new EngineHarness();
   const host = await h.addHost("host-1");
   h.leads = false;
-  expect(await h.engine.noteWorkerGone(host.host, host.instance)).toEqual(
+  expect(await h.engine.handleWorkerGone(host.host, host.instance)).toEqual(
     false,
   );
 });
@@ -35,6 +35,6 @@
   const h = new EngineHarness();
   const host = await h.addHost("host-1");
   const former = brand<WorkerInstance>("host-1-before");
-  expect(await h.engine.noteWorkerGone(host.host, former)).toEqual(true);
-  expect(h.roster.instanceOf(host.host)).toEqual(host.instance);
+  expect(await h.engine.handleWorkerGone(host.host, former)).toEqual(true);
+  expect(h.roster.recordedInstance(host.host)).toEqual(host.instance);
 });
--- a/packages/scheduling/tests/jobEngine.test.ts
+++ b/packages/scheduling/tests/jobEngine.test.ts
@@ -43,7 +43,11 @@
   await harness.clock.advance(3_000);
   // The side has attached again, but its worker has been silent since.
   harness.engine.attach(host.host, host);
-  const grant = harness.engine.report(host.host, brand("obihiro-a"), stale);
+  const grant = harness.engine.handleReport(
+    host.host,
+    brand("obihiro-a"),
+    stale,
+  );
   expect(grant.leaseUntil).toEqual(undefined);
   harness.submit("second", [{}]);
   await harness.clock.advance(500);
@@ -297,7 +301,7 @@
   harness.submit("j", [{ lasting: true }]);
   await harness.run(100);
   const other = await harness.addHost("h2");
-  harness.engine.noteWorkerGone(leaving.host, leaving.instance);
+  harness.engine.handleWorkerGone(leaving.host, leaving.instance);
   await harness.run(100, [other]);
   expect(other.runningTasks.length).toEqual(1);
 });
@@ -536,7 +540,7 @@
   expect(record?.kind).toEqual("tail");
   before.leads = false;
   const after = new EngineHarness({ epoch: 2, clock: before.clock });
-  after.engine.restoreLearnt(before.learnt.slice(0, 1));
+  after.engine.restoreLearned(before.learnt.slice(0, 1));
   after.submit("s", [{ lasting: true, tailTargetMs: 10, image }]);
   after.submit("f", [{ filling: true, image: "render" as never }]);
   after.engine.attach(host.host, host);
--- a/packages/scheduling/tests/leaderLog.test.ts
+++ b/packages/scheduling/tests/leaderLog.test.ts
@@ -20,7 +20,7 @@
   host.answers = "held";
   harness.submit("j", [{}]);
   await harness.clock.advance(50);
-  harness.engine.noteWorkerGone(host.host, host.instance);
+  harness.engine.handleWorkerGone(host.host, host.instance);
   await harness.clock.advance(ANSWER_MS);
   host.answerHeld({ kind: "replaced" });
   await harness.clock.advance(1);
--- a/packages/scheduling/tests/leftWhileNobodyLed.test.ts
+++ b/packages/scheduling/tests/leftWhileNobodyLed.test.ts
@@ -21,7 +21,7 @@
   const next = new EngineHarness({ epoch: 2, roster, clock });
   next.engine.addJob(job, undefined);
   next.engine.attach(leaving.host, leaving);
-  next.engine.noteWorkerGone(leaving.host, leaving.instance);
+  next.engine.handleWorkerGone(leaving.host, leaving.instance);
   next.engine.attach(staying.host, staying);
   await next.run(SOON_MS, [staying]);
   expect(staying.starts.length).toEqual(1);
--- a/packages/scheduling/tests/neverBegunRuns.test.ts
+++ b/packages/scheduling/tests/neverBegunRuns.test.ts
@@ -256,7 +256,7 @@
   await site.run(300);
   expect(evidenceOf(site)).toEqual(["young", "unanswered"]);
   expect(stateOf(site)).toEqual("running");
-  site.engine.report(host.host, host.zone, {
+  site.engine.handleReport(host.host, host.zone, {
     ...host.report(),
     lostRuns: [],
     neverBegun: [{ task, run }],
@@ -269,7 +269,7 @@
   const { next, host } = await tellNextWhileOpen();
   const { task, run } = host.starts[0] ?? {};
   if (task === undefined || run === undefined) throw new Error("no order");
-  next.engine.noteWorkerSilent(host.host, undefined, [{ task, run }]);
+  next.engine.handleWorkerSilent(host.host, undefined, [{ task, run }]);
   await next.run(1_500, []);
   expect(stateOf(next)).toEqual("running");
 });
--- a/packages/scheduling/tests/oneRunProperty.test.ts
+++ b/packages/scheduling/tests/oneRunProperty.test.ts
@@ -332,8 +332,8 @@
       terms: TERMS,
     });
     for (const host of roster) {
-      const instance = former.roster.instanceOf(host);
-      if (instance) await this.harness.roster.keep(host, instance);
+      const instance = former.roster.recordedInstance(host);
+      if (instance) await this.harness.roster.persist(host, instance);
     }
     const kept = await progressIn(former);
     for (const job of this.jobs) {
@@ -359,7 +359,7 @@
   }
 
   private tellGone(at: SlowHost, instance: WorkerInstance): void {
-    void this.harness.engine.noteWorkerGone(at.host, instance);
+    void this.harness.engine.handleWorkerGone(at.host, instance);
   }
 
   private report(at: SlowHost): void {
@@ -367,7 +367,7 @@
     const report = at.takeShown(epoch);
     if (this.reportedAt.get(at) === report.at) return;
     this.reportedAt.set(at, report.at);
-    const grant = engine.report(at.host, at.zone, report);
+    const grant = engine.handleReport(at.host, at.zone, report);
     at.acknowledge(at.instance, grant.acknowledged);
     for (const { task, outcome } of report.ended) {
       if (outcome === "done") this.done.add(task);
--- a/packages/scheduling/tests/reportAfterFreeze.test.ts
+++ b/packages/scheduling/tests/reportAfterFreeze.test.ts
@@ -15,7 +15,7 @@
   host.end(taskId("j.0.0.0"), "failed");
   await harness.run(200);
   expect(host.isRunning(taskId("j.0.0.0"))).toEqual(true);
-  harness.engine.noteOperator();
+  harness.engine.handleOperatorChange();
   harness.clock.freeze(FREEZE_MS);
   host.end(taskId("j.0.0.0"), "failed");
   harness.reportOf(host);
@@ -42,7 +42,7 @@
   expect(late.isRunning(taskId("late.0.0.0"))).toEqual(false);
   late.vanish(taskId("lost.0.0.0"));
   late.beginLate(order);
-  harness.engine.noteOperator();
+  harness.engine.handleOperatorChange();
   harness.clock.freeze(FREEZE_MS);
   harness.reportOf(late);
   await harness.run(300);
--- a/packages/scheduling/tests/rosteredLives.test.ts
+++ b/packages/scheduling/tests/rosteredLives.test.ts
@@ -27,26 +27,26 @@
 
 test("the end of a life that the roster does not name lets a new leader wait on", async () => {
   const { next, heard } = await takeOver();
-  next.engine.noteWorkerGone(GONE, brand<WorkerInstance>("gone-0"));
+  next.engine.handleWorkerGone(GONE, brand<WorkerInstance>("gone-0"));
   await next.run(TTL_MS);
   expect(heard.starts.length).toEqual(0);
 });
 
 test("the end of the life that the roster names takes the host off it", async () => {
   const { next, heard } = await takeOver();
-  next.engine.noteWorkerGone(GONE, brand<WorkerInstance>("gone-1"));
+  next.engine.handleWorkerGone(GONE, brand<WorkerInstance>("gone-1"));
   await next.run(200);
   expect(heard.starts.length).toEqual(1);
-  expect(next.roster.instanceOf(GONE)).toEqual(undefined);
+  expect(next.roster.recordedInstance(GONE)).toEqual(undefined);
 });
 
 test("a host that never reports leaves the roster with its last lease", async () => {
   const { next, heard } = await takeOver();
   await next.run(TTL_MS + LEASE_MS - 100);
-  expect(next.roster.instanceOf(GONE)).not.toEqual(undefined);
+  expect(next.roster.recordedInstance(GONE)).not.toEqual(undefined);
   await next.run(PAST_LEASES_MS - (TTL_MS + LEASE_MS));
   expect(heard.starts.length).toEqual(1);
-  expect(next.roster.instanceOf(GONE)).toEqual(undefined);
+  expect(next.roster.recordedInstance(GONE)).toEqual(undefined);
 });
 
 test("the next life of a worker gets no lease before the store names it", async () => {
@@ -66,12 +66,14 @@
 test("a record that names the id alone proves no end, and is written anew with the first report", async () => {
   const { next } = await takeOver();
   const full = brand<WorkerInstance>("gone-1/1774000000000");
-  await next.engine.noteWorkerGone(GONE, full);
-  expect(next.roster.instanceOf(GONE)).toEqual(brand<WorkerInstance>("gone-1"));
+  await next.engine.handleWorkerGone(GONE, full);
+  expect(next.roster.recordedInstance(GONE)).toEqual(
+    brand<WorkerInstance>("gone-1"),
+  );
   const host = new FakeHost(GONE, next.clock, full);
   next.engine.attach(GONE, host);
   next.reportOf(host);
   await next.clock.advance(1);
-  expect(next.roster.instanceOf(GONE)).toEqual(full);
+  expect(next.roster.recordedInstance(GONE)).toEqual(full);
   expect(next.reportOf(host).leaseUntil).not.toEqual(undefined);
 });
--- a/packages/scheduling/tests/silentBeforeTakeOver.test.ts
+++ b/packages/scheduling/tests/silentBeforeTakeOver.test.ts
@@ -15,7 +15,7 @@
 /** Longer than a pass over the waiting work takes to begin. */
 const SOON_MS = 200;
 /** A pass begins, and its orders are given. */
-const NEXT_PASS_MS = 2 * ENGINE.passFloorMs;
+const NEXT_PASS_MS = 2 * ENGINE.minCycleIntervalMs;
 /** When the silence is told, after a tick of the engine: all over its interval. */
 const TICK_PHASES_MS = [0, 60, 120, 180, 240];
 /** Every lease that former leaders could grant is over. */
@@ -28,7 +28,7 @@
   host: FakeHost,
 ): Promise<void> => {
   await clock.advance(ms - ENGINE.quietMs / 2);
-  engine.report(host.host, host.zone, host.report());
+  engine.handleReport(host.host, host.zone, host.report());
   await clock.advance(ENGINE.quietMs / 2 - 1);
 };
 
@@ -72,7 +72,7 @@
 
 test("a task starts once the lease that its silent host was sent last is over, and not before", async () => {
   const { next, heard, host } = await takeOverBesideOne();
-  next.engine.noteWorkerSilent(host.host, OVER_IN_MS);
+  next.engine.handleWorkerSilent(host.host, OVER_IN_MS);
   await next.run(OVER_IN_MS - SOON_MS, [heard]);
   expect(heard.starts).toEqual([]);
   await next.run(2 * SOON_MS, [heard]);
@@ -81,27 +81,27 @@
 
 test("a host whose lease is over by its side's word leaves the roster", async () => {
   const { next, heard, host } = await takeOverBesideOne();
-  next.engine.noteWorkerSilent(host.host, OVER_IN_MS);
-  expect(next.roster.instanceOf(host.host)).not.toEqual(undefined);
+  next.engine.handleWorkerSilent(host.host, OVER_IN_MS);
+  expect(next.roster.recordedInstance(host.host)).not.toEqual(undefined);
   await next.run(OVER_IN_MS + 2 * SOON_MS, [heard]);
-  expect(next.roster.instanceOf(host.host)).toEqual(undefined);
+  expect(next.roster.recordedInstance(host.host)).toEqual(undefined);
 });
 
 test("a take-over waits for each silent host by itself", async () => {
   const { next, heard, silent } = await takeOver(2);
   const [first, second] = silent;
   if (!first || !second) throw new Error("no silent hosts");
-  next.engine.noteWorkerSilent(first.host, 0);
+  next.engine.handleWorkerSilent(first.host, 0);
   await next.run(OVER_IN_MS, [heard]);
   expect(heard.starts).toEqual([]);
-  next.engine.noteWorkerSilent(second.host, 0);
+  next.engine.handleWorkerSilent(second.host, 0);
   await next.run(SOON_MS, [heard]);
   expect(heard.starts.length).toEqual(1);
 });
 
 test("a side that cannot tell when its leases are over leaves the wait as it is", async () => {
   const { next, heard, host } = await takeOverBesideOne();
-  next.engine.noteWorkerSilent(host.host, undefined);
+  next.engine.handleWorkerSilent(host.host, undefined);
   await next.run(TTL_MS + LEASE_MS - 2 * SOON_MS, [heard]);
   expect(heard.starts).toEqual([]);
   await next.run(ALL_OVER_MS - TTL_MS - LEASE_MS + 2 * SOON_MS, [heard]);
@@ -110,7 +110,7 @@
 
 test("a longer lease than former leaders could grant does not lengthen the wait", async () => {
   const { next, heard, host } = await takeOverBesideOne();
-  next.engine.noteWorkerSilent(host.host, 3 * ALL_OVER_MS);
+  next.engine.handleWorkerSilent(host.host, 3 * ALL_OVER_MS);
   await next.run(ALL_OVER_MS, [heard]);
   expect(heard.starts.length).toEqual(1);
 });
@@ -120,32 +120,32 @@
   await next.run(SOON_MS, [heard, host]);
   const before = host.starts.length + heard.starts.length;
   expect(before).toEqual(1);
-  next.engine.noteWorkerSilent(host.host, 0);
-  next.engine.noteWorkerSilent(heard.host, 0);
+  next.engine.handleWorkerSilent(host.host, 0);
+  next.engine.handleWorkerSilent(heard.host, 0);
   await next.run(LEASE_MS, [heard, host]);
   expect(host.starts.length + heard.starts.length).toEqual(before);
-  expect(next.roster.instanceOf(host.host)).not.toEqual(undefined);
+  expect(next.roster.recordedInstance(host.host)).not.toEqual(undefined);
 });
 
 test("a host that has reported some of its ends is not taken for one whose leases are over", async () => {
   const { next, heard, host } = await takeOverBesideOne();
   const report = { ...host.report(), hasMoreEnds: true };
-  next.engine.report(host.host, host.zone, report);
-  next.engine.noteWorkerSilent(host.host, 0);
+  next.engine.handleReport(host.host, host.zone, report);
+  next.engine.handleWorkerSilent(host.host, 0);
   await next.run(OVER_IN_MS, [heard]);
   expect(heard.starts).toEqual([]);
 });
 
 test("a leader whose term is over says that it grants nothing", async () => {
   const { next, host } = await takeOverBesideOne();
-  expect(next.engine.noteWorkerSilent(host.host, OVER_IN_MS)).toEqual(true);
+  expect(next.engine.handleWorkerSilent(host.host, OVER_IN_MS)).toEqual(true);
   next.leads = false;
-  expect(next.engine.noteWorkerSilent(host.host, OVER_IN_MS)).toEqual(false);
+  expect(next.engine.handleWorkerSilent(host.host, OVER_IN_MS)).toEqual(false);
 });
 
 test("a task starts once the lease of a host is over that fell silent under its leader, and not before", async () => {
   const { harness, silent, heard } = await leadBesideOne();
-  harness.engine.noteWorkerSilent(silent.host, OVER_IN_MS);
+  harness.engine.handleWorkerSilent(silent.host, OVER_IN_MS);
   await harness.run(OVER_IN_MS - SOON_MS, [heard]);
   expect(heard.starts).toEqual([]);
   await harness.run(3 * SOON_MS, [heard]);
@@ -160,7 +160,7 @@
   await harness.run(SOON_MS);
   expect(silent.starts.length).toEqual(1);
   const heard = await harness.addHost("heard");
-  harness.engine.noteWorkerSilent(silent.host, 0);
+  harness.engine.handleWorkerSilent(silent.host, 0);
   await harness.run(ENGINE.startLeaseMs - 2 * SOON_MS, [heard]);
   expect(heard.starts).toEqual([]);
   await harness.run(4 * SOON_MS, [heard]);
@@ -172,15 +172,15 @@
   const host = await harness.addHost("h1");
   harness.submit("j", [{ lasting: true }]);
   await harness.run(LEASE_MS);
-  harness.engine.noteWorkerSilent(host.host, SOON_MS);
+  harness.engine.handleWorkerSilent(host.host, SOON_MS);
   await harness.run(LEASE_MS);
   expect(host.starts.length).toEqual(1);
 });
 
 test("a worker that answers after the word of its silence, with ends left to list, is waited for", async () => {
   const { next, heard, host } = await takeOverBesideOne();
-  next.engine.noteWorkerSilent(host.host, OVER_IN_MS);
-  next.engine.report(host.host, host.zone, {
+  next.engine.handleWorkerSilent(host.host, OVER_IN_MS);
+  next.engine.handleReport(host.host, host.zone, {
     ...host.report(),
     hasMoreEnds: true,
   });
@@ -190,7 +190,7 @@
 
 test("the word of a side that has detached holds no more: another process of it knows nothing of it", async () => {
   const { next, heard, host } = await takeOverBesideOne();
-  next.engine.noteWorkerSilent(host.host, OVER_IN_MS);
+  next.engine.handleWorkerSilent(host.host, OVER_IN_MS);
   next.engine.detach(host.host, host);
   await next.run(OVER_IN_MS + 2 * SOON_MS, [heard]);
   expect(heard.starts).toEqual([]);
@@ -198,7 +198,7 @@
 
 test("the word of a side that has detached shortens no grant of its leader", async () => {
   const { harness, silent, heard } = await leadBesideOne();
-  harness.engine.noteWorkerSilent(silent.host, OVER_IN_MS);
+  harness.engine.handleWorkerSilent(silent.host, OVER_IN_MS);
   harness.engine.detach(silent.host, silent);
   await harness.run(OVER_IN_MS + 2 * SOON_MS, [heard]);
   expect(heard.starts).toEqual([]);
@@ -207,8 +207,8 @@
 // A start that the life before left unanswered may bring the next one a longer lease.
 test("a longer word of a silent host takes the place of a shorter one", async () => {
   const { next, heard, host } = await takeOverBesideOne();
-  next.engine.noteWorkerSilent(host.host, SOON_MS);
-  next.engine.noteWorkerSilent(host.host, OVER_IN_MS);
+  next.engine.handleWorkerSilent(host.host, SOON_MS);
+  next.engine.handleWorkerSilent(host.host, OVER_IN_MS);
   await next.run(2 * SOON_MS, [heard]);
   expect(heard.starts).toEqual([]);
   await next.run(OVER_IN_MS, [heard]);
@@ -220,7 +220,7 @@
   for (const phaseMs of TICK_PHASES_MS) {
     const { harness, silent, heard } = await leadBesideOne();
     await harness.clock.advance(phaseMs);
-    harness.engine.noteWorkerSilent(silent.host, OVER_IN_MS);
+    harness.engine.handleWorkerSilent(silent.host, OVER_IN_MS);
     await waitUntilJustBefore(harness, OVER_IN_MS, heard);
     expect(heard.starts).toEqual([]);
     await harness.clock.advance(1 + NEXT_PASS_MS);
@@ -232,7 +232,7 @@
   for (const phaseMs of TICK_PHASES_MS) {
     const { next, heard, host } = await takeOverBesideOne();
     await next.clock.advance(phaseMs);
-    next.engine.noteWorkerSilent(host.host, OVER_IN_MS);
+    next.engine.handleWorkerSilent(host.host, OVER_IN_MS);
     await waitUntilJustBefore(next, OVER_IN_MS, heard);
     expect(heard.starts).toEqual([]);
     await next.clock.advance(1 + NEXT_PASS_MS);
@@ -244,7 +244,7 @@
   for (const phaseMs of TICK_PHASES_MS) {
     const { harness, silent, heard } = await leadBesideOne();
     await harness.clock.advance(phaseMs);
-    harness.engine.noteWorkerSilent(silent.host, 0);
+    harness.engine.handleWorkerSilent(silent.host, 0);
     await harness.clock.advance(NEXT_PASS_MS);
     expect(heard.starts.length).toEqual(1);
   }
@@ -276,7 +276,7 @@
   const { harness, silent, heard } = await leadBesideOne();
   silent.formerStartsForMs = 2 * OVER_IN_MS;
   harness.reportOf(silent);
-  harness.engine.noteWorkerSilent(silent.host, OVER_IN_MS);
+  harness.engine.handleWorkerSilent(silent.host, OVER_IN_MS);
   await harness.run(OVER_IN_MS, [heard]);
   expect(heard.starts.length).toEqual(1);
 });
@@ -292,8 +292,8 @@
   const heard = await harness.addHost("heard");
   heard.milliCores = demand.milliCores;
   await harness.run(SOON_MS, [heard]);
-  const overInMs = ENGINE.lastingPatienceMs + OVER_IN_MS;
-  harness.engine.noteWorkerSilent(silent.host, overInMs);
+  const overInMs = ENGINE.lastingGraceMs + OVER_IN_MS;
+  harness.engine.handleWorkerSilent(silent.host, overInMs);
   await waitUntilJustBefore(harness, overInMs, heard);
   expect(heard.starts).toEqual([]);
   await harness.clock.advance(1 + NEXT_PASS_MS);
--- a/packages/scheduling/tests/twoRunsMillisecondsApart.test.ts
+++ b/packages/scheduling/tests/twoRunsMillisecondsApart.test.ts
@@ -42,7 +42,7 @@
   const { harness, lost, others } = await orderAtSilentHost(TASK_COUNT);
   const [next] = others;
   if (!next) throw new Error("no other host");
-  harness.engine.noteWorkerGone(lost.host, lost.instance);
+  harness.engine.handleWorkerGone(lost.host, lost.instance);
   harness.clock.freeze(STANDSTILL_MS);
   harness.reportOf(next);
   expect(startCount(others)).toEqual(TASK_COUNT);
@@ -57,9 +57,9 @@
 
 test("a worker that is lost while a pass is overdue has its tasks started once", async () => {
   const { harness, lost, others } = await orderAtSilentHost(TASK_COUNT);
-  harness.engine.noteOperator();
+  harness.engine.handleOperatorChange();
   harness.clock.freeze(STANDSTILL_MS);
-  harness.engine.noteWorkerGone(lost.host, lost.instance);
+  harness.engine.handleWorkerGone(lost.host, lost.instance);
   lost.answerHeld({ kind: "replaced" });
   await harness.run(1_000, others);
   expect(startCount(others)).toEqual(TASK_COUNT);
@@ -77,7 +77,7 @@
 test("a task that always fails is not started past its attempts once its worker was lost", async () => {
   for (const lastFirst of [false, true]) {
     const { harness, lost, others } = await orderAtSilentHost(1);
-    harness.engine.noteWorkerGone(lost.host, lost.instance);
+    harness.engine.handleWorkerGone(lost.host, lost.instance);
     await harness.run(50, others);
     lost.answerHeld({ kind: "replaced" });
     await harness.run(50, others);
--- a/packages/scheduling/tests/unasked.test.ts
+++ b/packages/scheduling/tests/unasked.test.ts
@@ -236,7 +236,7 @@
   const job = harness.submit("j", [{ lasting: true, demand: large }]);
   await harness.clock.advance(50);
   const second = await harness.addHost("h2");
-  harness.engine.noteWorkerGone(first.host, first.instance);
+  harness.engine.handleWorkerGone(first.host, first.instance);
   await harness.run(100, [second]);
   expect(second.isRunning(TASK)).toEqual(true);
   answer({ kind: "replaced" });
