--- a/packages/checker/src/EntryNode.ts
+++ b/packages/checker/src/EntryNode.ts
@@ -17,7 +17,7 @@
 } from "@rackspan/common";
 import { AttemptLoop, Cancellation, KeyedRequests } from "@rackspan/entry";
 import {
-  ClaimKeeper,
+  ClaimReconciler,
   HostCertifier,
   HostDrainer,
   RendezvousOwnership,
@@ -77,7 +77,7 @@
   private readonly keys: KeyedRequests;
   private readonly loop: AttemptLoop;
   private readonly placer: UnitPlacer;
-  private readonly keeper: ClaimKeeper;
+  private readonly keeper: ClaimReconciler;
   private readonly certifier: HostCertifier;
   private readonly drainer: HostDrainer;
   private readonly store: SnapshotStore;
@@ -148,7 +148,7 @@
       ...unitOptions,
       placer: placers.create("leastLoaded", { random }),
     });
-    this.keeper = new ClaimKeeper(unitOptions);
+    this.keeper = new ClaimReconciler(unitOptions);
     this.certifier = new HostCertifier(unitOptions);
     this.drainer = new HostDrainer(unitOptions);
     this.keys = new KeyedRequests({
--- a/packages/checker/src/HostLink.ts
+++ b/packages/checker/src/HostLink.ts
@@ -10,7 +10,7 @@
 } from "@rackspan/common";
 import type { AttemptPeer } from "@rackspan/entry";
 import { EndpointState } from "@rackspan/entry";
-import type { HostControl, HostView, Reserved } from "@rackspan/jobs";
+import type { HostControl, HostView, HostReservation } from "@rackspan/jobs";
 import {
   ConnectError,
   LostAnswerError,
@@ -73,7 +73,7 @@
     this.endpoint = new EndpointState(this.status, ADDRESS);
   }
 
-  async reserve(unit: Unit): Promise<Reserved> {
+  async reserve(unit: Unit): Promise<HostReservation> {
     const { id, attempt, spec } = unit;
     const { kind, service, resources } = spec;
     const task = taskIdOf(id, attempt);
--- a/packages/checker/src/jobs/LeaderModel.ts
+++ b/packages/checker/src/jobs/LeaderModel.ts
@@ -125,7 +125,7 @@
       journal: new ProgressJournal({
         writer: progressWriter,
         clock: this.clock,
-        gatherMs: 5,
+        batchWindowMs: 5,
       }),
       roster: new StoredRoster(hostsWriter, silentLogger, roster),
       gate,
@@ -149,9 +149,10 @@
       if (isCancelled) engine.cancelJob(id);
     }
     engine.start();
-    const waitMs = gate.authorityOverBy + VIEW_LAG_MS - this.clock.monotonic();
+    const waitMs =
+      gate.authorityExpiresBy + VIEW_LAG_MS - this.clock.monotonic();
     this.clock.after(waitMs, () =>
-      gate.noteViewCurrent(this.clock.monotonic()),
+      gate.markViewCurrent(this.clock.monotonic()),
     );
   }
 
--- a/packages/entry/src/EntryProcess.ts
+++ b/packages/entry/src/EntryProcess.ts
@@ -16,7 +16,7 @@
   type Random,
 } from "@rackspan/common";
 import {
-  ClaimKeeper,
+  ClaimReconciler,
   HostCertifier,
   HostDrainer,
   RendezvousOwnership,
@@ -174,7 +174,7 @@
           this.policies,
         ),
       }),
-      keeper: new ClaimKeeper(unitOptions),
+      keeper: new ClaimReconciler(unitOptions),
       certifier: new HostCertifier(unitOptions),
       drainer: new HostDrainer(unitOptions),
       hostList: this.hostList,
--- a/packages/entry/src/ReconcileLoop.ts
+++ b/packages/entry/src/ReconcileLoop.ts
@@ -5,7 +5,7 @@
 
 import { ChangeSignal, sleep, type Clock, type Logger } from "@rackspan/common";
 import type {
-  ClaimKeeper,
+  ClaimReconciler,
   HostCertifier,
   HostDrainer,
   UnitPlacer,
@@ -20,7 +20,7 @@
   readonly sides: SideDirectory;
   readonly hostList: HostListWatcher;
   readonly placer: UnitPlacer;
-  readonly keeper: ClaimKeeper;
+  readonly keeper: ClaimReconciler;
   readonly certifier: HostCertifier;
   readonly drainer: HostDrainer;
   readonly clock: Clock;
--- a/packages/entry/src/SidePeer.ts
+++ b/packages/entry/src/SidePeer.ts
@@ -21,7 +21,7 @@
   type TaskId,
   type UnitId,
 } from "@rackspan/common";
-import type { HostControl, HostView, Reserved } from "@rackspan/jobs";
+import type { HostControl, HostView, HostReservation } from "@rackspan/jobs";
 import type { HostRecord } from "@rackspan/ports";
 import {
   parseAddress,
@@ -129,7 +129,7 @@
     this.rpc.close();
   }
 
-  async reserve(unit: Unit): Promise<Reserved> {
+  async reserve(unit: Unit): Promise<HostReservation> {
     const { id, attempt, spec } = unit;
     // Counted before the answer, so that placements at the same time see it.
     this.reserved = addResources(this.reserved, spec.resources);
--- a/packages/entry/src/jobs/Leadership.ts
+++ b/packages/entry/src/jobs/Leadership.ts
@@ -218,7 +218,7 @@
       journal: new ProgressJournal({
         writer: this.progressWriter,
         clock,
-        gatherMs: this.options.progressBatchWindowMs,
+        batchWindowMs: this.options.progressBatchWindowMs,
       }),
       roster: new StoredRoster(this.hostsWriter, logger, roster),
       gate,
@@ -261,11 +261,11 @@
   private tellNewJobsLater(gate: TakeoverGate): void {
     const { clock, followers, logger } = this.options;
     const { signal } = this.abort;
-    const waitMs = gate.authorityOverBy - clock.monotonic();
+    const waitMs = gate.authorityExpiresBy - clock.monotonic();
     clock.after(waitMs, () => {
       if (signal.aborted) return;
       Promise.all(followers.map((follower) => follower.catchUp(signal))).then(
-        () => gate.noteViewCurrent(clock.monotonic()),
+        () => gate.markViewCurrent(clock.monotonic()),
         // The term is over; until then the gate treats all jobs as old ones.
         (err: unknown) =>
           logger.info("leader.view-not-read", {
--- a/packages/jobs/src/ClaimKeeper.ts
+++ b/packages/jobs/src/ClaimReconciler.ts
@@ -19,7 +19,7 @@
   type Fold,
   type Unit,
 } from "@rackspan/state";
-import { FirstSeen } from "./FirstSeen.js";
+import { PresenceTracker } from "./PresenceTracker.js";
 import type {
   HostControl,
   HostDirectory,
@@ -27,7 +27,7 @@
   Ownership,
 } from "./types.js";
 
-export interface ClaimKeeperOptions {
+export interface ClaimReconcilerOptions {
   readonly fold: Fold;
   readonly appender: Appender;
   readonly hosts: HostDirectory;
@@ -41,13 +41,13 @@
   readonly appendTimeoutMs: number;
 }
 
-export class ClaimKeeper {
+export class ClaimReconciler {
   /** How long each report has waited for somebody to act on it. */
-  private readonly pendingFor: FirstSeen<string>;
+  private readonly pendingFor: PresenceTracker<string>;
   private readonly busy = new Set<string>();
 
-  constructor(private readonly options: ClaimKeeperOptions) {
-    this.pendingFor = new FirstSeen(options.clock);
+  constructor(private readonly options: ClaimReconcilerOptions) {
+    this.pendingFor = new PresenceTracker(options.clock);
   }
 
   /** Looks at every host once; called whenever something changed. */
@@ -56,7 +56,7 @@
     for (const view of this.options.hosts.views()) {
       if (view.ready) this.sweepHost(view, seen);
     }
-    this.pendingFor.keepOnly(seen);
+    this.pendingFor.retainOnly(seen);
   }
 
   private sweepHost(view: HostView, seen: Set<string>): void {
@@ -141,7 +141,7 @@
     if (unit.claim?.generation !== view.generation) return;
     const name = `never ${task}`;
     seen.add(name);
-    if (this.pendingFor.see(name) < this.options.notStartedMs) return;
+    if (this.pendingFor.observe(name) < this.options.notStartedMs) return;
     this.act(name, seen, async () => {
       if ((await control.fenceTask(task)) === "held") return;
       const { id, attempt } = unit;
@@ -180,7 +180,8 @@
     const { ownership, takeoverMs, logger } = this.options;
     seen.add(name);
     if (this.busy.has(name)) return;
-    if (this.pendingFor.see(name) < ownership.rank(name) * takeoverMs) return;
+    if (this.pendingFor.observe(name) < ownership.rank(name) * takeoverMs)
+      return;
     this.busy.add(name);
     action()
       .catch((err: unknown) =>
--- a/packages/jobs/src/CrashLog.ts
+++ b/packages/jobs/src/CrashLog.ts
@@ -55,23 +55,23 @@
    */
   unprovenPoints: 12,
   /** Where no run is known to have been at work, points are enough with so many that began. */
-  begunRuns: 4,
+  minStartedRuns: 4,
   /** The same with so many lost runs, of which some may never have begun. */
-  lostRuns: 5,
+  minLostRuns: 5,
   /** Proof is doubted when another worker was lost within this of it, milliseconds. */
-  togetherMs: 1_500,
+  correlatedLossMs: 1_500,
   /** A run that has worked for this long is not thought of first when its worker crashes, milliseconds. */
   settledMs: 500,
   /** A run is known to be at work up to this share of the time that it is expected to take. */
-  shareAtWork: 0.25,
+  maxAtWorkShare: 0.25,
   /** A run of a task that is suspected for the first time begins apart for this long, milliseconds. */
-  apartMs: 500,
+  isolationMs: 500,
   /** The same once it is suspected again, for tasks that crash their workers later. */
-  longApartMs: 2_500,
+  longIsolationMs: 2_500,
   /** One that has waited this long takes a host that would be left to others, milliseconds. */
-  apartPatienceMs: 2_000,
+  isolationGraceMs: 2_000,
   /** A lasting task that has worked for this long starts with a clean log, milliseconds. */
-  clearedMs: 60_000,
+  clearAfterMs: 60_000,
 } as const;
 
 /** Whether the worker is known to have crashed under the run, or only to have crashed. */
@@ -103,15 +103,15 @@
 
   /** @param entries what was kept of a log before */
   constructor(entries: Iterable<readonly [number, CrashEvidence]> = []) {
-    for (const [run, evidence] of entries) this.note(run, evidence);
+    for (const [run, evidence] of entries) this.record(run, evidence);
   }
 
-  note(run: number, evidence: CrashEvidence): void {
+  record(run: number, evidence: CrashEvidence): void {
     this.runs.set(run, evidence);
   }
 
   /** @returns whether anything was known of the run */
-  forget(run: number): boolean {
+  remove(run: number): boolean {
     return this.runs.delete(run);
   }
 
@@ -141,7 +141,7 @@
   }
 
   /** How many workers are known to have crashed under the task. */
-  get crashes(): number {
+  get crashCount(): number {
     return this.evidence.filter((one) => CRASH_OF[one] === "under-run").length;
   }
 
@@ -151,18 +151,18 @@
   }
 
   /** Whether no run of it is known to have crashed its worker just after its start. */
-  get hasCrashedNoneAtStart(): boolean {
+  get hasNoCrashAtStart(): boolean {
     return !this.evidence.some((one) => AT_START.has(one));
   }
 
   /** Whether the task is to be started no more. */
-  get isSpent(): boolean {
+  get hasReachedLimit(): boolean {
     const { provenCrashes, unprovenPoints } = CRASH_LIMITS;
     const isProven = this.evidence.includes("sole");
-    if (isProven && this.crashes >= provenCrashes) return true;
+    if (isProven && this.crashCount >= provenCrashes) return true;
     if (this.lostWorkers < provenCrashes) return false;
     if (this.points < unprovenPoints) return false;
-    return this.crashes > 0 || this.hasLostMany;
+    return this.crashCount > 0 || this.hasLostMany;
   }
 
   /** Without announcements: each change of leader may leave one that was never ordered. */
@@ -170,8 +170,8 @@
     const lost = this.evidence.filter((one) => one !== "unknown");
     const begun = lost.filter((one) => one !== "unseen" && one !== "lost");
     return (
-      begun.length >= CRASH_LIMITS.begunRuns ||
-      lost.length >= CRASH_LIMITS.lostRuns
+      begun.length >= CRASH_LIMITS.minStartedRuns ||
+      lost.length >= CRASH_LIMITS.minLostRuns
     );
   }
 
@@ -188,8 +188,10 @@
   }
 
   /** For how long the next run is to begin apart from others, milliseconds; 0 for not at all. */
-  get apartMs(): number {
+  get isolationMs(): number {
     if (!this.isSuspect) return 0;
-    return this.runs.size > 1 ? CRASH_LIMITS.longApartMs : CRASH_LIMITS.apartMs;
+    return this.runs.size > 1
+      ? CRASH_LIMITS.longIsolationMs
+      : CRASH_LIMITS.isolationMs;
   }
 }
--- a/packages/jobs/src/HostCertifier.ts
+++ b/packages/jobs/src/HostCertifier.ts
@@ -13,7 +13,7 @@
 } from "@rackspan/common";
 import type { HostRecord } from "@rackspan/ports";
 import type { Appender, Fold } from "@rackspan/state";
-import { FirstSeen } from "./FirstSeen.js";
+import { PresenceTracker } from "./PresenceTracker.js";
 import type { Ownership } from "./types.js";
 
 export interface HostCertifierOptions {
@@ -30,11 +30,11 @@
 }
 
 export class HostCertifier {
-  private readonly goneFor: FirstSeen<string>;
+  private readonly goneFor: PresenceTracker<string>;
   private readonly busy = new Set<HostId>();
 
   constructor(private readonly options: HostCertifierOptions) {
-    this.goneFor = new FirstSeen(options.clock);
+    this.goneFor = new PresenceTracker(options.clock);
   }
 
   /** @param listed the host list as it was just read */
@@ -48,10 +48,10 @@
       if (ended === undefined) continue;
       const name = `${host}@${ended}`;
       gone.add(name);
-      if (this.goneFor.see(name) < this.waitMs(name)) continue;
+      if (this.goneFor.observe(name) < this.waitMs(name)) continue;
       this.certify(host, ended);
     }
-    this.goneFor.keepOnly(gone);
+    this.goneFor.retainOnly(gone);
   }
 
   private waitMs(name: string): number {
--- a/packages/jobs/src/HostLedger.ts
+++ b/packages/jobs/src/HostState.ts
@@ -33,13 +33,13 @@
   /** On the leader's clock. */
   readonly startedAt: Monotonic;
   /** Begins apart from other new runs until it has worked for this long, milliseconds. */
-  readonly apartMs: number;
+  readonly isolationMs: number;
   /** Worker's clock when it first showed the run; undefined before. */
-  shownFirstAt: WorkerTime | undefined;
+  firstSeenAt: WorkerTime | undefined;
   /** Worker's clock when it last showed the run, by a list or its answer to the start; undefined before. */
-  answeredAt: WorkerTime | undefined;
+  lastSeenAt: WorkerTime | undefined;
   /** Worker's clock after which an unanswered order does nothing. */
-  readonly orderLapsesAt: WorkerTime;
+  readonly orderExpiresAt: WorkerTime;
   progressPercent: number;
   /** When the progress last grew, on the leader's clock. */
   progressedAt: Monotonic;
@@ -52,21 +52,25 @@
 }
 
 /** For how long the worker has shown the run, milliseconds of its clock. */
-export const workedMs = ({ shownFirstAt, answeredAt }: ActiveRun): number =>
+export const workedMs = ({
+  firstSeenAt: shownFirstAt,
+  lastSeenAt: answeredAt,
+}: ActiveRun): number =>
   shownFirstAt === undefined || answeredAt === undefined
     ? 0
     : answeredAt - shownFirstAt;
 
 /** Whether no other run may begin on its host yet, so that a crash there is this one's. */
-export const isApart = (run: ActiveRun): boolean => workedMs(run) < run.apartMs;
+export const isIsolated = (run: ActiveRun): boolean =>
+  workedMs(run) < run.isolationMs;
 
 /** The worker has shown the run at that time of its clock. */
-export const noteShown = (run: ActiveRun, at: WorkerTime): void => {
-  run.shownFirstAt ??= at;
-  run.answeredAt = at;
+export const markSeen = (run: ActiveRun, at: WorkerTime): void => {
+  run.firstSeenAt ??= at;
+  run.lastSeenAt = at;
 };
 
-export const refOf = ({ task, run }: ActiveRun): RunRef => ({
+export const runRefOf = ({ task, run }: ActiveRun): RunRef => ({
   task: task.id,
   run,
 });
@@ -75,7 +79,7 @@
  * A run that the worker lists and that no waiting task accounts for, such as one
  * of a job that its caller cancelled under a former leader.
  */
-export interface StrayRun {
+export interface OrphanRun {
   readonly run: RunRef;
   /** Undefined when no record tells what it is. */
   readonly task: JobTask | undefined;
@@ -83,7 +87,7 @@
 }
 
 /** Sums over the runs of one host; `filling` ones take memory only. */
-export interface RoomTaken {
+export interface AllocatedResources {
   plainMilliCores: number;
   servingMilliCores: number;
   fillingMilliCores: number;
@@ -91,7 +95,7 @@
   accelerators: number;
 }
 
-const NOTHING_TAKEN: RoomTaken = {
+const NOTHING_TAKEN: AllocatedResources = {
   plainMilliCores: 0,
   servingMilliCores: 0,
   fillingMilliCores: 0,
@@ -109,12 +113,12 @@
 
 const NO_READINGS: HostReadings = { tails: new Map(), usedCores: new Map() };
 
-export class HostLedger {
+export class HostState {
   /** By run: a worker may run two of one task. */
   readonly runs = new Map<string, ActiveRun>();
   /** The worker's clock when it last reported, and when the report arrived. */
   reportedAt: WorkerTime | undefined;
-  heardAt: Monotonic = -Infinity;
+  reportReceivedAt: Monotonic = -Infinity;
   /** When every lease granted so far is over for certain. */
   private grantsOverBy: Monotonic = -Infinity;
   /** When every lease is over that a start to a former life may bring, carried out late. */
@@ -131,19 +135,19 @@
    */
   slowness = 0;
   /** Ends up to this number were taken note of, and are being kept. */
-  notedEnds = 0;
+  processedEnds = 0;
   /** Ends up to this number are kept. */
   acknowledgedEnds = 0;
   /** What its tasks showed in the last report. */
   readings: HostReadings = NO_READINGS;
   private readonly servingCounts = new Map<ImageName, number>();
   private readonly askedCores = new Map<ImageName, number>();
-  private readonly taken: RoomTaken = { ...NOTHING_TAKEN };
+  private readonly taken: AllocatedResources = { ...NOTHING_TAKEN };
   private readonly perStep = new Map<object, number>();
   /** Runs that were to begin apart, also those that have. */
   private readonly apart = new Set<ActiveRun>();
   /** By run. */
-  private readonly strays = new Map<string, StrayRun>();
+  private readonly strays = new Map<string, OrphanRun>();
   /** How many of the strays no record tells of. */
   private unknownStrays = 0;
 
@@ -157,30 +161,30 @@
     return this.worker.instance;
   }
 
-  get room(): Readonly<RoomTaken> {
+  get allocated(): Readonly<AllocatedResources> {
     return this.taken;
   }
 
   add(run: ActiveRun): void {
-    this.runs.set(runKeyOf(refOf(run)), run);
-    if (run.apartMs > 0) this.apart.add(run);
+    this.runs.set(runKeyOf(runRefOf(run)), run);
+    if (run.isolationMs > 0) this.apart.add(run);
     this.account(run.task, 1);
   }
 
   /** Whether a run there begins apart: no other is to begin beside it. */
-  get holdsApart(): boolean {
-    for (const run of this.apart) if (isApart(run)) return true;
+  get hasIsolatedRun(): boolean {
+    for (const run of this.apart) if (isIsolated(run)) return true;
     return false;
   }
 
   /** Whether the run takes room there by the leader's books. */
   has(run: ActiveRun): boolean {
-    return this.runs.get(runKeyOf(refOf(run))) === run;
+    return this.runs.get(runKeyOf(runRefOf(run))) === run;
   }
 
   remove(run: ActiveRun): void {
     if (!this.has(run)) return;
-    this.runs.delete(runKeyOf(refOf(run)));
+    this.runs.delete(runKeyOf(runRefOf(run)));
     this.apart.delete(run);
     this.account(run.task, -1);
   }
@@ -189,7 +193,7 @@
    * Takes the strays of the newest report in place of those before. A stop takes
    * its time, and workers that do not guard their room would start more beside them.
    */
-  replaceStrays(strays: readonly StrayRun[]): void {
+  replaceOrphans(strays: readonly OrphanRun[]): void {
     for (const stray of this.strays.values()) this.accountStray(stray, -1);
     this.strays.clear();
     for (const stray of strays) {
@@ -199,7 +203,7 @@
   }
 
   /** The stray that the newest report listed as this run. */
-  strayOf(run: RunRef): StrayRun | undefined {
+  orphanOf(run: RunRef): OrphanRun | undefined {
     return this.strays.get(runKeyOf(run));
   }
 
@@ -207,17 +211,18 @@
   get stopping(): readonly StoppingRun[] {
     const stopping: StoppingRun[] = [];
     for (const run of this.runs.values()) {
-      const { stop, answeredAt: shownAt } = run;
-      if (stop) stopping.push({ ref: refOf(run), stop, shownAt });
+      const { stop, lastSeenAt: shownAt } = run;
+      if (stop)
+        stopping.push({ ref: runRefOf(run), stop, lastSeenAt: shownAt });
     }
     for (const { run: ref, stop } of this.strays.values()) {
-      stopping.push({ ref, stop, shownAt: this.reportedAt });
+      stopping.push({ ref, stop, lastSeenAt: this.reportedAt });
     }
     return stopping;
   }
 
   /** A stray has ended. */
-  removeStray(run: RunRef): void {
+  removeOrphan(run: RunRef): void {
     const key = runKeyOf(run);
     const stray = this.strays.get(key);
     if (!stray) return;
@@ -231,25 +236,25 @@
   }
 
   /** When nothing runs there any more for certain, unless the host is heard before. */
-  get leaseOverBy(): Monotonic {
+  get leasesExpireBy(): Monotonic {
     const unheardOverBy = Math.max(this.grantsOverBy, this.formerStartsOverBy);
     const leasesOverBy = Math.min(unheardOverBy, this.sentOverBy);
     return Math.max(leasesOverBy, this.ordersOverBy);
   }
 
   /** A lease was granted that is over by then for certain. */
-  noteGrant(overBy: Monotonic): void {
+  recordGrant(overBy: Monotonic): void {
     this.grantsOverBy = Math.max(this.grantsOverBy, overBy);
-    this.forgetSilent();
+    this.clearSilence();
   }
 
   /** The worker may carry out a start of a former life, whose lease is over by then. */
-  noteFormerStarts(overBy: Monotonic): void {
+  recordPreviousStarts(overBy: Monotonic): void {
     this.formerStartsOverBy = Math.max(this.formerStartsOverBy, overBy);
   }
 
   /** An order was given whose lease is over by then for certain. */
-  noteOrder(overBy: Monotonic): void {
+  recordOrder(overBy: Monotonic): void {
     this.ordersOverBy = Math.max(this.ordersOverBy, overBy);
   }
 
@@ -259,14 +264,14 @@
    *
    * @returns by how much sooner nothing runs there any more, milliseconds; negative when later
    */
-  noteSilent(overBy: Monotonic): number {
-    const before = this.leaseOverBy;
+  recordSilence(overBy: Monotonic): number {
+    const before = this.leasesExpireBy;
     this.sentOverBy = overBy;
-    return before - this.leaseOverBy;
+    return before - this.leasesExpireBy;
   }
 
   /** Another process of the side, which knows nothing of that time, may serve the host. */
-  forgetSilent(): void {
+  clearSilence(): void {
     this.sentOverBy = Infinity;
   }
 
@@ -300,12 +305,12 @@
     this.pausedUntil = -Infinity;
     this.reportedAt = undefined;
     this.readings = NO_READINGS;
-    this.notedEnds = 0;
+    this.processedEnds = 0;
     this.acknowledgedEnds = 0;
-    this.replaceStrays([]);
+    this.replaceOrphans([]);
   }
 
-  private accountStray({ task }: StrayRun, sign: 1 | -1): void {
+  private accountStray({ task }: OrphanRun, sign: 1 | -1): void {
     if (task) this.account(task, sign);
     else this.unknownStrays += sign;
   }
--- a/packages/jobs/src/InterferenceBook.ts
+++ b/packages/jobs/src/InterferenceEstimator.ts
@@ -14,7 +14,7 @@
 /** Serving images followed at once; the one first learnt is forgotten. */
 const MAX_MODELS = 256;
 
-export class InterferenceBook {
+export class InterferenceEstimator {
   /** In the order in which they were first learnt. */
   private readonly models = new BoundedMap<ImageName, TailModel>(MAX_MODELS);
   /** Serving images of which more was learnt since they were last kept. */
--- a/packages/jobs/src/JobRun.ts
+++ b/packages/jobs/src/JobRun.ts
@@ -24,8 +24,8 @@
 };
 
 /** A gang is given up as one, so what speaks against its members speaks against it. */
-export const crashesOf = ({ step, crashes }: JobTask): CrashLog =>
-  step.spec.gang ? step.crashes : crashes;
+export const crashLogOf = ({ step, crashLog: crashes }: JobTask): CrashLog =>
+  step.spec.gang ? step.crashLog : crashes;
 
 const keyOf = (step: StepRun): string => `${step.occurrence}.${step.number}`;
 
@@ -35,7 +35,7 @@
   begun = false;
   endedAt: Instant = 0;
   /** Whether a task has a checkpoint, or a crash log that was cleared, that no record holds yet. */
-  hasUnkeptProgress = false;
+  hasUnpersistedProgress = false;
   private readonly occurrences = new Map<number, readonly StepRun[]>();
   private doneOccurrences = 0;
   /** Number of the first occurrence that is not done. */
@@ -101,14 +101,14 @@
     return [...this.occurrences.values()].flat();
   }
 
-  notePlaced(task: JobTask): void {
+  markPlaced(task: JobTask): void {
     task.phase = "placed";
     task.step.waiting.delete(task);
     this.begun = true;
     if (this.state === "queued") this.state = "running";
   }
 
-  noteWaiting(task: JobTask): void {
+  markWaiting(task: JobTask): void {
     if (task.phase === "done") return;
     task.phase = "waiting";
     task.step.waiting.add(task);
@@ -118,15 +118,15 @@
    * Takes note of how a run of the task ended.
    * @returns whether what must be kept has changed
    */
-  noteEnd(
+  recordEnd(
     task: JobTask,
     run: RunNumber,
     outcome: RunOutcome,
     checkpoint: string,
   ): boolean {
     if (task.phase === "done") return false;
-    if (task.announced === run) task.announced = undefined;
-    const isNewCheckpoint = this.noteCheckpoint(task, checkpoint);
+    if (task.writeAheadRun === run) task.writeAheadRun = undefined;
+    const isNewCheckpoint = this.recordCheckpoint(task, checkpoint);
     if (outcome === "done" && !task.step.spec.lasting) {
       this.noteDone(task);
       return true;
@@ -143,28 +143,28 @@
    * Takes the newest checkpoint of a task; an empty one says nothing.
    * @returns whether it is another than before
    */
-  noteCheckpoint(task: JobTask, checkpoint: string): boolean {
+  recordCheckpoint(task: JobTask, checkpoint: string): boolean {
     if (checkpoint === "" || checkpoint === task.checkpoint) return false;
     setCheckpoint(task, checkpoint);
-    this.hasUnkeptProgress = true;
+    this.hasUnpersistedProgress = true;
     return true;
   }
 
   /** A gang goes on as one: its members bring the same checkpoint, that of any. */
   shareCheckpoint({ tasks, newestCheckpoint }: StepRun): void {
     if (newestCheckpoint === "") return;
-    for (const task of tasks) this.noteCheckpoint(task, newestCheckpoint);
+    for (const task of tasks) this.recordCheckpoint(task, newestCheckpoint);
   }
 
   /** A gang ends as one: one member's end stands for all. */
-  noteGangDone(step: StepRun): void {
+  markGangDone(step: StepRun): void {
     for (const task of step.tasks) {
       if (task.phase !== "done") this.noteDone(task);
     }
   }
 
   /** Whether a task, or the gang that it is of, has failed as often as its queue allows. */
-  hasSpentAttempts({ step, failedRuns }: JobTask): boolean {
+  hasReachedAttemptLimit({ step, failedRuns }: JobTask): boolean {
     const { gang, lasting } = step.spec;
     if (lasting) return false;
     const failed = gang ? step.failedRuns : failedRuns;
@@ -172,8 +172,8 @@
   }
 
   /** Whether too many workers crashed under the task, or under its gang. */
-  hasSpentCrashes(task: JobTask): boolean {
-    return crashesOf(task).isSpent;
+  hasReachedCrashLimit(task: JobTask): boolean {
+    return crashLogOf(task).hasReachedLimit;
   }
 
   /**
@@ -181,11 +181,11 @@
    * its worker; counted before the task is started again.
    * @returns whether what must be kept has changed
    */
-  settleAnnounced(task: JobTask): boolean {
-    const { announced } = task;
+  resolveWriteAheadRun(task: JobTask): boolean {
+    const { writeAheadRun: announced } = task;
     if (announced === undefined) return false;
-    task.announced = undefined;
-    task.crashes.note(announced, "unknown");
+    task.writeAheadRun = undefined;
+    task.crashLog.record(announced, "unknown");
     return true;
   }
 
@@ -204,7 +204,7 @@
 
   /** What the store is to keep; asked for when it is about to be written. */
   toRecord(): ProgressRecord {
-    this.hasUnkeptProgress = false;
+    this.hasUnpersistedProgress = false;
     const done: Record<string, string> = {};
     const failures: ProgressRecord["failures"] = [];
     const checkpoints: ProgressRecord["checkpoints"] = [];
@@ -220,8 +220,9 @@
         if (task.failedRuns.size > 0)
           failures.push([key, [...task.failedRuns]]);
         if (task.checkpoint) checkpoints.push([key, task.checkpoint]);
-        if (!task.crashes.isEmpty) crashes.push([key, task.crashes.entries]);
-        if (task.announced !== undefined) announced.push([key, task.announced]);
+        if (!task.crashLog.isEmpty) crashes.push([key, task.crashLog.entries]);
+        if (task.writeAheadRun !== undefined)
+          announced.push([key, task.writeAheadRun]);
       }
     }
     const { state, begun, endedAt } = this;
@@ -254,11 +255,11 @@
     }
     for (const [key, runs] of progress.crashes) {
       const task = this.taskAtKey(key);
-      for (const [run, evidence] of runs) task?.crashes.note(run, evidence);
+      for (const [run, evidence] of runs) task?.crashLog.record(run, evidence);
     }
     for (const [key, run] of progress.announced) {
       const task = this.taskAtKey(key);
-      if (task) task.announced = run as unknown as RunNumber;
+      if (task) task.writeAheadRun = run as unknown as RunNumber;
     }
     for (const [key, checkpoint] of progress.checkpoints) {
       const task = this.taskAtKey(key);
--- a/packages/jobs/src/JobTask.ts
+++ b/packages/jobs/src/JobTask.ts
@@ -14,18 +14,18 @@
   /** Runs that failed. A new leader may hear of them in any order, and again. */
   readonly failedRuns = new Set<number>();
   /** Its runs that were lost with their workers. */
-  readonly crashes = new CrashLog();
+  readonly crashLog = new CrashLog();
   /**
    * The run that the store was told of before it was ordered; undefined once it is
    * known how that run ended, and for tasks that are not suspected.
    */
-  announced: RunNumber | undefined;
+  writeAheadRun: RunNumber | undefined;
   /** It is not started before: until then it may yet be given up. */
   heldUntil: Monotonic = -Infinity;
   /** From which the next run goes on; empty for none. */
   checkpoint = "";
   /** Hosts where it failed or stood still, the last ones. */
-  readonly avoid: HostId[] = [];
+  readonly avoidedHosts: HostId[] = [];
 
   constructor(
     readonly step: StepRun,
@@ -39,7 +39,7 @@
 const MAX_AVOIDED_HOSTS = 4;
 
 export const avoidHost = (task: JobTask, host: HostId): void => {
-  if (task.avoid.includes(host)) return;
-  task.avoid.push(host);
-  if (task.avoid.length > MAX_AVOIDED_HOSTS) task.avoid.shift();
+  if (task.avoidedHosts.includes(host)) return;
+  task.avoidedHosts.push(host);
+  if (task.avoidedHosts.length > MAX_AVOIDED_HOSTS) task.avoidedHosts.shift();
 };
--- a/packages/jobs/src/FirstSeen.ts
+++ b/packages/jobs/src/PresenceTracker.ts
@@ -2,13 +2,13 @@
 
 import type { Clock, Monotonic } from "@rackspan/common";
 
-export class FirstSeen<K> {
+export class PresenceTracker<K> {
   private readonly since = new Map<K, Monotonic>();
 
   constructor(private readonly clock: Clock) {}
 
   /** Notes that the key is seen now; @returns for how many milliseconds it has been */
-  see(key: K): number {
+  observe(key: K): number {
     const now = this.clock.monotonic();
     const first = this.since.get(key) ?? now;
     this.since.set(key, first);
@@ -20,7 +20,7 @@
   }
 
   /** Forgets every key that is not among these. */
-  keepOnly(keys: ReadonlySet<K>): void {
+  retainOnly(keys: ReadonlySet<K>): void {
     for (const key of this.since.keys()) {
       if (!keys.has(key)) this.since.delete(key);
     }
--- a/packages/jobs/src/ProgressJournal.ts
+++ b/packages/jobs/src/ProgressJournal.ts
@@ -8,7 +8,7 @@
   readonly writer: StampedWriter;
   readonly clock: Clock;
   /** Time for which changes are gathered, milliseconds: each append has a price. */
-  readonly gatherMs: number;
+  readonly batchWindowMs: number;
 }
 
 interface Flush {
@@ -27,7 +27,7 @@
    * Resolves once the store keeps the job's progress, as it is now or newer.
    * Rejects when another leader has taken over.
    */
-  record(job: JobRun): Promise<void> {
+  persist(job: JobRun): Promise<void> {
     this.next ??= this.openFlush();
     this.next.jobs.add(job);
     this.noteUnkept(job, this.next.kept);
@@ -38,7 +38,7 @@
    * Resolves once all that was recorded of the job so far is kept; writes nothing.
    * Rejects when another leader has taken over before.
    */
-  settled(job: JobRun): Promise<void> {
+  flushed(job: JobRun): Promise<void> {
     return this.unkept.get(job) ?? Promise.resolve();
   }
 
@@ -54,7 +54,7 @@
 
   private openFlush(): Flush {
     const jobs = new Set<JobRun>();
-    const { clock, gatherMs } = this.options;
+    const { clock, batchWindowMs: gatherMs } = this.options;
     const kept = new Promise<void>((resolve, reject) => {
       clock.after(gatherMs, () => {
         this.next = undefined;
--- a/packages/jobs/src/StepRun.ts
+++ b/packages/jobs/src/StepRun.ts
@@ -42,8 +42,10 @@
   }
 
   /** Crashes under any of its tasks: a gang's members share their run numbers. */
-  get crashes(): CrashLog {
-    return new CrashLog(this.tasks.flatMap(({ crashes }) => crashes.entries));
+  get crashLog(): CrashLog {
+    return new CrashLog(
+      this.tasks.flatMap(({ crashLog: crashes }) => crashes.entries),
+    );
   }
 
   /** Estimated milliseconds of one task, at least one. */
--- a/packages/jobs/src/StopOrder.ts
+++ b/packages/jobs/src/StopOrder.ts
@@ -21,17 +21,17 @@
   readonly ref: RunRef;
   readonly stop: StopOrder;
   /** Worker's clock when it last showed the run; undefined when it never has. */
-  readonly shownAt: WorkerTime | undefined;
+  readonly lastSeenAt: WorkerTime | undefined;
 }
 
-export interface StopTimes {
+export interface StopTimeouts {
   /** Time for the answer to an order, milliseconds. */
   readonly answerMs: number;
   /** Time that a worker may take to stop a run, milliseconds. */
   readonly stopMs: number;
 }
 
-export const newStop = (reason: string): StopOrder => ({
+export const createStopOrder = (reason: string): StopOrder => ({
   reason,
   sentAt: undefined,
   confirmedAt: undefined,
@@ -42,9 +42,9 @@
  * once the worker has confirmed it only if the run outlives its time to stop.
  */
 export const isStopDue = (
-  { stop, shownAt }: StoppingRun,
+  { stop, lastSeenAt: shownAt }: StoppingRun,
   now: Monotonic,
-  { answerMs, stopMs }: StopTimes,
+  { answerMs, stopMs }: StopTimeouts,
 ): boolean => {
   const { sentAt, confirmedAt } = stop;
   if (sentAt !== undefined && now - sentAt < answerMs) return false;
--- a/packages/jobs/src/TailModel.ts
+++ b/packages/jobs/src/TailModel.ts
@@ -40,7 +40,7 @@
   minWeight: -0.02,
   maxWeight: 0.8,
   /** Fewer cores than this of an image teach nothing of it. */
-  leastCores: 0.05,
+  minCores: 0.05,
   /** Images followed at once; the one not seen for longest is forgotten. */
   maxImages: 48,
 } as const;
@@ -54,9 +54,9 @@
   /** Mean logarithm of the tails of the image's tasks on one host. */
   readonly tail: number;
   /** How many tasks that is the mean of. */
-  readonly tasks: number;
+  readonly taskCount: number;
   /** What ran beside them in the half second of the reading. */
-  readonly beside: FillingCores;
+  readonly colocatedCores: FillingCores;
 }
 
 /** What a model knows, as it is kept for the next leader. */
@@ -112,7 +112,12 @@
     return tail;
   }
 
-  learn({ at, tail, tasks, beside }: TailReading): void {
+  learn({
+    at,
+    tail,
+    taskCount: tasks,
+    colocatedCores: beside,
+  }: TailReading): void {
     const inputs = this.inputsOf(beside);
     this.drift(inputs);
     this.driftBase(at);
@@ -130,7 +135,7 @@
   private inputsOf(beside: FillingCores): Map<number, number> {
     const inputs = new Map([[BASE, 1]]);
     for (const [image, cores] of beside) {
-      if (cores < TAIL_MODEL.leastCores) continue;
+      if (cores < TAIL_MODEL.minCores) continue;
       inputs.set(this.placeOf(image), cores);
     }
     return inputs;
--- a/packages/jobs/src/TakeoverGate.ts
+++ b/packages/jobs/src/TakeoverGate.ts
@@ -25,19 +25,19 @@
   /** The same for a host whose side tells nothing. */
   private readonly leasesOverBy: Monotonic;
   /** From then on no former leader decides anything. */
-  readonly authorityOverBy: Monotonic;
+  readonly authorityExpiresBy: Monotonic;
   /** Jobs that were first seen after this are new for certain. */
   private viewCurrentAt: Monotonic = Infinity;
 
   constructor(options: TakeoverGateOptions) {
     const { takenOverAt, roster, leadershipTtlMs, leaseMs } = options;
-    this.authorityOverBy = takenOverAt + leadershipTtlMs;
-    this.leasesOverBy = latestLeaseExpiry(this.authorityOverBy, leaseMs);
+    this.authorityExpiresBy = takenOverAt + leadershipTtlMs;
+    this.leasesOverBy = latestLeaseExpiry(this.authorityExpiresBy, leaseMs);
     this.silent = new Map([...roster].map((host) => [host, this.leasesOverBy]));
   }
 
   /** Nothing that a former leader started is hidden there, now or later. */
-  noteHeard(host: HostId): void {
+  recordReport(host: HostId): void {
     this.silent.delete(host);
   }
 
@@ -46,7 +46,7 @@
    * newest time that it told holds: a late start may bring a longer lease.
    * @returns by how much sooner that is than was known, milliseconds; negative when later
    */
-  noteSilent(host: HostId, overBy: Monotonic): number {
+  recordSilence(host: HostId, overBy: Monotonic): number {
     const known = this.silent.get(host);
     if (known === undefined) return 0;
     const bound = Math.min(overBy, this.leasesOverBy);
@@ -58,7 +58,7 @@
    * What the side has told holds no more: its worker answers again and has ends left to
    * list, or another process of the side, which knows nothing of it, may serve the host.
    */
-  forgetSilent(host: HostId): void {
+  clearSilence(host: HostId): void {
     if (this.silent.has(host)) this.silent.set(host, this.leasesOverBy);
   }
 
@@ -67,8 +67,8 @@
    * decided any more. To be seen late is not to be new: a take-over that lasts
    * longer than the former term would take all jobs for new ones.
    */
-  noteViewCurrent(now: Monotonic): void {
-    if (now < this.authorityOverBy) return;
+  markViewCurrent(now: Monotonic): void {
+    if (now < this.authorityExpiresBy) return;
     this.viewCurrentAt = Math.min(this.viewCurrentAt, now);
   }
 
@@ -82,12 +82,12 @@
   }
 
   /** When the next host that was not heard holds no lease any more; Infinity without any. */
-  get nextOverBy(): Monotonic {
+  get nextLeaseExpiry(): Monotonic {
     return Math.min(Infinity, ...this.silent.values());
   }
 
   /** Hosts that may yet hide a run of a former leader. */
-  unheard(now: Monotonic): readonly HostId[] {
+  unreported(now: Monotonic): readonly HostId[] {
     return [...this.silent].flatMap(([host, overBy]) =>
       now < overBy ? [host] : [],
     );
--- a/packages/jobs/src/UnitPlacer.ts
+++ b/packages/jobs/src/UnitPlacer.ts
@@ -22,14 +22,14 @@
   type Priority,
   type Unit,
 } from "@rackspan/state";
-import { FirstSeen } from "./FirstSeen.js";
+import { PresenceTracker } from "./PresenceTracker.js";
 import { sampleHosts } from "./sampleHosts.js";
 import type {
   HostDirectory,
   HostView,
   Ownership,
   Placer,
-  Reserved,
+  HostReservation,
 } from "./types.js";
 
 export interface UnitPlacerOptions {
@@ -68,12 +68,12 @@
 export class UnitPlacer {
   private readonly queue: PQueue;
   private readonly inProgress = new Set<UnitId>();
-  private readonly openFor: FirstSeen<string>;
+  private readonly openFor: PresenceTracker<string>;
   private readonly backoffs = new Map<UnitId, Backoff>();
 
   constructor(private readonly options: UnitPlacerOptions) {
     this.queue = new PQueue({ concurrency: options.concurrency });
-    this.openFor = new FirstSeen(options.clock);
+    this.openFor = new PresenceTracker(options.clock);
   }
 
   /** Starts what may be started now; called again whenever something changed. */
@@ -84,10 +84,10 @@
       const name = taskIdOf(unit.id, unit.attempt);
       names.add(name);
       if (this.inProgress.has(unit.id)) continue;
-      if (!this.isMyTurn(unit, this.openFor.see(name))) continue;
+      if (!this.isMyTurn(unit, this.openFor.observe(name))) continue;
       this.enqueue(unit);
     }
-    this.openFor.keepOnly(names);
+    this.openFor.retainOnly(names);
     for (const id of this.backoffs.keys()) {
       if (this.options.fold.units.get(id)?.phase !== "open")
         this.backoffs.delete(id);
@@ -95,7 +95,7 @@
   }
 
   /** Placements that are waiting or in progress. */
-  get busy(): number {
+  get pendingCount(): number {
     return this.inProgress.size;
   }
 
@@ -163,7 +163,7 @@
   private async reserve(
     unit: Unit,
     view: HostView,
-  ): Promise<Reserved | undefined> {
+  ): Promise<HostReservation | undefined> {
     const { hosts, metrics, logger } = this.options;
     try {
       return await hosts.control(view.host)?.reserve(unit);
@@ -183,7 +183,7 @@
   private async claimAndStart(
     unit: Unit,
     { host }: HostView,
-    { reservation, generation }: Reserved,
+    { reservation, generation }: HostReservation,
   ): Promise<void> {
     const { appender, hosts, metrics, logger, claimTimeoutMs } = this.options;
     const { id, attempt } = unit;
--- a/packages/jobs/src/blameCrash.ts
+++ b/packages/jobs/src/attributeCrash.ts
@@ -5,12 +5,12 @@
 import type { CrashEvidence } from "@rackspan/state";
 import { CRASH_LIMITS } from "./CrashLog.js";
 import {
-  isApart,
-  refOf,
+  isIsolated,
+  runRefOf,
   workedMs,
   type ActiveRun,
-  type HostLedger,
-} from "./HostLedger.js";
+  type HostState,
+} from "./HostState.js";
 import type { JobTask } from "./JobTask.js";
 import type { StepRun } from "./StepRun.js";
 
@@ -21,7 +21,8 @@
  * What the side knows of a lost run: whether it was at work when its worker ended.
  * `unreached`: its worker had stopped answering before the run was ordered.
  */
-export type LastSight = "at-work" | "may-have-ended" | "unheard" | "unreached";
+export type LostRunState =
+  "at-work" | "may-have-ended" | "unheard" | "unreached";
 
 /**
  * A look that breaks off shows a run at work only while it is far from its end: the
@@ -30,19 +31,19 @@
  * @param expectedMs how long a run of the task is expected to take; undefined for one
  *   that lasts
  */
-export const sightOf = (
+export const lostRunStateOf = (
   { wasAtWork, orderedMs = 0 }: Pick<LostRun, "wasAtWork" | "orderedMs">,
   expectedMs: number | undefined,
-): LastSight => {
+): LostRunState => {
   if (orderedMs < 0) return "unreached";
   if (!wasAtWork) return "unheard";
   if (expectedMs === undefined) return "at-work";
-  const isFarFromEnd = orderedMs < CRASH_LIMITS.shareAtWork * expectedMs;
+  const isFarFromEnd = orderedMs < CRASH_LIMITS.maxAtWorkShare * expectedMs;
   return isFarFromEnd ? "at-work" : "may-have-ended";
 };
 
 export interface WorkerCrash {
-  readonly ledger: HostLedger;
+  readonly host: HostState;
   readonly loss: WorkerLoss;
   /** What the side tells of the runs that were lost with the worker. */
   readonly lostRuns: readonly LostRun[];
@@ -60,8 +61,8 @@
  *
  * @returns nothing for a worker that was leaving: its end was planned
  */
-export const blameCrash = ({
-  ledger,
+export const attributeCrash = ({
+  host: ledger,
   loss,
   lostRuns,
   expectedMs,
@@ -71,15 +72,19 @@
   const runs = [...ledger.runs.values()].filter((run) => !hasEnded(run));
   if (loss === "silent") return new Map(runs.map((run) => [run, "lost"]));
   const told = new Map(lostRuns.map((lost) => [runKeyOf(lost), lost]));
-  const sightOfRun = (run: ActiveRun): LastSight => {
-    const lost = told.get(runKeyOf(refOf(run)));
-    return lost ? sightOf(lost, expectedMs(run.task.step)) : "unheard";
+  const sightOfRun = (run: ActiveRun): LostRunState => {
+    const lost = told.get(runKeyOf(runRefOf(run)));
+    return lost ? lostRunStateOf(lost, expectedMs(run.task.step)) : "unheard";
   };
   const sights = new Map(runs.map((run) => [run, sightOfRun(run)]));
   const sole = findSole(runs.filter((run) => sights.get(run) !== "unreached"));
   const soleSight = sole && sights.get(sole);
   if (sole && soleSight && soleSight !== "unheard") {
-    const evidence = evidenceApart(sole.task, wasShown(sole), soleSight);
+    const evidence = evidenceOfIsolatedRun(
+      sole.task,
+      wasShown(sole),
+      soleSight,
+    );
     return new Map([[sole, evidence]]);
   }
   return new Map(
@@ -89,7 +94,7 @@
 
 /** The run that began apart, unless another one had begun just before it. */
 const findSole = (runs: readonly ActiveRun[]): ActiveRun | undefined => {
-  const sole = runs.find(isApart);
+  const sole = runs.find(isIsolated);
   if (!sole) return undefined;
   const others = runs.filter((run) => run !== sole);
   const isAlone = others.every(
@@ -103,29 +108,29 @@
  * and it was at work for certain. One that went on from a checkpoint may have had
  * little left to do.
  */
-export const evidenceApart = (
+export const evidenceOfIsolatedRun = (
   { checkpoint, step }: JobTask,
   wasShownThere: boolean,
-  sight: LastSight,
+  sight: LostRunState,
 ): CrashEvidence => {
   const mayBeShort = checkpoint !== "" && !step.spec.lasting;
   const isProof = wasShownThere && sight === "at-work" && !mayBeShort;
   return isProof ? "sole" : "unanswered";
 };
 
-const evidenceOf = (run: ActiveRun, sight: LastSight): CrashEvidence =>
-  evidenceAfter(wasShown(run) ? workedMs(run) : undefined, sight);
+const evidenceOf = (run: ActiveRun, sight: LostRunState): CrashEvidence =>
+  evidenceOfSharedRun(wasShown(run) ? workedMs(run) : undefined, sight);
 
-const wasShown = ({ shownFirstAt }: ActiveRun): boolean =>
+const wasShown = ({ firstSeenAt: shownFirstAt }: ActiveRun): boolean =>
   shownFirstAt !== undefined;
 
 /**
  * @param ms for how long the worker had shown the run when it crashed; undefined
  *   when it never had
  */
-export const evidenceAfter = (
+export const evidenceOfSharedRun = (
   ms: number | undefined,
-  sight: LastSight,
+  sight: LostRunState,
 ): CrashEvidence => {
   if (sight === "unreached") return "unknown";
   if (ms === undefined) return "unseen";
--- a/packages/jobs/src/reconcileReport.ts
+++ b/packages/jobs/src/reconcileReport.ts
@@ -5,11 +5,11 @@
 import { runKeyOf, type EndedRun, type RunningTask } from "@rackspan/ports";
 import { CRASH_LIMITS } from "./CrashLog.js";
 import {
-  noteShown,
+  markSeen,
   workedMs,
   type ActiveRun,
-  type HostLedger,
-} from "./HostLedger.js";
+  type HostState,
+} from "./HostState.js";
 
 export interface ReportChanges {
   /** Ends that were not taken note of before, in the worker's order. */
@@ -27,7 +27,12 @@
  */
 const hasVanished = (
   { at, hasMoreEnds }: HostReport,
-  { phase, answeredAt, orderLapsesAt, stop }: ActiveRun,
+  {
+    phase,
+    lastSeenAt: answeredAt,
+    orderExpiresAt: orderLapsesAt,
+    stop,
+  }: ActiveRun,
 ): boolean => {
   if (hasMoreEnds) return false;
   if (answeredAt !== undefined) return at > answeredAt;
@@ -53,7 +58,7 @@
   run.progressPercent = row.progressPercent;
   run.reading = row.reading;
   run.crawlingSince = crawls(run) ? (run.crawlingSince ?? now) : undefined;
-  run.task.step.job.noteCheckpoint(run.task, row.checkpoint);
+  run.task.step.job.recordCheckpoint(run.task, row.checkpoint);
 };
 
 /**
@@ -61,21 +66,21 @@
  * them: one that works for a while has crashed none by being started.
  */
 const clearLasting = (run: ActiveRun): void => {
-  const { crashes, step } = run.task;
+  const { crashLog: crashes, step } = run.task;
   if (!step.spec.lasting || crashes.isEmpty) return;
-  if (workedMs(run) < CRASH_LIMITS.clearedMs) return;
+  if (workedMs(run) < CRASH_LIMITS.clearAfterMs) return;
   crashes.clear();
-  step.job.hasUnkeptProgress = true;
+  step.job.hasUnpersistedProgress = true;
 };
 
 /** Brings the ledger's runs up to date; what needs a decision is returned. */
 export const reconcileReport = (
-  ledger: HostLedger,
+  ledger: HostState,
   report: HostReport,
   now: Monotonic,
 ): ReportChanges => {
   const ended = report.ended
-    .filter(({ number }) => number > ledger.notedEnds)
+    .filter(({ number }) => number > ledger.processedEnds)
     .sort((a, b) => a.number - b.number);
   const endedRuns = new Set(ended.map(runKeyOf));
   const rows = new Map(report.running.map((row) => [runKeyOf(row), row]));
@@ -85,7 +90,7 @@
     if (row) {
       rows.delete(key);
       noteReading(run, row, now);
-      noteShown(run, report.at);
+      markSeen(run, report.at);
       clearLasting(run);
       if (run.phase === "starting" || run.phase === "unsure") {
         run.phase = "running";
@@ -96,8 +101,8 @@
     if (hasVanished(report, run)) vanished.push(run);
   }
   const last = ended.at(-1);
-  if (last) ledger.notedEnds = last.number;
+  if (last) ledger.processedEnds = last.number;
   ledger.reportedAt = report.at;
-  ledger.heardAt = now;
+  ledger.reportReceivedAt = now;
   return { ended, vanished, unknown: [...rows.values()] };
 };
--- a/packages/jobs/src/types.ts
+++ b/packages/jobs/src/types.ts
@@ -31,14 +31,14 @@
   readonly placing: readonly UnitId[];
 }
 
-export interface Reserved {
+export interface HostReservation {
   readonly reservation: ReservationId;
   readonly generation: HostGeneration;
 }
 
 /** Calls to the side process of one host; each may fail as RPC does. */
 export interface HostControl {
-  reserve(unit: Unit): Promise<Reserved>;
+  reserve(unit: Unit): Promise<HostReservation>;
   releaseReservation(reservation: ReservationId): Promise<void>;
   start(unit: Unit): Promise<void>;
   stop(task: TaskId, checkpoint: boolean): Promise<void>;
--- a/packages/jobs/tests/interferenceBook.test.ts
+++ b/packages/jobs/tests/interferenceEstimator.test.ts
@@ -1,7 +1,7 @@
 import { test } from "node:test";
 import { expect } from "earl";
 import { brand, SeededRandom } from "@rackspan/common";
-import { InterferenceBook, TAIL_MODEL } from "@rackspan/jobs";
+import { InterferenceEstimator, TAIL_MODEL } from "@rackspan/jobs";
 import type { ImageName } from "@rackspan/state";
 
 const image = (name: string): ImageName => brand<ImageName>(name);
@@ -14,7 +14,7 @@
 ]);
 
 /** Readings of a tail that the true weights give, with noise of a tenth. */
-const teach = (book: InterferenceBook, readings: number): void => {
+const teach = (book: InterferenceEstimator, readings: number): void => {
   const random = new SeededRandom(7);
   for (let at = 0; at < readings; at += 1) {
     const beside = new Map(
@@ -28,32 +28,41 @@
     book.learn(WEB, {
       at: at * READ_EVERY_MS,
       tail: tail + noise,
-      tasks: 1,
-      beside,
+      taskCount: 1,
+      colocatedCores: beside,
     });
   }
 };
 
 test("a pair that disturbs is told from one that does not", () => {
-  const book = new InterferenceBook();
+  const book = new InterferenceEstimator();
   teach(book, 200);
   expect(book.weight(WEB, image("render")) > 0.15).toEqual(true);
   expect(book.weight(WEB, image("index")) < 0.03).toEqual(true);
 });
 
 test("weights stay within their bounds, whatever the readings are", () => {
-  const book = new InterferenceBook();
+  const book = new InterferenceEstimator();
   const beside = new Map([[image("render"), 3]]);
   for (const [at, tail] of [20, -20, -700, 20, 4].entries()) {
-    book.learn(WEB, { at: at * READ_EVERY_MS, tail, tasks: 1, beside });
+    book.learn(WEB, {
+      at: at * READ_EVERY_MS,
+      tail,
+      taskCount: 1,
+      colocatedCores: beside,
+    });
     const weight = book.weight(WEB, image("render"));
     expect(weight >= 0 && weight <= TAIL_MODEL.maxWeight).toEqual(true);
   }
 });
 
 test("readings without filling tasks move only the base", () => {
-  const book = new InterferenceBook();
-  const reading = { tail: Math.log(0.7), tasks: 1, beside: new Map() };
+  const book = new InterferenceEstimator();
+  const reading = {
+    tail: Math.log(0.7),
+    taskCount: 1,
+    colocatedCores: new Map(),
+  };
   for (let at = 0; at < 200; at += 1)
     book.learn(WEB, { ...reading, at: at * READ_EVERY_MS });
   const undisturbed = Math.exp(book.predict(WEB, new Map()));
@@ -62,7 +71,7 @@
 });
 
 test("an image that only stood beside the one that disturbs is not blamed for long", () => {
-  const book = new InterferenceBook();
+  const book = new InterferenceEstimator();
   const [render, index] = [image("render"), image("index")];
   const both = new Map([
     [render, 4],
@@ -74,8 +83,8 @@
     book.learn(WEB, {
       at: at * READ_EVERY_MS,
       tail: tailOf(beside),
-      tasks: 1,
-      beside,
+      taskCount: 1,
+      colocatedCores: beside,
     });
   for (let at = 0; at < 10; at += 1) learn(at, both);
   for (let at = 10; at < 20; at += 1) learn(at, new Map([[index, 4]]));
@@ -85,14 +94,14 @@
 });
 
 test("the image not seen for longest is forgotten when there are too many", () => {
-  const book = new InterferenceBook();
+  const book = new InterferenceEstimator();
   let readings = 0;
   const read = (tail: number, beside: Map<ImageName, number>): void =>
     book.learn(WEB, {
       at: (readings += 1) * READ_EVERY_MS,
       tail,
-      tasks: 1,
-      beside,
+      taskCount: 1,
+      colocatedCores: beside,
     });
   // One reading with the image and one without: the base is told apart from it.
   const teachOne = (name: string): void => {
@@ -107,7 +116,7 @@
 });
 
 test("what is learnt stays finite over hours of readings", () => {
-  const book = new InterferenceBook();
+  const book = new InterferenceEstimator();
   const random = new SeededRandom(11);
   const images = Array.from({ length: 9 }, (_, at) => image(`image${at}`));
   for (let at = 0; at < 200_000; at += 1) {
@@ -118,7 +127,12 @@
     );
     const tail = 4 * (random.next() - 0.5);
     const tasks = 1 + Math.floor(random.next() * 5);
-    book.learn(WEB, { at: at * READ_EVERY_MS, tail, tasks, beside });
+    book.learn(WEB, {
+      at: at * READ_EVERY_MS,
+      tail,
+      taskCount: tasks,
+      colocatedCores: beside,
+    });
   }
   for (const name of images) {
     const weight = book.weight(WEB, name);
@@ -128,7 +142,7 @@
 });
 
 test("a load that swings is not taken for disturbance by what stands beside it", () => {
-  const book = new InterferenceBook();
+  const book = new InterferenceEstimator();
   const [render, index] = [image("render"), image("index")];
   const random = new SeededRandom(3);
   const swingMs = 14_000;
@@ -142,19 +156,19 @@
     const disturbed = 0.2 * (beside.get(render) ?? 0);
     const noise = 0.5 * (random.next() - 0.5);
     const tail = TAIL_MODEL.initialBase + load + disturbed + noise;
-    book.learn(WEB, { at, tail, tasks: 4, beside });
+    book.learn(WEB, { at, tail, taskCount: 4, colocatedCores: beside });
   }
   expect(Math.abs(book.weight(WEB, render) - 0.2) < 0.04).toEqual(true);
   expect(book.weight(WEB, index) < 0.06).toEqual(true);
 });
 
 test("what was learnt goes over to the next leader, and is taken only once", () => {
-  const book = new InterferenceBook();
+  const book = new InterferenceEstimator();
   teach(book, 200);
   const [record] = book.takeChanged(1_000);
   if (!record) throw new Error("nothing was kept");
   expect(book.takeChanged(2_000)).toEqual([]);
-  const next = new InterferenceBook();
+  const next = new InterferenceEstimator();
   expect(next.restore(record, 500)).toEqual(true);
   const render = image("render");
   const lost = next.weight(WEB, render) - book.weight(WEB, render);
@@ -166,7 +180,7 @@
 });
 
 test("a record whose parts do not belong together is not taken", () => {
-  const book = new InterferenceBook();
+  const book = new InterferenceEstimator();
   teach(book, 20);
   const [record] = book.takeChanged(1_000);
   if (!record) throw new Error("nothing was kept");
@@ -175,7 +189,7 @@
     { ...record, covariance: record.covariance.map((row) => [...row, 0]) },
     { ...record, filling: [...record.filling, image("more")] },
   ]) {
-    const next = new InterferenceBook();
+    const next = new InterferenceEstimator();
     expect(next.restore(broken, 0)).toEqual(false);
     expect(next.weight(WEB, image("render"))).toEqual(TAIL_MODEL.initialWeight);
   }
--- a/packages/jobs/tests/jobRun.test.ts
+++ b/packages/jobs/tests/jobRun.test.ts
@@ -16,7 +16,7 @@
 
 const finish = (job: JobRun, occurrence: number): void => {
   const task = job.task(occurrence, 0, 0);
-  if (task) job.noteEnd(task, brand<RunNumber>(1), "done", "");
+  if (task) job.recordEnd(task, brand<RunNumber>(1), "done", "");
 };
 
 test("no occurrence runs before it is due", () => {
--- a/packages/scheduling/src/CheckpointWriter.ts
+++ b/packages/scheduling/src/CheckpointWriter.ts
@@ -35,7 +35,7 @@
     const { clock, intervalMs: everyMs } = this.options;
     if (everyMs === 0) return;
     for (const { step } of tasks) {
-      if (step.job.hasUnkeptProgress) this.changed.add(step.job);
+      if (step.job.hasUnpersistedProgress) this.changed.add(step.job);
     }
     if (this.changed.size === 0 || this.timer) return;
     this.timer = clock.after(everyMs, () => {
@@ -47,13 +47,14 @@
   private keep(): void {
     const { journal, logger } = this.options;
     const jobs = [...this.changed].filter(
-      ({ isEnded, hasUnkeptProgress }) => hasUnkeptProgress && !isEnded,
+      ({ isEnded, hasUnpersistedProgress: hasUnkeptProgress }) =>
+        hasUnkeptProgress && !isEnded,
     );
     this.changed.clear();
     if (jobs.length === 0) return;
     logger.debug("checkpoints.kept", { jobs: jobs.length });
     for (const job of jobs) {
-      journal.record(job).catch((err: unknown) =>
+      journal.persist(job).catch((err: unknown) =>
         // Another leader has taken over, and keeps what it sees itself.
         logger.warn("checkpoints.not-kept", {
           job: job.id,
--- a/packages/scheduling/src/CrashTracker.ts
+++ b/packages/scheduling/src/CrashTracker.ts
@@ -6,13 +6,13 @@
 
 import type { HostId, Monotonic, RunNumber, Timer } from "@rackspan/common";
 import {
-  blameCrash,
+  attributeCrash,
   CRASH_LIMITS,
-  evidenceAfter,
-  evidenceApart,
+  evidenceOfSharedRun,
+  evidenceOfIsolatedRun,
   hasSettledAfter,
-  refOf,
-  sightOf,
+  runRefOf,
+  lostRunStateOf,
   type ActiveRun,
   type JobRun,
   type JobTask,
@@ -81,12 +81,12 @@
   ): void {
     const { options, runs } = this.parts;
     const { ledger } = entry;
-    const blamed = blameCrash({
-      ledger,
+    const blamed = attributeCrash({
+      host: ledger,
       loss,
       lostRuns,
       expectedMs: (step) => this.expectedMs(step),
-      hasEnded: (run) => this.ended.get(runKeyOf(refOf(run))) === true,
+      hasEnded: (run) => this.ended.get(runKeyOf(runRefOf(run))) === true,
     });
     const wasPlanned = ledger.worker.draining;
     if (loss === "crashed" && !wasPlanned && !isProven(blamed)) {
@@ -101,12 +101,12 @@
       blamed: blamed.size,
     });
     for (const run of [...ledger.runs.values()]) {
-      this.judged.set(runKeyOf(refOf(run)), true);
+      this.judged.set(runKeyOf(runRefOf(run)), true);
       runs.returnRun(entry, run, reason);
     }
     const toldOpen = keysOfOpen(lostRuns);
     for (const [run, evidence] of blamed) {
-      const isToldOpen = toldOpen.has(runKeyOf(refOf(run)));
+      const isToldOpen = toldOpen.has(runKeyOf(runRefOf(run)));
       const order = isToldOpen ? "told-open" : orderOf(run);
       this.note(ledger.host, run, evidence, order);
     }
@@ -115,10 +115,10 @@
   /** The answer to its order shows that a lost run never began: it speaks against nothing. */
   handleNeverStarted({ task, run }: TaskRun): void {
     const { job } = task.step;
-    if (job.isEnded || !task.crashes.forget(run)) return;
+    if (job.isEnded || !task.crashLog.remove(run)) return;
     const { clock, logger, metrics } = this.parts.options;
     metrics.count("task_crashes_taken_back");
-    const { points } = task.crashes;
+    const { points } = task.crashLog;
     logger.info("task.crash-taken-back", { task: task.id, run, points });
     if (this.endWait(task, run)) task.heldUntil = clock.monotonic();
     this.keep(job, task);
@@ -146,7 +146,7 @@
   private othersWereLost(host: HostId, at: Monotonic): boolean {
     return [...this.unexplained].some(
       ([other, lostAt]) =>
-        other !== host && Math.abs(lostAt - at) < CRASH_LIMITS.togetherMs,
+        other !== host && Math.abs(lostAt - at) < CRASH_LIMITS.correlatedLossMs,
     );
   }
 
@@ -154,7 +154,7 @@
   private noteUnexplained(host: HostId): void {
     const now = this.parts.options.clock.monotonic();
     // Proof asks after its own wait for losses that came up to as long before it.
-    const oldest = now - 2 * CRASH_LIMITS.togetherMs;
+    const oldest = now - 2 * CRASH_LIMITS.correlatedLossMs;
     for (const [other, lostAt] of [...this.unexplained]) {
       if (lostAt < oldest) this.unexplained.delete(other);
     }
@@ -175,10 +175,10 @@
     const isSole =
       only && young.length === 1 && beganApart(only.task, only.lost);
     for (const { task, lost } of isSole ? [only] : open) {
-      const sight = sightOf(lost, this.expectedMs(task.step));
+      const sight = lostRunStateOf(lost, this.expectedMs(task.step));
       const evidence = isSole
-        ? evidenceApart(task, lost.workedMs !== undefined, sight)
-        : evidenceAfter(lost.workedMs, sight);
+        ? evidenceOfIsolatedRun(task, lost.workedMs !== undefined, sight)
+        : evidenceOfSharedRun(lost.workedMs, sight);
       const run = { task, run: lost.run };
       this.note(host, run, evidence, lost.isOrderOpen ? "told-open" : "over");
     }
@@ -215,7 +215,7 @@
   private openLoss(lost: LostRun): { task: JobTask; lost: LostRun }[] {
     const task = this.parts.jobs.findTask(lost.task);
     if (!task) return [];
-    const evidence = task.crashes.evidenceOf(lost.run);
+    const evidence = task.crashLog.evidenceOf(lost.run);
     const isJudged = evidence !== undefined || this.judged.get(runKeyOf(lost));
     // That its host had been silent was all that was known of the run.
     return isJudged && evidence !== "lost" ? [] : [{ task, lost }];
@@ -227,9 +227,9 @@
    */
   resolvePreviousRun(task: JobTask): void {
     const { job } = task.step;
-    const isNew = job.settleAnnounced(task);
+    const isNew = job.resolveWriteAheadRun(task);
     if (isNew) this.logCount(task, "unknown");
-    if (isNew || job.hasSpentCrashes(task)) this.keep(job, task);
+    if (isNew || job.hasReachedCrashLimit(task)) this.keep(job, task);
   }
 
   private note(
@@ -240,11 +240,11 @@
   ): void {
     const { job } = task.step;
     if (job.isEnded || task.phase === "done") return;
-    if (task.announced === run) task.announced = undefined;
-    task.crashes.note(run, evidence);
+    if (task.writeAheadRun === run) task.writeAheadRun = undefined;
+    task.crashLog.record(run, evidence);
     this.logCount(task, evidence, run, host);
     if (evidence === "sole") this.doubtLater(host, task, run);
-    else if (order !== "over" && job.hasSpentCrashes(task)) {
+    else if (order !== "over" && job.hasReachedCrashLimit(task)) {
       this.awaitAnswer(task, run, order === "told-open");
     } else this.keep(job, task);
   }
@@ -257,9 +257,9 @@
   private doubtLater(host: HostId, task: JobTask, run: RunNumber): void {
     const at = this.parts.options.clock.monotonic();
     this.parts.progressRecorder.recordJob(task.step.job);
-    this.judgeLater(task, CRASH_LIMITS.togetherMs, () => {
+    this.judgeLater(task, CRASH_LIMITS.correlatedLossMs, () => {
       if (task.step.job.isEnded || !this.othersWereLost(host, at)) return;
-      task.crashes.note(run, "doubted");
+      task.crashLog.record(run, "doubted");
       this.logCount(task, "doubted", run, host);
     });
   }
@@ -304,7 +304,7 @@
   ): void {
     const { logger, metrics } = this.parts.options;
     metrics.count("task_crashes", { evidence });
-    const { points, crashes, isSuspect } = task.crashes;
+    const { points, crashCount: crashes, isSuspect } = task.crashLog;
     logger.warn("task.crash-counted", {
       task: task.id,
       run,
@@ -329,6 +329,6 @@
 
 /** Whether the lost run was the announced one of its task, had just begun, and broke a look off. */
 const beganApart = (
-  { announced, crashes }: JobTask,
+  { writeAheadRun: announced, crashLog: crashes }: JobTask,
   { run, workedMs = 0, wasAtWork }: LostRun,
-): boolean => wasAtWork && announced === run && workedMs < crashes.apartMs;
+): boolean => wasAtWork && announced === run && workedMs < crashes.isolationMs;
--- a/packages/scheduling/src/CycleHostFilter.ts
+++ b/packages/scheduling/src/CycleHostFilter.ts
@@ -1,12 +1,12 @@
 /** Which hosts tasks keep off in one pass, although they have room: for suspects, and for lasting tasks. */
 
 import type { Clock, Monotonic } from "@rackspan/common";
-import type { HostLedger, StepRun } from "@rackspan/jobs";
+import type { HostState, StepRun } from "@rackspan/jobs";
 import { ENGINE } from "./engineTypes.js";
 
 export class CycleHostFilter {
   /** Emptied for a lasting task: plain ones keep off them. */
-  private readonly emptying = new Set<HostLedger>();
+  private readonly emptying = new Set<HostState>();
 
   constructor(private readonly clock: Clock) {}
 
@@ -21,9 +21,9 @@
    */
   hostsOpenTo(
     { spec }: StepRun,
-    hosts: readonly HostLedger[],
-  ): readonly HostLedger[] {
-    const open = hosts.filter((host) => !host.holdsApart);
+    hosts: readonly HostState[],
+  ): readonly HostState[] {
+    const open = hosts.filter((host) => !host.hasIsolatedRun);
     if (spec.lasting || spec.filling || this.emptying.size === 0) return open;
     return open.filter((host) => !this.emptying.has(host));
   }
@@ -32,18 +32,18 @@
    * Lasting tasks are large: room for one comes only when the plain tasks of a
    * host end and no others take their place.
    */
-  recordUnplaced(step: StepRun, hosts: readonly HostLedger[]): void {
+  recordUnplaced(step: StepRun, hosts: readonly HostState[]): void {
     const now = this.clock.monotonic();
     step.unplacedSince ??= now;
     if (!isOverdueLasting(step, now)) return;
     const { demand } = step.spec;
     const withoutPlain = hosts.filter(
-      ({ worker, room }) =>
+      ({ worker, allocated: room }) =>
         worker.milliCores - room.servingMilliCores >= demand.milliCores &&
         worker.memoryMiB - room.memoryMiB >= demand.memoryMiB,
     );
     const [emptiest] = withoutPlain.sort(
-      (a, b) => a.room.plainMilliCores - b.room.plainMilliCores,
+      (a, b) => a.allocated.plainMilliCores - b.allocated.plainMilliCores,
     );
     if (emptiest) this.emptying.add(emptiest);
   }
--- a/packages/scheduling/src/Dispatcher.ts
+++ b/packages/scheduling/src/Dispatcher.ts
@@ -1,7 +1,7 @@
 /** Starts waiting tasks on hosts with room, in the order of work. */
 
 import type { RunNumber } from "@rackspan/common";
-import type { HostLedger, JobRun, JobTask, StepRun } from "@rackspan/jobs";
+import type { HostState, JobRun, JobTask, StepRun } from "@rackspan/jobs";
 import type { OutlierEjector } from "@rackspan/routing";
 import type { PermitRule, JobTerms, QueueSpec } from "@rackspan/state";
 import { IsolatedStartQueue } from "./IsolatedStartQueue.js";
@@ -144,8 +144,8 @@
 
   private permittedOf(
     step: StepRun,
-    hosts: readonly HostLedger[],
-  ): readonly HostLedger[] {
+    hosts: readonly HostState[],
+  ): readonly HostState[] {
     const { permits } = this.options;
     return hosts.filter((host) => permits.ticketFor(step, host) !== undefined);
   }
@@ -198,8 +198,8 @@
   /** Hosts that the step tries although they are ejected. */
   private lastResortOf(
     step: StepRun,
-    ejected: readonly HostLedger[],
-  ): readonly HostLedger[] {
+    ejected: readonly HostState[],
+  ): readonly HostState[] {
     if (!isOverdueLasting(step, this.options.engine.clock.monotonic()))
       return [];
     return this.heldBack.hostsOpenTo(step, ejected);
@@ -212,7 +212,7 @@
    */
   private placeApart(
     task: JobTask,
-    open: readonly HostLedger[],
+    open: readonly HostState[],
   ): "placed" | "not-now" | "no-host" {
     const { runLog: announcer, hosts: book, placer, engine } = this.options;
     const now = engine.clock.monotonic();
@@ -225,7 +225,7 @@
     const takesTurn = lasting || this.turns.hasWaitedLong(task, now);
     const isApart = mayIsolate(open, book.all(), takesTurn);
     // Where no host more may be held, a lasting task whose workers outlived its start shares one.
-    const mayShare = lasting && task.crashes.hasCrashedNoneAtStart;
+    const mayShare = lasting && task.crashLog.hasNoCrashAtStart;
     if (!isApart && !mayShare) return "not-now";
     const host = pickIsolatedHost({ task, open, placer, mustPlace: takesTurn });
     if (!host) return isApart ? "no-host" : "not-now";
@@ -259,7 +259,7 @@
   }
 
   /** Starts all tasks of the step under one run number, or none. */
-  private placeGang(step: StepRun, hosts: readonly HostLedger[]): void {
+  private placeGang(step: StepRun, hosts: readonly HostState[]): void {
     const waiting = [...step.waiting];
     if (waiting.length < step.tasks.length - step.doneCount) return;
     const open = this.heldBack.hostsOpenTo(step, hosts);
@@ -273,7 +273,7 @@
 
   /** @param isApart whether a suspected task begins apart from others */
   private startOn(
-    host: HostLedger,
+    host: HostState,
     task: JobTask,
     number: RunNumber,
     isApart = false,
@@ -283,7 +283,7 @@
     const ticket = permits.ticketFor(task.step, host);
     announcer.markOrdered(task);
     this.turns.remove(task);
-    const apartMs = isApart ? task.crashes.apartMs : 0;
+    const apartMs = isApart ? task.crashLog.isolationMs : 0;
     if (entry)
       runs.start(entry, task, number, { ticket, isolationMs: apartMs });
   }
@@ -292,8 +292,8 @@
 /** Hosts that could run the step's first waiting task, those with most left first. */
 const ableHosts = (
   step: StepRun,
-  hosts: readonly HostLedger[],
-): readonly HostLedger[] => {
+  hosts: readonly HostState[],
+): readonly HostState[] => {
   const [task] = step.waiting;
   if (!task) return [];
   return hosts
--- a/packages/scheduling/src/HostMonitor.ts
+++ b/packages/scheduling/src/HostMonitor.ts
@@ -32,7 +32,7 @@
     const now = this.parts.options.clock.monotonic();
     this.dropExpiredHosts(now);
     for (const entry of [...this.parts.hosts.all()]) {
-      if (now >= entry.ledger.leaseOverBy) {
+      if (now >= entry.ledger.leasesExpireBy) {
         noteUnplaced(entry);
         this.removeHost(entry, "silent", "lease-over");
       } else this.watchRuns(entry, now);
@@ -42,8 +42,8 @@
   /** When the next host's leases are over, unless it is heard before; Infinity without any. */
   nextLeaseExpiry(): Monotonic {
     const { options, hosts } = this.parts;
-    const ledgers = [...hosts.all()].map(({ ledger }) => ledger.leaseOverBy);
-    return Math.min(options.gate.nextOverBy, ...ledgers);
+    const ledgers = [...hosts.all()].map(({ ledger }) => ledger.leasesExpireBy);
+    return Math.min(options.gate.nextLeaseExpiry, ...ledgers);
   }
 
   /** Nothing runs there any more: it ended, or was silent until its lease was over. */
@@ -84,10 +84,10 @@
     const now = clock.monotonic();
     const overBy = now + overInMs;
     const ledger = hosts.get(host)?.ledger;
-    if (ledger && gate.unheard(now).includes(host)) return;
+    if (ledger && gate.unreported(now).includes(host)) return;
     const soonerByMs = ledger
-      ? ledger.noteSilent(overBy)
-      : gate.noteSilent(host, overBy);
+      ? ledger.recordSilence(overBy)
+      : gate.recordSilence(host, overBy);
     if (Math.abs(soonerByMs) < SILENCE.leastChangeMs) return;
     logger.info("host.silent", {
       host,
@@ -114,7 +114,7 @@
   ): void {
     const { gate, logger, roster } = this.parts.options;
     logger.warn("host.gone", { host, instance, reason });
-    gate.noteHeard(host);
+    gate.recordReport(host);
     roster.remove(host);
   }
 
@@ -180,7 +180,7 @@
     const { step } = task;
     if (!step.spec.lasting) continue;
     const since = step.unplacedSince ?? Infinity;
-    step.unplacedSince = Math.min(since, ledger.heardAt);
+    step.unplacedSince = Math.min(since, ledger.reportReceivedAt);
   }
 };
 
@@ -189,7 +189,9 @@
  * still do its work, and counted up to now it would be stopped as one that stands still.
  */
 const lastShownAt = ({ ledger }: HostEntry, now: Monotonic): Monotonic =>
-  now - ledger.heardAt < ENGINE.missedReportMs ? now : ledger.heardAt;
+  now - ledger.reportReceivedAt < ENGINE.missedReportMs
+    ? now
+    : ledger.reportReceivedAt;
 
 /** Whether the task crawls there, saves its progress, and was not moved off before. */
 const shouldLeave = (
@@ -200,7 +202,7 @@
   const { task, crawlingSince } = run;
   if (!task.step.spec.checkpointing || crawlingSince === undefined)
     return false;
-  if (task.avoid.includes(host)) return false;
+  if (task.avoidedHosts.includes(host)) return false;
   return shownUntil - crawlingSince > ENGINE.crawlMs;
 };
 
--- a/packages/scheduling/src/HostRegistrar.ts
+++ b/packages/scheduling/src/HostRegistrar.ts
@@ -6,7 +6,7 @@
   type HostId,
   type Monotonic,
 } from "@rackspan/common";
-import { describeTask, HostLedger } from "@rackspan/jobs";
+import { describeTask, HostState } from "@rackspan/jobs";
 import { latestLeaseExpiry } from "@rackspan/leadership";
 import type { HostReport } from "@rackspan/protocol";
 import type { EngineParts } from "./engineParts.js";
@@ -45,8 +45,8 @@
 
   /** A side keeps to what it told of its silent worker for as long as the connection stands. */
   private forgetSilent(host: HostId): void {
-    this.parts.options.gate.forgetSilent(host);
-    this.parts.hosts.get(host)?.ledger.forgetSilent();
+    this.parts.options.gate.clearSilence(host);
+    this.parts.hosts.get(host)?.ledger.clearSilence();
   }
 
   /** The host's entry; a host that is not known yet is taken in. */
@@ -60,7 +60,7 @@
     const { logger } = options;
     const known = hosts.get(host);
     if (known) return known;
-    const ledger = new HostLedger(host, zone, worker);
+    const ledger = new HostState(host, zone, worker);
     const entry: HostEntry = {
       ledger,
       session: this.sessions.get(host),
@@ -69,7 +69,7 @@
     };
     hosts.set(entry);
     // Until it is heard the host may hold leases of a former leader.
-    ledger.noteGrant(latestLeaseExpiry(now, options.leaseMs));
+    ledger.recordGrant(latestLeaseExpiry(now, options.leaseMs));
     logger.info("host.joined", {
       host,
       instance: worker.instance,
--- a/packages/scheduling/src/HostRegistry.ts
+++ b/packages/scheduling/src/HostRegistry.ts
@@ -45,7 +45,7 @@
     host.ledger.add(run);
     this.placed.set(task, { host, run });
     this.countRun(run, 1);
-    task.step.job.notePlaced(task);
+    task.step.job.markPlaced(task);
     return true;
   }
 
@@ -62,7 +62,7 @@
     host.ledger.remove(run);
     this.placed.delete(task);
     this.countRun(run, -1);
-    task.step.job.noteWaiting(task);
+    task.step.job.markWaiting(task);
     return true;
   }
 
--- a/packages/scheduling/src/IsolatedStartQueue.ts
+++ b/packages/scheduling/src/IsolatedStartQueue.ts
@@ -34,7 +34,7 @@
   hasWaitedLong(task: JobTask, now: Monotonic): boolean {
     const since = this.since.get(task);
     if (since === undefined) return false;
-    return now - since >= CRASH_LIMITS.apartPatienceMs;
+    return now - since >= CRASH_LIMITS.isolationGraceMs;
   }
 
   /** The overdue tasks among these, in the order of their turns; each is given once a pass. */
--- a/packages/scheduling/src/JobEngine.ts
+++ b/packages/scheduling/src/JobEngine.ts
@@ -12,7 +12,7 @@
   WorkerTime,
 } from "@rackspan/common";
 import {
-  InterferenceBook,
+  InterferenceEstimator,
   JobRun,
   reconcileReport,
   type ReportChanges,
@@ -66,7 +66,7 @@
 export class JobEngine {
   private readonly jobs = new JobRegistry();
   private readonly hosts = new HostRegistry();
-  private readonly interference: InterferenceBook;
+  private readonly interference: InterferenceEstimator;
   private readonly checkpoints: CheckpointWriter;
   private readonly learnt: LearnedStateStore;
   private readonly permits: PermitTracker;
@@ -89,7 +89,7 @@
   constructor(private readonly options: EngineOptions) {
     const { clock, journal, logger, order, placer, policy } = options;
     const { jobs, hosts } = this;
-    const interference = new InterferenceBook(policy.learnsInterference);
+    const interference = new InterferenceEstimator(policy.learnsInterference);
     this.interference = interference;
     const estimates = new RuntimeEstimator(policy.correctsEstimates);
     const failuresToEject = policy.ejectsFailingHosts
@@ -321,8 +321,8 @@
     learnInterference(ledger, this.interference, now);
     updateSlowness(entry, this.hosts, now);
     // What is still to be listed may have ended under a former leader.
-    if (report.hasMoreEnds) gate.forgetSilent(host);
-    else gate.noteHeard(host);
+    if (report.hasMoreEnds) gate.clearSilence(host);
+    else gate.recordReport(host);
     this.dispatcher.requestCycle();
     this.intake.refreshRostered(entry);
     this.dispatcher.runCycleIfOverdue();
@@ -338,7 +338,7 @@
     const { mayDecide, leaseMs } = this.options;
     const acknowledged = ledger.acknowledgedEnds;
     if (!mayDecide() || !rostered) return { acknowledged };
-    ledger.noteGrant(latestLeaseExpiry(now, leaseMs));
+    ledger.recordGrant(latestLeaseExpiry(now, leaseMs));
     return {
       leaseUntil: (report.at + leaseMs) as WorkerTime,
       acknowledged,
@@ -354,7 +354,9 @@
   ): void {
     if (formerStartsForMs === 0) return;
     const latestAt = now + formerStartsForMs;
-    ledger.noteFormerStarts(latestLeaseExpiry(latestAt, this.options.leaseMs));
+    ledger.recordPreviousStarts(
+      latestLeaseExpiry(latestAt, this.options.leaseMs),
+    );
   }
 
   private takeChanges(entry: HostEntry, changes: ReportChanges): void {
--- a/packages/scheduling/src/JobFinisher.ts
+++ b/packages/scheduling/src/JobFinisher.ts
@@ -18,9 +18,9 @@
     const live = this.parts.jobs.get(job.id);
     if (!live) return;
     if (job.isComplete) this.finish(live, "completed", "all-tasks-done");
-    else if (job.hasSpentAttempts(task)) {
+    else if (job.hasReachedAttemptLimit(task)) {
       this.finish(live, "failed", `attempts-spent:${task.id}`);
-    } else if (job.hasSpentCrashes(task)) {
+    } else if (job.hasReachedCrashLimit(task)) {
       this.finish(live, "failed", `crashed-its-workers:${task.id}`);
     }
   }
--- a/packages/scheduling/src/LearnedStateStore.ts
+++ b/packages/scheduling/src/LearnedStateStore.ts
@@ -5,7 +5,7 @@
  */
 
 import type { Clock, Logger, Timer } from "@rackspan/common";
-import type { InterferenceBook } from "@rackspan/jobs";
+import type { InterferenceEstimator } from "@rackspan/jobs";
 import { ageOf, learntKeyOf, type LearntRecord } from "@rackspan/state";
 import type { RuntimeEstimator } from "./RuntimeEstimator.js";
 
@@ -13,7 +13,7 @@
 const MAX_AGE_MS = 600_000;
 
 export interface LearnedStateStoreOptions {
-  readonly interference: InterferenceBook;
+  readonly interference: InterferenceEstimator;
   readonly estimates: RuntimeEstimator;
   readonly clock: Clock;
   readonly logger: Logger;
--- a/packages/scheduling/src/PermitTracker.ts
+++ b/packages/scheduling/src/PermitTracker.ts
@@ -13,7 +13,7 @@
   type Monotonic,
   type WorkerInstance,
 } from "@rackspan/common";
-import type { HostLedger, StepRun } from "@rackspan/jobs";
+import type { HostState, StepRun } from "@rackspan/jobs";
 import {
   PERMIT_LIMITS,
   type PermitAnswer,
@@ -52,7 +52,7 @@
   readonly step: StepRun;
   readonly rule: PermitRule;
   /** Hosts that could run the step, the best first. */
-  readonly hosts: readonly HostLedger[];
+  readonly hosts: readonly HostState[];
 }
 
 export class PermitTracker {
@@ -71,13 +71,13 @@
   }
 
   /** The ticket to start tasks of the step there with now, if there is one. */
-  ticketFor(step: StepRun, host: HostLedger): string | undefined {
+  ticketFor(step: StepRun, host: HostState): string | undefined {
     const now = this.options.clock.monotonic();
     return this.steps.get(step)?.ticketFor(host.instance, now);
   }
 
   /** The worker refused the ticket: it is asked for anew. */
-  discardTicket(step: StepRun, host: HostLedger): void {
+  discardTicket(step: StepRun, host: HostState): void {
     this.steps.get(step)?.discardTicket(host.instance);
   }
 
--- a/packages/scheduling/src/ProgressRecorder.ts
+++ b/packages/scheduling/src/ProgressRecorder.ts
@@ -16,7 +16,7 @@
 
   recordJob(job: JobRun): void {
     this.options.journal
-      .record(job)
+      .persist(job)
       .catch((err: unknown) => this.noteLost(err));
   }
 
@@ -33,11 +33,11 @@
   ): void {
     const { journal } = this.options;
     const { ledger } = entry;
-    const { instance, notedEnds } = ledger;
+    const { instance, processedEnds: notedEnds } = ledger;
     // An end that changes nothing waits for what its job has changed by: the same
     // end may have been taken before, from an entry of the host that is gone.
     const writes = [...ended].map((job) =>
-      changed.has(job) ? journal.record(job) : journal.settled(job),
+      changed.has(job) ? journal.persist(job) : journal.flushed(job),
     );
     entry.endsRecorded = Promise.all([entry.endsRecorded, ...writes]).then(
       () => {
--- a/packages/scheduling/src/RunAdopter.ts
+++ b/packages/scheduling/src/RunAdopter.ts
@@ -3,10 +3,10 @@
 import type { WorkerTime } from "@rackspan/common";
 import {
   describeTask,
-  newStop,
+  createStopOrder,
   type ActiveRun,
   type JobTask,
-  type StrayRun,
+  type OrphanRun,
 } from "@rackspan/jobs";
 import type { RunningTask } from "@rackspan/ports";
 import type { EngineParts } from "./engineParts.js";
@@ -19,7 +19,7 @@
   adopt(entry: HostEntry, rows: readonly RunningTask[]): void {
     const { hosts } = this.parts;
     const adopted: JobTask[] = [];
-    const strays: StrayRun[] = [];
+    const strays: OrphanRun[] = [];
     // Of two runs of one task the later is the one that was wanted last.
     const latestFirst = [...rows].sort((a, b) => b.run - a.run);
     for (const row of latestFirst) {
@@ -29,11 +29,11 @@
         continue;
       }
       this.log("task.adopted", entry, row);
-      task.step.job.noteCheckpoint(task, row.checkpoint);
+      task.step.job.recordCheckpoint(task, row.checkpoint);
       hosts.place(entry, this.runOf(entry, task, row));
       adopted.push(task);
     }
-    entry.ledger.replaceStrays(strays);
+    entry.ledger.replaceOrphans(strays);
     if (adopted.length === 0) return;
     entry.session?.describe(adopted.map(describeTask));
   }
@@ -56,10 +56,10 @@
       phase: "running",
       startedAt: now,
       // Of a former leader's announced run it is not known how long it has worked.
-      apartMs: task.announced === run ? task.crashes.apartMs : 0,
-      shownFirstAt: ledger.reportedAt,
-      answeredAt: ledger.reportedAt,
-      orderLapsesAt: ledger.reportedAt ?? (0 as unknown as WorkerTime),
+      isolationMs: task.writeAheadRun === run ? task.crashLog.isolationMs : 0,
+      firstSeenAt: ledger.reportedAt,
+      lastSeenAt: ledger.reportedAt,
+      orderExpiresAt: ledger.reportedAt ?? (0 as unknown as WorkerTime),
       progressPercent,
       progressedAt: now,
       reading,
@@ -69,13 +69,13 @@
   }
 
   /** Its job may have been read, or forgotten, since the report before. */
-  private strayOf(entry: HostEntry, row: RunningTask): StrayRun {
-    const known = entry.ledger.strayOf(row);
+  private strayOf(entry: HostEntry, row: RunningTask): OrphanRun {
+    const known = entry.ledger.orphanOf(row);
     if (!known) this.log("task.stray", entry, row);
     return {
       run: { task: row.task, run: row.run },
       task: this.parts.jobs.findTask(row.task),
-      stop: known?.stop ?? newStop("unwanted"),
+      stop: known?.stop ?? createStopOrder("unwanted"),
     };
   }
 
--- a/packages/scheduling/src/RunEndHandler.ts
+++ b/packages/scheduling/src/RunEndHandler.ts
@@ -42,16 +42,16 @@
     const active =
       placed?.host === entry && placed.run.run === end.run ? placed : undefined;
     this.logEnd(entry, end, active);
-    entry.ledger.removeStray(end);
+    entry.ledger.removeOrphan(end);
     if (!task) return undefined;
     const { job } = task.step;
     if (active) hosts.release(entry, active.run);
     if (job.isEnded) return undefined;
     if (!active && placed) return this.takeEarlier(task, end);
-    const changed = job.noteEnd(task, end.run, end.outcome, end.checkpoint);
+    const changed = job.recordEnd(task, end.run, end.outcome, end.checkpoint);
     this.learn(entry, task, end, active);
     if (end.outcome === "done" && task.step.spec.gang) {
-      job.noteGangDone(task.step);
+      job.markGangDone(task.step);
     }
     runs.notifyWaiting(task);
     closer.finishIfEnded(job, task);
@@ -67,7 +67,7 @@
   private takeEarlier(task: JobTask, end: EndedRun): JobRun | undefined {
     if (end.outcome !== "failed") return undefined;
     const { job } = task.step;
-    const changed = job.noteEnd(task, end.run, end.outcome, NO_CHECKPOINT);
+    const changed = job.recordEnd(task, end.run, end.outcome, NO_CHECKPOINT);
     this.parts.closer.finishIfEnded(job, task);
     return changed ? job : undefined;
   }
--- a/packages/scheduling/src/RunStarter.ts
+++ b/packages/scheduling/src/RunStarter.ts
@@ -11,9 +11,9 @@
 import {
   avoidHost,
   natureOf,
-  noteShown,
+  markSeen,
   type ActiveRun,
-  type HostLedger,
+  type HostState,
   type JobRun,
   type JobTask,
 } from "@rackspan/jobs";
@@ -91,10 +91,10 @@
       run: number,
       phase: "starting",
       startedAt: now,
-      apartMs,
-      shownFirstAt: undefined,
-      answeredAt: undefined,
-      orderLapsesAt: (workerClock(ledger, now) + orderMs) as WorkerTime,
+      isolationMs: apartMs,
+      firstSeenAt: undefined,
+      lastSeenAt: undefined,
+      orderExpiresAt: (workerClock(ledger, now) + orderMs) as WorkerTime,
       progressPercent: 0,
       progressedAt: now,
       reading: 0,
@@ -107,7 +107,7 @@
       this.logAlreadyPlaced(host, run);
       return;
     }
-    ledger.noteOrder(latestLeaseExpiry(now, orderMs));
+    ledger.recordOrder(latestLeaseExpiry(now, orderMs));
     void this.orderStart(host, run, { ticket, firstPercent });
   }
 
@@ -119,7 +119,7 @@
     this.logGivenBack(host, run, reason);
     if (!this.options.hosts.release(host, run)) return;
     const { task } = run;
-    if (task.announced === run.run) task.announced = undefined;
+    if (task.writeAheadRun === run.run) task.writeAheadRun = undefined;
     this.notifyWaiting(task);
   }
 
@@ -156,7 +156,7 @@
     };
   }
 
-  private firstPercent(host: HostLedger, { step }: JobTask): number {
+  private firstPercent(host: HostState, { step }: JobTask): number {
     const { filling, image, demand } = step.spec;
     if (!filling) return FULL_PACE;
     const cores = demand.milliCores / MILLI_CORES_PER_CORE;
@@ -183,7 +183,7 @@
   /** An order without an answer is taken as one to a silent worker. */
   private async callStart(
     { ledger, session }: HostEntry,
-    { task, run, orderLapsesAt }: ActiveRun,
+    { task, run, orderExpiresAt: orderLapsesAt }: ActiveRun,
     terms: StartTerms,
   ): Promise<HostCallResult> {
     const { epoch, logger } = this.options;
@@ -229,7 +229,7 @@
       result: result.kind,
       reason: result.kind === "refused" ? result.reason : undefined,
       checkpoint: task.checkpoint === "" ? undefined : task.checkpoint,
-      reportAge: Math.round(sentAt - ledger.heardAt),
+      reportAge: Math.round(sentAt - ledger.reportReceivedAt),
       tookMs: Math.round(clock.monotonic() - sentAt),
       passedOver: isAwaited ? undefined : true,
     });
@@ -243,7 +243,7 @@
     switch (result.kind) {
       case "ok":
         run.phase = "running";
-        noteShown(run, result.at);
+        markSeen(run, result.at);
         return;
       case "silent":
         run.phase = "unsure";
@@ -288,5 +288,5 @@
 }
 
 /** The worker's clock as it can be told from its last report. */
-const workerClock = (ledger: HostLedger, now: number): number =>
-  Math.floor((ledger.reportedAt ?? 0) + (now - ledger.heardAt));
+const workerClock = (ledger: HostState, now: number): number =>
+  Math.floor((ledger.reportedAt ?? 0) + (now - ledger.reportReceivedAt));
--- a/packages/scheduling/src/RunStopper.ts
+++ b/packages/scheduling/src/RunStopper.ts
@@ -3,8 +3,8 @@
 import { describeError } from "@rackspan/common";
 import {
   isStopDue,
-  newStop,
-  refOf,
+  createStopOrder,
+  runRefOf,
   type ActiveRun,
   type StopOrder,
 } from "@rackspan/jobs";
@@ -18,9 +18,9 @@
   stop(host: HostEntry, run: ActiveRun, reason: string): void {
     if (run.stop) return;
     run.phase = "stopping";
-    run.stop = newStop(reason);
+    run.stop = createStopOrder(reason);
     this.options.metrics.count("task_stops", { reason });
-    void this.orderStop(host, refOf(run), run.stop);
+    void this.orderStop(host, runRefOf(run), run.stop);
   }
 
   /** Orders the stops that have not arrived, or that the worker has not carried out. */
--- a/packages/scheduling/src/RunWriteAheadLog.ts
+++ b/packages/scheduling/src/RunWriteAheadLog.ts
@@ -6,7 +6,7 @@
  */
 
 import { describeError, type Logger, type RunNumber } from "@rackspan/common";
-import { crashesOf, type JobTask, type ProgressJournal } from "@rackspan/jobs";
+import { crashLogOf, type JobTask, type ProgressJournal } from "@rackspan/jobs";
 
 export interface RunWriteAheadLogOptions {
   readonly journal: ProgressJournal;
@@ -31,7 +31,7 @@
 
   /** Whether workers crashed under the task so often that its next run is announced. */
   needsRecord(task: JobTask): boolean {
-    return task.announced !== undefined || crashesOf(task).isSuspect;
+    return task.writeAheadRun !== undefined || crashLogOf(task).isSuspect;
   }
 
   /**
@@ -72,10 +72,10 @@
     const announcement = { run: nextRun(), isKept: false };
     const jobs = new Set(tasks.map(({ step }) => step.job));
     for (const task of tasks) {
-      task.announced = announcement.run;
+      task.writeAheadRun = announcement.run;
       this.open.set(task, announcement);
     }
-    Promise.all([...jobs].map((job) => journal.record(job))).then(
+    Promise.all([...jobs].map((job) => journal.persist(job))).then(
       () => this.noteKept(announcement),
       (err: unknown) => this.noteNotKept(tasks, err),
     );
--- a/packages/scheduling/src/TailForecast.ts
+++ b/packages/scheduling/src/TailForecast.ts
@@ -1,6 +1,6 @@
 /** Forecasts the tails of serving tasks on a host by what was learnt of the images. */
 
-import type { HostLedger, InterferenceBook } from "@rackspan/jobs";
+import type { HostState, InterferenceEstimator } from "@rackspan/jobs";
 import type { ImageName } from "@rackspan/state";
 import type { SchedulingPolicy } from "./policy.js";
 
@@ -11,12 +11,12 @@
 const NEGLIGIBLE = 0.02;
 
 export interface TailForecastOptions {
-  readonly interference: InterferenceBook;
+  readonly interference: InterferenceEstimator;
   readonly policy: SchedulingPolicy;
 }
 
 export class TailForecast {
-  private readonly interference: InterferenceBook;
+  private readonly interference: InterferenceEstimator;
   /** Logarithm of the share of its target. */
   private readonly limit: number;
   private readonly policy: SchedulingPolicy;
@@ -28,7 +28,7 @@
   }
 
   /** By how much the tail of a serving task placed there would pass the limit. */
-  excessOverLimit(host: HostLedger, image: ImageName): number {
+  excessOverLimit(host: HostState, image: ImageName): number {
     const tail = this.interference.predict(image, host.fillingCores);
     return Math.max(0, tail - this.limit);
   }
@@ -39,7 +39,7 @@
    * @returns undefined when a tail would pass the limit
    */
   maxAddedTail(
-    host: HostLedger,
+    host: HostState,
     filling: ImageName,
     cores: number,
   ): number | undefined {
@@ -59,11 +59,7 @@
    * The share of full pace at which a filling task of so many cores may begin
    * there without taking a tail past the limit.
    */
-  initialPaceShare(
-    host: HostLedger,
-    filling: ImageName,
-    cores: number,
-  ): number {
+  initialPaceShare(host: HostState, filling: ImageName, cores: number): number {
     if (!this.policy.startsSlowly) return 1;
     let share = 1;
     for (const serving of host.servingImages) {
@@ -89,7 +85,7 @@
    * Logarithm of the tail once all that was placed there runs at full pace: what
    * was read last, and what tasks add that got less than they ask for by then.
    */
-  private atFullPace(host: HostLedger, serving: ImageName): number {
+  private atFullPace(host: HostState, serving: ImageName): number {
     const { tails, usedCores } = host.readings;
     const read = tails.get(serving);
     if (read === undefined) {
--- a/packages/scheduling/src/WaitMonitor.ts
+++ b/packages/scheduling/src/WaitMonitor.ts
@@ -121,7 +121,7 @@
       cause,
       ...counts,
       unheard:
-        cause === "take-over" ? unheardHosts(gate.unheard(now)) : undefined,
+        cause === "take-over" ? unheardHosts(gate.unreported(now)) : undefined,
     });
   }
 }
--- a/packages/scheduling/src/baselineTaskPlacers.ts
+++ b/packages/scheduling/src/baselineTaskPlacers.ts
@@ -1,6 +1,6 @@
 /** Baselines to compare with: first fit, best fit and least loaded, by room alone. */
 
-import type { HostLedger, JobTask } from "@rackspan/jobs";
+import type { HostState, JobTask } from "@rackspan/jobs";
 import {
   pickByScore,
   taskPlacers,
@@ -9,15 +9,15 @@
 } from "./taskPlacers.js";
 
 class ScorePlacer implements TaskPlacer {
-  constructor(private readonly score: (host: HostLedger) => number) {}
+  constructor(private readonly score: (host: HostState) => number) {}
 
-  pick(task: JobTask, hosts: readonly HostLedger[]): HostLedger | undefined {
+  pick(task: JobTask, hosts: readonly HostState[]): HostState | undefined {
     return pickByScore(task, hosts, this.score);
   }
 }
 
-const freeMilliCores = (host: HostLedger): number =>
-  unreservedMilliCores(host) - host.room.fillingMilliCores;
+const freeMilliCores = (host: HostState): number =>
+  unreservedMilliCores(host) - host.allocated.fillingMilliCores;
 
 taskPlacers.register({
   name: "firstFit",
--- a/packages/scheduling/src/chooseGangHosts.ts
+++ b/packages/scheduling/src/chooseGangHosts.ts
@@ -1,15 +1,15 @@
 /** Chooses hosts for all tasks of a gang at once, on one rack where the step asks for it. */
 
 import { groupBy } from "@rackspan/common";
-import type { HostLedger, JobTask, StepRun } from "@rackspan/jobs";
+import type { HostState, JobTask, StepRun } from "@rackspan/jobs";
 import { fitsInto, freeCapacityOf } from "./taskPlacers.js";
 
 /** @returns undefined when the hosts do not have room for every task */
 export const chooseGangHosts = (
   step: StepRun,
   waiting: readonly JobTask[],
-  hosts: readonly HostLedger[],
-): Map<JobTask, HostLedger> | undefined => {
+  hosts: readonly HostState[],
+): Map<JobTask, HostState> | undefined => {
   if (!step.spec.sameRack) return spread(waiting, hosts);
   const racks = groupBy(hosts, ({ worker }) => worker.rack);
   for (const group of racks.values()) {
@@ -22,12 +22,12 @@
 /** Gives each task the first host that has room for it beside those chosen before. */
 const spread = (
   tasks: readonly JobTask[],
-  hosts: readonly HostLedger[],
-): Map<JobTask, HostLedger> | undefined => {
+  hosts: readonly HostState[],
+): Map<JobTask, HostState> | undefined => {
   const left = new Map(
     hosts.map((host) => [host, { ...freeCapacityOf(host), ofStep: 0 }]),
   );
-  const chosen = new Map<JobTask, HostLedger>();
+  const chosen = new Map<JobTask, HostState>();
   for (const task of tasks) {
     const { demand, filling, requiredLabel, maxPerHost } = task.step.spec;
     const host = hosts.find((candidate) => {
--- a/packages/scheduling/src/colocatingTaskPlacer.ts
+++ b/packages/scheduling/src/colocatingTaskPlacer.ts
@@ -5,7 +5,7 @@
  */
 
 import { MILLI_CORES_PER_CORE } from "@rackspan/common";
-import { natureOf, type HostLedger, type JobTask } from "@rackspan/jobs";
+import { natureOf, type HostState, type JobTask } from "@rackspan/jobs";
 import type { SchedulingPolicy } from "./policy.js";
 import { slownessPenalty } from "./slowHosts.js";
 import type { TailForecast } from "./TailForecast.js";
@@ -47,7 +47,7 @@
 } as const;
 
 /** Thousandths of a core that filling tasks can be expected to get. */
-const fillableMilliCores = ({ worker, room }: HostLedger): number =>
+const fillableMilliCores = ({ worker, allocated: room }: HostState): number =>
   worker.milliCores -
   room.plainMilliCores -
   COLOCATION.servingUse * room.servingMilliCores -
@@ -64,10 +64,10 @@
 
   pick(
     task: JobTask,
-    hosts: readonly HostLedger[],
+    hosts: readonly HostState[],
     mustPlace: boolean,
-  ): HostLedger | undefined {
-    const extra = (host: HostLedger): number => bonusOf(task, host);
+  ): HostState | undefined {
+    const extra = (host: HostState): number => bonusOf(task, host);
     switch (natureOf(task).kind) {
       case "serving":
         return pickByScore(
@@ -91,9 +91,9 @@
   }
 
   /** Its own image first, then the most serving work, and little that disturbs it. */
-  private servingScore(task: JobTask, host: HostLedger): number {
+  private servingScore(task: JobTask, host: HostState): number {
     const { image } = task.step.spec;
-    const { worker, room } = host;
+    const { worker, allocated: room } = host;
     const packed = room.servingMilliCores / worker.milliCores;
     const bonus = host.servesOnly(image) ? COLOCATION.sameImageBonus : 0;
     const excess = this.forecast.excessOverLimit(host, image);
@@ -101,8 +101,8 @@
     return COLOCATION.packedBonus * packed + bonus - excess;
   }
 
-  private isWorthFilling(task: JobTask, host: HostLedger): boolean {
-    const isFree = host.room.servingMilliCores === 0;
+  private isWorthFilling(task: JobTask, host: HostState): boolean {
+    const isFree = host.allocated.servingMilliCores === 0;
     const excess =
       isFree && this.policy.overfillsFreeHosts
         ? COLOCATION.freeHostExcess * host.worker.milliCores
@@ -114,12 +114,12 @@
   /** @returns -Infinity where a serving task would be disturbed too much */
   private fillingScore(
     task: JobTask,
-    host: HostLedger,
+    host: HostState,
     mustPlace: boolean,
   ): number {
     const { image, demand } = task.step.spec;
     const left = fillableMilliCores(host) / host.worker.milliCores;
-    if (host.room.servingMilliCores === 0) return left;
+    if (host.allocated.servingMilliCores === 0) return left;
     const cores = demand.milliCores / MILLI_CORES_PER_CORE;
     const added = this.forecast.maxAddedTail(host, image, cores);
     if (added === undefined) {
@@ -129,10 +129,10 @@
   }
 }
 
-const bonusOf = (task: JobTask, host: HostLedger): number => {
+const bonusOf = (task: JobTask, host: HostState): number => {
   const { dataRack } = task.step.spec;
   const near = dataRack !== "" && host.worker.rack === dataRack;
-  const avoided = task.avoid.includes(host.host);
+  const avoided = task.avoidedHosts.includes(host.host);
   return (
     (near ? COLOCATION.dataRackBonus : 0) -
     slownessPenalty(host) -
@@ -140,15 +140,15 @@
   );
 };
 
-const leavesReserve = (task: JobTask, host: HostLedger): boolean => {
+const leavesReserve = (task: JobTask, host: HostState): boolean => {
   const { milliCores } = task.step.spec.demand;
   const reserve = COLOCATION.plainReserve * host.worker.milliCores;
-  const taken = host.room.servingMilliCores + milliCores;
+  const taken = host.allocated.servingMilliCores + milliCores;
   return taken + reserve <= host.worker.milliCores;
 };
 
-const plainScore = (host: HostLedger): number =>
-  (unreservedMilliCores(host) - host.room.fillingMilliCores) /
+const plainScore = (host: HostState): number =>
+  (unreservedMilliCores(host) - host.allocated.fillingMilliCores) /
   host.worker.milliCores;
 
 taskPlacers.register({
--- a/packages/scheduling/src/engineTypes.ts
+++ b/packages/scheduling/src/engineTypes.ts
@@ -12,7 +12,7 @@
 } from "@rackspan/common";
 import type {
   ActiveRun,
-  HostLedger,
+  HostState,
   JobRun,
   ProgressJournal,
   TakeoverGate,
@@ -114,7 +114,7 @@
 
 /** A host with the connection to its side, when there is one. */
 export interface HostEntry {
-  readonly ledger: HostLedger;
+  readonly ledger: HostState;
   session: HostSession | undefined;
   /** Settles once all ends that were taken note of so far are kept. */
   endsRecorded: Promise<void>;
--- a/packages/scheduling/src/explainWait.ts
+++ b/packages/scheduling/src/explainWait.ts
@@ -1,6 +1,6 @@
 /** Tells what a waiting task waits for: which rule keeps it from which hosts. */
 
-import { crashesOf, type HostLedger, type StepRun } from "@rackspan/jobs";
+import { crashLogOf, type HostState, type StepRun } from "@rackspan/jobs";
 import type { HostEntry } from "./engineTypes.js";
 import { isOverdueLasting } from "./CycleHostFilter.js";
 import { fitsInto, isAllowedOn, freeCapacityOf } from "./taskPlacers.js";
@@ -68,7 +68,10 @@
   if (!mayStart) return "take-over";
   if (now < step.heldUntil) return "ticket-refused";
   if (task && now < task.heldUntil) return "crash-doubt";
-  if (task && (task.announced !== undefined || crashesOf(task).isSuspect)) {
+  if (
+    task &&
+    (task.writeAheadRun !== undefined || crashLogOf(task).isSuspect)
+  ) {
     return "suspected";
   }
   const open = step.tasks.length - step.doneCount;
@@ -80,7 +83,7 @@
 const ruleFor = (
   entry: HostEntry,
   waiting: WaitingStep,
-  passedOver: ReadonlySet<HostLedger>,
+  passedOver: ReadonlySet<HostState>,
 ): keyof HostCounts => {
   const { step, service } = waiting;
   const { ledger } = entry;
--- a/packages/scheduling/src/learnInterference.ts
+++ b/packages/scheduling/src/learnInterference.ts
@@ -9,8 +9,8 @@
   natureOf,
   type ActiveRun,
   type FillingCores,
-  type HostLedger,
-  type InterferenceBook,
+  type HostState,
+  type InterferenceEstimator,
 } from "@rackspan/jobs";
 import type { Disturbance } from "@rackspan/protocol";
 import type { ImageName } from "@rackspan/state";
@@ -25,8 +25,8 @@
 
 /** Reads the runs of the ledger as the last report left them. */
 export const learnInterference = (
-  ledger: HostLedger,
-  book: InterferenceBook,
+  ledger: HostState,
+  book: InterferenceEstimator,
   now: Monotonic,
 ): void => {
   const runs = [...ledger.runs.values()];
@@ -36,7 +36,12 @@
     const readings = serving.map(logarithmOfTail);
     const mean = readings.reduce((a, b) => a + b) / readings.length;
     const tasks = serving.length;
-    book.learn(image, { at: now, tail: mean, tasks, beside: usedCores });
+    book.learn(image, {
+      at: now,
+      tail: mean,
+      taskCount: tasks,
+      colocatedCores: usedCores,
+    });
     tails.set(image, Math.max(...readings));
   }
   ledger.readings = { tails, usedCores };
@@ -67,8 +72,8 @@
 
 /** What is known of the images that run there now. */
 export const disturbancesFor = (
-  ledger: HostLedger,
-  book: InterferenceBook,
+  ledger: HostState,
+  book: InterferenceEstimator,
 ): Disturbance[] => {
   const told: Disturbance[] = [];
   for (const serving of ledger.servingImages) {
--- a/packages/scheduling/src/pickIsolatedHost.ts
+++ b/packages/scheduling/src/pickIsolatedHost.ts
@@ -1,6 +1,6 @@
 /** Chooses where a task that may crash its worker starts. */
 
-import { isSettled, type HostLedger, type JobTask } from "@rackspan/jobs";
+import { isSettled, type HostState, type JobTask } from "@rackspan/jobs";
 import type { HostEntry } from "./engineTypes.js";
 import type { TaskPlacer } from "./taskPlacers.js";
 
@@ -13,7 +13,7 @@
  * @param open hosts of the service that take new tasks
  */
 export const mayIsolate = (
-  open: readonly HostLedger[],
+  open: readonly HostState[],
   all: Iterable<HostEntry>,
   hasWaitedLong: boolean,
 ): boolean => {
@@ -21,7 +21,7 @@
   if (!host) return false;
   const { service } = host.worker;
   const held = [...all].filter(
-    ({ ledger }) => ledger.holdsApart && ledger.worker.service === service,
+    ({ ledger }) => ledger.hasIsolatedRun && ledger.worker.service === service,
   );
   if (held.length === 0) return true;
   return hasWaitedLong ? open.length > 1 : held.length < open.length;
@@ -30,7 +30,7 @@
 export interface IsolatedHostOptions {
   readonly task: JobTask;
   /** Hosts that take new tasks; those without room are among them. */
-  readonly open: readonly HostLedger[];
+  readonly open: readonly HostState[];
   readonly placer: TaskPlacer;
   /** See TaskPlacer. */
   readonly mustPlace: boolean;
@@ -45,7 +45,7 @@
   open,
   placer,
   mustPlace,
-}: IsolatedHostOptions): HostLedger | undefined => {
+}: IsolatedHostOptions): HostState | undefined => {
   const ranked = open
     .map((host) => ({ host, young: youngRuns(host), runs: host.runs.size }))
     .sort((a, b) => a.young - b.young || a.runs - b.runs);
@@ -55,5 +55,5 @@
   return undefined;
 };
 
-const youngRuns = ({ runs }: HostLedger): number =>
+const youngRuns = ({ runs }: HostState): number =>
   [...runs.values()].filter((run) => !isSettled(run)).length;
--- a/packages/scheduling/src/slowHosts.ts
+++ b/packages/scheduling/src/slowHosts.ts
@@ -4,7 +4,7 @@
  * other hosts. Estimates of callers are too far off to compare with.
  */
 
-import { natureOf, type ActiveRun, type HostLedger } from "@rackspan/jobs";
+import { natureOf, type ActiveRun, type HostState } from "@rackspan/jobs";
 import type { Monotonic } from "@rackspan/common";
 import type { HostEntry } from "./engineTypes.js";
 import type { HostRegistry } from "./HostRegistry.js";
@@ -78,7 +78,7 @@
 };
 
 /** Points by which a placer puts the host later. */
-export const slownessPenalty = ({ slowness }: HostLedger): number =>
+export const slownessPenalty = ({ slowness }: HostState): number =>
   SLOWNESS.penalty * Math.max(0, slowness);
 
 /** Runs of a slow host that would end sooner if they began anew elsewhere. */
@@ -91,7 +91,7 @@
   if (ledger.slowness < SLOWNESS.slowThreshold) return [];
   return [...ledger.runs.values()].filter((run) => {
     if (!isMeasured(run, now)) return false;
-    if (run.task.avoid.includes(ledger.host)) return false;
+    if (run.task.avoidedHosts.includes(ledger.host)) return false;
     const freshMs = siblingMs(run, host, hosts, now);
     if (freshMs === undefined) return false;
     const leftMs = projectedMs(run, now) - (now - run.startedAt);
--- a/packages/scheduling/src/taskPlacers.ts
+++ b/packages/scheduling/src/taskPlacers.ts
@@ -1,7 +1,7 @@
 /** The plug-in point for placing the tasks of jobs, and what all placers share. */
 
 import { Registry } from "@rackspan/common";
-import type { HostLedger, JobTask } from "@rackspan/jobs";
+import type { HostState, JobTask } from "@rackspan/jobs";
 import type { SchedulingPolicy } from "./policy.js";
 import type { TailForecast } from "./TailForecast.js";
 
@@ -14,9 +14,9 @@
    */
   pick(
     task: JobTask,
-    hosts: readonly HostLedger[],
+    hosts: readonly HostState[],
     mustPlace: boolean,
-  ): HostLedger | undefined;
+  ): HostState | undefined;
 }
 
 export interface TaskPlacerOptions {
@@ -29,7 +29,10 @@
 );
 
 /** Thousandths of a core that no reservation holds; filling tasks hold none. */
-export const unreservedMilliCores = ({ worker, room }: HostLedger): number =>
+export const unreservedMilliCores = ({
+  worker,
+  allocated: room,
+}: HostState): number =>
   worker.milliCores - room.plainMilliCores - room.servingMilliCores;
 
 /** What reservations leave of a host; below 0 where it has less than it had. */
@@ -39,8 +42,8 @@
   readonly accelerators: number;
 }
 
-export const freeCapacityOf = (host: HostLedger): FreeCapacity => {
-  const { worker, room } = host;
+export const freeCapacityOf = (host: HostState): FreeCapacity => {
+  const { worker, allocated: room } = host;
   return {
     milliCores: unreservedMilliCores(host),
     memoryMiB: worker.memoryMiB - room.memoryMiB,
@@ -57,7 +60,7 @@
 };
 
 /** Whether the step's own rules let the task run there. */
-export const isAllowedOn = (task: JobTask, host: HostLedger): boolean => {
+export const isAllowedOn = (task: JobTask, host: HostState): boolean => {
   const { requiredLabel, maxPerHost } = task.step.spec;
   if (!host.hasLabel(requiredLabel)) return false;
   return maxPerHost === 0 || host.countOfStep(task.step) < maxPerHost;
@@ -66,10 +69,10 @@
 /** The allowed host with room that has the highest score. */
 export const pickByScore = (
   task: JobTask,
-  hosts: readonly HostLedger[],
-  score: (host: HostLedger) => number,
-): HostLedger | undefined => {
-  let best: HostLedger | undefined;
+  hosts: readonly HostState[],
+  score: (host: HostState) => number,
+): HostState | undefined => {
+  let best: HostState | undefined;
   let bestScore = -Infinity;
   for (const host of hosts) {
     if (!isAllowedOn(task, host) || !fitsInto(task, freeCapacityOf(host)))
--- a/packages/scheduling/src/usableHosts.ts
+++ b/packages/scheduling/src/usableHosts.ts
@@ -5,7 +5,7 @@
   type AvailabilityZone,
   type Monotonic,
 } from "@rackspan/common";
-import type { HostLedger } from "@rackspan/jobs";
+import type { HostState } from "@rackspan/jobs";
 import type { OutlierEjector } from "@rackspan/routing";
 import { ENGINE, type HostEntry } from "./engineTypes.js";
 
@@ -27,7 +27,7 @@
   { reason: "not-rostered", closes: ({ rostered }) => !rostered },
   { reason: "draining", closes: ({ ledger }) => ledger.worker.draining },
   { reason: "unknown-run", closes: ({ ledger }) => ledger.mayBeFull },
-  { reason: "holds-suspect", closes: ({ ledger }) => ledger.holdsApart },
+  { reason: "holds-suspect", closes: ({ ledger }) => ledger.hasIsolatedRun },
   {
     reason: "not-reported",
     closes: ({ ledger }) => ledger.reportedAt === undefined,
@@ -38,7 +38,8 @@
   },
   {
     reason: "quiet",
-    closes: ({ ledger }, { now }) => now - ledger.heardAt >= ENGINE.quietMs,
+    closes: ({ ledger }, { now }) =>
+      now - ledger.reportReceivedAt >= ENGINE.quietMs,
   },
   {
     reason: "evacuated",
@@ -65,9 +66,9 @@
 /** Hosts of one service that may take tasks now. */
 export interface ServiceHosts {
   /** For all tasks; the ejected ones where the service has no other. */
-  readonly inService: readonly HostLedger[];
+  readonly inService: readonly HostState[];
   /** Those that failed tasks of late. */
-  readonly ejected: readonly HostLedger[];
+  readonly ejected: readonly HostState[];
 }
 
 export const NO_HOSTS: ServiceHosts = { inService: [], ejected: [] };
@@ -88,7 +89,7 @@
 };
 
 const split = (
-  hosts: readonly HostLedger[],
+  hosts: readonly HostState[],
   ejector: OutlierEjector,
 ): ServiceHosts => {
   const ejected = hosts.filter(({ host }) => ejector.isEjected(host));
--- a/packages/scheduling/tests/byWorthOrder.test.ts
+++ b/packages/scheduling/tests/byUtilityOrder.test.ts
@@ -31,7 +31,7 @@
   const job = new JobRun(plainJob({ id, acceptedAt, steps: [spec], terms }));
   const [first] = job.steps;
   if (!first) throw new Error("no step");
-  for (const task of first.tasks.slice(0, placed)) job.notePlaced(task);
+  for (const task of first.tasks.slice(0, placed)) job.markPlaced(task);
   return { job, step: first, isStarved: false };
 };
 
--- a/packages/scheduling/tests/changingRoom.test.ts
+++ b/packages/scheduling/tests/changingCapacity.test.ts
@@ -62,7 +62,7 @@
   const { site: former, host, jobs } = await shrunk();
   const starts = host.starts.length;
   former.engine.stop();
-  former.leads = false;
+  former.isLeader = false;
   const { clock, store } = former;
   const roster = [host.host];
   const next = new EngineHarness({ epoch: 2, clock, store, roster });
--- a/packages/scheduling/tests/colocatingTaskPlacer.test.ts
+++ b/packages/scheduling/tests/colocatingTaskPlacer.test.ts
@@ -34,8 +34,8 @@
     [second, 3],
   ] as const) {
     for (const task of host.runningTasks) {
-      host.progress(task, 100);
-      host.read(task, tailMs);
+      host.setProgress(task, 100);
+      host.setReading(task, tailMs);
     }
   }
   await harness.run(300);
@@ -54,8 +54,8 @@
   await harness.run(200);
   const [serving] = host.runningTasks;
   if (!serving) throw new Error("the serving task does not run");
-  host.progress(serving, 100);
-  host.read(serving, 4);
+  host.setProgress(serving, 100);
+  host.setReading(serving, 4);
   const filler = { filling: true, image: RENDER, ...cores(5_000) };
   // A core adds 0.03 as long as nothing is known: 0.75 for five tasks.
   harness.submit("f", [{ taskCount: 8, ...filler }]);
@@ -72,8 +72,8 @@
   const host = await harness.addHost("h1");
   harness.submit("s", [{ lasting: true, image: WEB, tailTargetMs: TARGET_MS }]);
   await harness.run(200);
-  host.progress(taskId("s.0.0.0"), 100);
-  host.read(taskId("s.0.0.0"), 4);
+  host.setProgress(taskId("s.0.0.0"), 100);
+  host.setReading(taskId("s.0.0.0"), 4);
   await harness.run(600);
   return { harness, host };
 };
@@ -109,7 +109,7 @@
 
 test("a task that must be placed where it disturbs begins slowly", async () => {
   const { harness, host } = await serveWith({});
-  host.read(taskId("s.0.0.0"), 9);
+  host.setReading(taskId("s.0.0.0"), 9);
   await harness.run(600);
   harness.submit("f", [{ ...batch, taskCount: 1 }]);
   await harness.run(2_500);
--- a/packages/scheduling/tests/crashingTasks.test.ts
+++ b/packages/scheduling/tests/crashingTasks.test.ts
@@ -4,7 +4,7 @@
 import { expect } from "earl";
 import { silentLogger, type JobTaskId, type Logger } from "@rackspan/common";
 import type { AcceptedJob } from "@rackspan/state";
-import { JOB, progressOf, siteOf, stateOf, TASK } from "./crashSite.js";
+import { JOB, progressOf, createSite, stateOf, TASK } from "./singleJobSite.js";
 import { EngineHarness, type FakeHost } from "./engineHarness.js";
 
 const OTHER = "77aa7a21d94b36f8";
@@ -21,7 +21,7 @@
   jobs: readonly AcceptedJob[],
 ): EngineHarness => {
   former.engine.stop();
-  former.leads = false;
+  former.isLeader = false;
   const { clock, hosts, store } = former;
   const roster = hosts.map(({ host }) => host);
   const epoch = former.epoch + 1;
@@ -78,14 +78,14 @@
 const isCrasher = (task: JobTaskId): boolean => task === TASK;
 
 const crashesOf = ({ hosts }: EngineHarness): number =>
-  hosts.reduce((sum, host) => sum + host.crashes, 0);
+  hosts.reduce((sum, host) => sum + host.crashCount, 0);
 
 test("a task that crashes each worker that starts it is given up, and its job shown as failed", async () => {
   const lines: string[] = [];
   const note = (event: string, fields?: object): void =>
     void lines.push(`${event} ${JSON.stringify(fields)}`);
   const logger = { ...silentLogger, info: note, warn: note } as Logger;
-  const site = await siteOf(3, logger);
+  const site = await createSite(3, logger);
   site.submit(JOB, [{}]);
   await runWithCrashes(site, { crashes: isCrasher }, 20_000);
   expect(crashesOf(site)).toEqual(2);
@@ -95,7 +95,7 @@
 });
 
 test("a lasting task that crashes its workers is given up as well", async () => {
-  const site = await siteOf(3);
+  const site = await createSite(3);
   site.submit(JOB, [{ lasting: true }]);
   await runWithCrashes(site, { crashes: isCrasher }, 20_000);
   expect(crashesOf(site)).toEqual(2);
@@ -103,7 +103,7 @@
 });
 
 test("tasks that only shared workers with one that crashes them are not given up", async () => {
-  const site = await siteOf(3);
+  const site = await createSite(3);
   site.submit(JOB, [{}]);
   for (const id of [OTHER, `${OTHER}0`, `${OTHER}1`]) {
     site.submit(id, [{ taskCount: 8 }]);
@@ -119,7 +119,7 @@
 });
 
 test("many tasks that crash their workers are given up one by one, and no other", async () => {
-  const site = await siteOf(6);
+  const site = await createSite(6);
   const crashers = Array.from({ length: 6 }, (_, n) => `c${n}`);
   for (const id of crashers) site.submit(id, [{}]);
   const others = Array.from({ length: 12 }, (_, n) => `o${n}`);
@@ -134,7 +134,7 @@
 });
 
 test("what is counted outlives the leader that counted it", async () => {
-  const site = await siteOf(3);
+  const site = await createSite(3);
   const job = site.submit(JOB, [{}]);
   await runWithCrashes(site, { crashes: isCrasher }, 1_500);
   expect(crashesOf(site)).toEqual(2);
@@ -147,7 +147,7 @@
 });
 
 test("a leader that ends with each crash does not have the task started for ever", async () => {
-  const first = await siteOf(3);
+  const first = await createSite(3);
   const job = first.submit(JOB, [{}]);
   let changes = 0;
   const onCrash = (site: EngineHarness): EngineHarness => {
@@ -163,7 +163,7 @@
 });
 
 test("a run that was announced and that the next leader finds at work is not counted", async () => {
-  const site = await siteOf(3);
+  const site = await createSite(3);
   const job = site.submit(JOB, [{}]);
   let crashed = 0;
   const crashes = (task: JobTaskId): boolean =>
@@ -180,7 +180,7 @@
 });
 
 test("a task that works for a while before its worker crashes is given up too", async () => {
-  const site = await siteOf(3);
+  const site = await createSite(3);
   site.submit(JOB, [{}]);
   site.submit(OTHER, [{ taskCount: 6 }]);
   const plan = { crashes: isCrasher, afterMs: 2_000 };
@@ -191,7 +191,7 @@
 });
 
 test("a gang whose member crashes its workers is given up", async () => {
-  const site = await siteOf(4);
+  const site = await createSite(4);
   site.submit(JOB, [{ taskCount: 2, gang: true, demand: WHOLE_HOST }]);
   const endGang = (from: EngineHarness): EngineHarness => {
     for (const host of from.hosts) {
@@ -207,7 +207,7 @@
 
 // A host that falls silent may only be cut off, and its task may be at work still.
 test("a task whose hosts fall silent is not given up until workers are known to have crashed", async () => {
-  const site = await siteOf(12);
+  const site = await createSite(12);
   site.submit(JOB, [{}]);
   const silent = new Set<FakeHost>();
   for (let round = 0; round < 10; round += 1) {
@@ -230,7 +230,7 @@
 });
 
 test("a worker that leaves as planned speaks against none of its tasks", async () => {
-  const site = await siteOf(2);
+  const site = await createSite(2);
   site.submit(JOB, [{ taskCount: 2 }]);
   await site.run(300);
   for (const host of site.hosts) {
@@ -243,7 +243,7 @@
 });
 
 test("while the store is away no suspected task is started, and the others are", async () => {
-  const site = await siteOf(3);
+  const site = await createSite(3);
   site.submit(JOB, [{}]);
   await runWithCrashes(site, { crashes: isCrasher }, 300);
   expect(crashesOf(site)).toEqual(1);
@@ -259,7 +259,7 @@
 });
 
 test("a suspected lasting task gets room although the hosts are full of plain ones", async () => {
-  const site = await siteOf(2);
+  const site = await createSite(2);
   site.submit(JOB, [{ lasting: true, demand: WHOLE_HOST }]);
   let crashed = 0;
   const crashes = (task: JobTaskId): boolean =>
@@ -283,7 +283,7 @@
 
 // The leader believes such runs to be at work; their side does not name them as lost.
 test("runs that had ended before their workers crashed do not speak against their task", async () => {
-  const site = await siteOf(3);
+  const site = await createSite(3);
   site.submit(JOB, [{}]);
   for (let crash = 0; crash < 2; crash += 1) {
     while (!isRunning(site, TASK)) await site.run(50);
--- a/packages/scheduling/tests/leftWhileNobodyLed.test.ts
+++ b/packages/scheduling/tests/departureWithoutLeader.test.ts
@@ -2,10 +2,10 @@
 
 import { test } from "node:test";
 import { expect } from "earl";
-import { EngineHarness, LEASE_MS, TTL_MS } from "./engineHarness.js";
+import { EngineHarness, LEASE_MS, LEADERSHIP_TTL_MS } from "./engineHarness.js";
 
 /** Long enough for a start; a fifth of the time until all leases are over. */
-const SOON_MS = (TTL_MS + LEASE_MS) / 5;
+const SOON_MS = (LEADERSHIP_TTL_MS + LEASE_MS) / 5;
 
 test("a worker that left while nobody led holds up no starts", async () => {
   const former = new EngineHarness();
@@ -15,7 +15,7 @@
   leaving.draining = true;
   await former.run(200);
   const job = former.submit("j", [{}]);
-  former.leads = false;
+  former.isLeader = false;
   former.engine.stop();
   const roster = [leaving.host, staying.host];
   const next = new EngineHarness({ epoch: 2, roster, clock });
--- a/packages/scheduling/tests/goodbyes.test.ts
+++ b/packages/scheduling/tests/deregistration.test.ts
@@ -18,14 +18,14 @@
 
 test("the end of a worker is not noted by a leader whose writes the store refuses", async () => {
   const h = new EngineHarness();
-  h.roster.isKept = false;
+  h.roster.isStoreAvailable = false;
   expect(await goodbye(h)).toEqual(false);
 });
 
 test("the end of a worker is not noted by a leader that may decide nothing any more", async () => {
   const h = new EngineHarness();
   const host = await h.addHost("host-1");
-  h.leads = false;
+  h.isLeader = false;
   expect(await h.engine.handleWorkerGone(host.host, host.instance)).toEqual(
     false,
   );
--- a/packages/scheduling/tests/earlierRuns.test.ts
+++ b/packages/scheduling/tests/earlierRuns.test.ts
@@ -21,7 +21,7 @@
   const second = await site.addHost("h2");
   await site.run(200, [second]);
   expect(second.isRunning(TASK)).toEqual(true);
-  second.save(TASK, "newer");
+  second.saveCheckpoint(TASK, "newer");
   await site.run(200, [second]);
   site.engine.handleReport(first.host, ZONE, {
     ...first.report(),
--- a/packages/scheduling/tests/engineHarness.ts
+++ b/packages/scheduling/tests/engineHarness.ts
@@ -55,7 +55,7 @@
 import { MemoryStore, plainJob } from "@rackspan/standins";
 
 export const LEASE_MS = 6_000;
-export const TTL_MS = 2_500;
+export const LEADERSHIP_TTL_MS = 2_500;
 /** Workers list no more ends at once; the others follow once these are acknowledged. */
 const MAX_LISTED_ENDS = 500;
 const SERVICE = brand<ServiceName>("kaigi");
@@ -73,7 +73,7 @@
   readonly starts: StartTaskCall[] = [];
   readonly stops: StopTaskCall[] = [];
   /** Tasks that the side was told the nature of, apart from starts. */
-  readonly described: JobTaskId[] = [];
+  readonly describedTasks: JobTaskId[] = [];
   /** What the next orders are answered; `hang` never answers, `held` when told to. */
   answers: HostCallResult["kind"] | "hang" | "held" = "ok";
   /** Why orders are refused when they are. */
@@ -91,7 +91,7 @@
   /** What its side tells of runs that had ended before the worker crashed. */
   unheardEnds: RunRef[] = [];
   /** How many lives of the worker have ended. */
-  crashes = 0;
+  crashCount = 0;
   private held: HeldOrder[] = [];
   /** Starts that were held, and are answered as never begun, until a leader is told. */
   private neverBegun: StartTaskCall[] = [];
@@ -144,11 +144,11 @@
   }
 
   describe(tasks: readonly TaskDescription[]): void {
-    this.described.push(...tasks.map(({ task }) => task));
+    this.describedTasks.push(...tasks.map(({ task }) => task));
   }
 
   /** The worker carries the order out late, unless a stop has barred the run. */
-  beginLate({ task, run }: RunRef): void {
+  startLate({ task, run }: RunRef): void {
     if (run <= (this.barred.get(task) ?? 0)) return;
     this.running.set(runKeyOf({ task, run }), { task, run });
   }
@@ -175,22 +175,22 @@
   }
 
   /** The running task has saved its progress. */
-  save(task: JobTaskId, checkpoint: string): void {
+  saveCheckpoint(task: JobTaskId, checkpoint: string): void {
     this.saved.set(task, checkpoint);
   }
 
-  progress(task: JobTaskId, percent: number): void {
+  setProgress(task: JobTaskId, percent: number): void {
     this.percents.set(task, percent);
   }
 
   /** The tail of a serving task, or the processor time of another; see TaskHost. */
-  read(task: JobTaskId, reading: number): void {
+  setReading(task: JobTaskId, reading: number): void {
     this.readings.set(task, reading);
   }
 
   /** The worker crashed; another life stands at its address. */
   replaceWorker(): void {
-    this.crashes += 1;
+    this.crashCount += 1;
     for (const { task, run } of this.running.values()) {
       this.lostRuns.push({ task, run, workedMs: 0, wasAtWork: true });
     }
@@ -282,7 +282,7 @@
   }
 
   /** A leader has answered the report. */
-  noteTold({ lostRuns, neverBegun = [] }: HostReport): void {
+  confirmReport({ lostRuns, neverBegun = [] }: HostReport): void {
     const open = lostRuns.filter(({ isOrderOpen }) => isOrderOpen);
     const openKeys = new Set(open.map(runKeyOf));
     this.lostRuns = this.lostRuns.filter((lost) =>
@@ -328,9 +328,9 @@
 const firstLifeOf = (host: HostId): WorkerInstance =>
   brand<WorkerInstance>(`${host}-1`);
 
-class OpenRoster implements HostRoster {
+class FakeRoster implements HostRoster {
   /** Whether the store answers; what it is asked to keep is not kept otherwise. */
-  isKept = true;
+  isStoreAvailable = true;
   private readonly hosts: Map<HostId, WorkerInstance>;
 
   /** @param former hosts in whose first life a former leader may have left leases */
@@ -339,7 +339,7 @@
   }
 
   async persist(host: HostId, instance: WorkerInstance): Promise<void> {
-    if (!this.isKept) return new Promise(() => undefined);
+    if (!this.isStoreAvailable) return new Promise(() => undefined);
     this.hosts.set(host, instance);
   }
 
@@ -348,7 +348,7 @@
   }
 
   async removalPersisted(): Promise<boolean> {
-    return this.isKept;
+    return this.isStoreAvailable;
   }
 
   recordedInstance(host: HostId): WorkerInstance | undefined {
@@ -382,13 +382,13 @@
   readonly store: MemoryStore;
   readonly metrics = new Metrics();
   readonly engine: JobEngine;
-  readonly roster: OpenRoster;
+  readonly roster: FakeRoster;
   readonly hosts: FakeHost[] = [];
-  leads = true;
+  isLeader = true;
   /** What the engine has kept for the next leader, in order. */
-  readonly learnt: LearntRecord[] = [];
+  readonly learned: LearntRecord[] = [];
   /** Zones that the operator wants nothing more started in. */
-  readonly evacuated = new Set<AvailabilityZone>();
+  readonly evacuatedZones = new Set<AvailabilityZone>();
 
   private readonly queue: QueueSpec;
   private readonly terms: Partial<JobTerms> | undefined;
@@ -413,18 +413,22 @@
     });
     // As a leader does before it begins: the store numbers its records apart.
     if (options.store) void writer.fenceOthers();
-    this.roster = new OpenRoster(roster);
+    this.roster = new FakeRoster(roster);
     this.engine = new JobEngine({
       epoch: epoch as unknown as Epoch,
       clock: this.clock,
       logger,
       metrics: this.metrics,
-      journal: new ProgressJournal({ writer, clock: this.clock, gatherMs: 5 }),
+      journal: new ProgressJournal({
+        writer,
+        clock: this.clock,
+        batchWindowMs: 5,
+      }),
       roster: this.roster,
       gate: new TakeoverGate({
         takenOverAt: this.clock.monotonic(),
         roster,
-        leadershipTtlMs: TTL_MS,
+        leadershipTtlMs: LEADERSHIP_TTL_MS,
         leaseMs: LEASE_MS,
       }),
       order: options.order ?? "byWorth",
@@ -432,10 +436,10 @@
       policy: { ...DEFAULT_POLICY, ...options.policy },
       leaseMs: LEASE_MS,
       stopMs: 200,
-      mayDecide: () => this.leads,
+      mayDecide: () => this.isLeader,
       queueOf: () => this.queue,
-      isEvacuated: (zone) => this.evacuated.has(zone),
-      persistLearned: (record) => this.learnt.push(record),
+      isEvacuated: (zone) => this.evacuatedZones.has(zone),
+      persistLearned: (record) => this.learned.push(record),
       permits: options.permits,
     });
     this.engine.start();
@@ -457,7 +461,7 @@
   reportOf(host: FakeHost): Grant {
     const report = host.reportTo(this.epoch);
     const grant = this.engine.handleReport(host.host, host.zone, report);
-    host.noteTold(report);
+    host.confirmReport(report);
     return grant;
   }
 
--- a/packages/scheduling/tests/evacuatedZones.test.ts
+++ b/packages/scheduling/tests/evacuatedZones.test.ts
@@ -7,7 +7,7 @@
 import {
   EngineHarness,
   LEASE_MS,
-  TTL_MS,
+  LEADERSHIP_TTL_MS,
   ZONE,
   type FakeHost,
 } from "./engineHarness.js";
@@ -41,7 +41,7 @@
 for (const [kind, step] of Object.entries(KINDS)) {
   test(`no ${kind} task begins in an evacuated zone, and all begin in the other`, async () => {
     const { site, here, there } = await siteOfTwoZones();
-    site.evacuated.add(ZONE);
+    site.evacuatedZones.add(ZONE);
     site.submit(JOB, [step]);
     await site.run(6_000);
     expect(startsOn(here)).toEqual(0);
@@ -51,11 +51,11 @@
 
 test("work that has room nowhere else waits, and begins once the zone is taken back", async () => {
   const { site, here, there } = await siteOfTwoZones();
-  site.evacuated.add(ZONE);
+  site.evacuatedZones.add(ZONE);
   site.submit(JOB, [{ taskCount: 4, gang: true, demand: WHOLE_HOST }]);
   await site.run(8_000);
   expect(startsOn([...here, ...there])).toEqual(0);
-  site.evacuated.delete(ZONE);
+  site.evacuatedZones.delete(ZONE);
   site.engine.handleOperatorChange();
   await site.run(200);
   expect(startsOn(here)).toEqual(2);
@@ -63,8 +63,8 @@
 
 test("a job that nothing runs of for long is not forced into an evacuated zone", async () => {
   const { site, here, there } = await siteOfTwoZones();
-  site.evacuated.add(ZONE);
-  site.evacuated.add(OTHER_ZONE);
+  site.evacuatedZones.add(ZONE);
+  site.evacuatedZones.add(OTHER_ZONE);
   site.submit(JOB, [{ taskCount: 2, filling: true }]);
   site.submit("77aa7a21d94b36f8", [{ lasting: true, demand: WHOLE_HOST }]);
   await site.run(10_000);
@@ -76,7 +76,7 @@
   site.submit(JOB, [{ taskCount: 4, lasting: true, demand: WHOLE_HOST }]);
   await site.run(500);
   expect(startsOn(here)).toEqual(2);
-  site.evacuated.add(ZONE);
+  site.evacuatedZones.add(ZONE);
   await site.run(4_000);
   expect(here.flatMap(({ stops }) => stops)).toEqual([]);
   expect(here.flatMap(({ runs }) => runs).length).toEqual(2);
@@ -86,7 +86,7 @@
   const { site, here, there } = await siteOfTwoZones();
   site.submit(JOB, [{ taskCount: 4, demand: WHOLE_HOST }]);
   await site.run(500);
-  site.evacuated.add(ZONE);
+  site.evacuatedZones.add(ZONE);
   for (const host of here) host.replaceWorker();
   for (const host of there)
     for (const task of host.runningTasks) host.end(task, "done");
@@ -97,15 +97,15 @@
 
 test("the next leader starts nothing there either, whenever the zone's hosts attach", async () => {
   const { site, here, there } = await siteOfTwoZones();
-  site.evacuated.add(ZONE);
+  site.evacuatedZones.add(ZONE);
   const job = site.submit(JOB, [{ taskCount: 4, demand: WHOLE_HOST }]);
   await site.run(500);
   site.engine.stop();
-  site.leads = false;
+  site.isLeader = false;
   const { clock, hosts, store } = site;
   const roster = hosts.map(({ host }) => host);
   const next = new EngineHarness({ clock, store, roster, epoch: 2 });
-  next.evacuated.add(ZONE);
+  next.evacuatedZones.add(ZONE);
   next.hosts.push(...hosts);
   next.engine.addJob(job, undefined);
   for (const host of there) next.engine.attach(host.host, host);
@@ -114,7 +114,7 @@
   await next.run(2_000);
   for (const host of there)
     for (const task of host.runningTasks) host.end(task, "done");
-  await next.run(TTL_MS + LEASE_MS);
+  await next.run(LEADERSHIP_TTL_MS + LEASE_MS);
   expect(startsOn(here)).toEqual(0);
   expect(startsOn(there)).toEqual(4);
 });
@@ -127,5 +127,5 @@
   const { at } = here[0] ?? {};
   // Worker clocks run up to 2 % slow.
   const lapsesInMs = 1.02 * ((order?.leaseUntil ?? 0) - (at ?? 0));
-  expect(lapsesInMs).toBeLessThan(5_000 - TTL_MS);
+  expect(lapsesInMs).toBeLessThan(5_000 - LEADERSHIP_TTL_MS);
 });
--- a/packages/scheduling/tests/gangCheckpoints.test.ts
+++ b/packages/scheduling/tests/gangCheckpoints.test.ts
@@ -22,13 +22,13 @@
   ]);
   await site.run(200);
   for (const host of hosts) {
-    for (const task of host.runningTasks) host.save(task, "older");
+    for (const task of host.runningTasks) host.saveCheckpoint(task, "older");
   }
   await site.run(200);
   const [lost, other] = hosts as [FakeHost, FakeHost];
   const [left] = other.runningTasks;
   if (!left) throw new Error("the second member does not run");
-  other.save(left, "newer");
+  other.saveCheckpoint(left, "newer");
   site.reportOf(other);
   lost.replaceWorker();
   other.end(left, "broken");
--- a/packages/scheduling/tests/grants.test.ts
+++ b/packages/scheduling/tests/grants.test.ts
@@ -10,13 +10,13 @@
   await harness.run(100);
   expect(harness.reportOf(host).leaseUntil).not.toEqual(undefined);
   await harness.clock.advance(100);
-  harness.leads = false;
+  harness.isLeader = false;
   expect(harness.reportOf(host).leaseUntil).toEqual(undefined);
 });
 
 test("a host that the store does not keep in the roster gets no lease and no task", async () => {
   const harness = new EngineHarness();
-  harness.roster.isKept = false;
+  harness.roster.isStoreAvailable = false;
   const host = await harness.addHost("h1");
   harness.submit("j", [{}]);
   await harness.run(500);
--- a/packages/scheduling/tests/doubtfulCrashes.test.ts
+++ b/packages/scheduling/tests/inconclusiveCrashes.test.ts
@@ -8,10 +8,10 @@
   evidenceOf,
   hostOfTask,
   JOB,
-  siteOf,
+  createSite,
   stateOf,
   TASK,
-} from "./crashSite.js";
+} from "./singleJobSite.js";
 import type { EngineHarness, FakeHost } from "./engineHarness.js";
 
 const OTHER = "77aa7a21d94b36f8";
@@ -46,7 +46,7 @@
 };
 
 test("a run that was due when the look at its worker broke off is no proof against its task", async () => {
-  const site = await siteOf(3);
+  const site = await createSite(3);
   site.submit(JOB, [{ estimateMs: ESTIMATE_MS }]);
   await loseWorker(site, AT_WORK);
   await loseWorker(site, DUE);
@@ -59,7 +59,7 @@
 
 // Tasks end after a third of the time that is expected of them as well.
 test("a run that was lost after a third of its expected time is no proof against its task", async () => {
-  const site = await siteOf(3);
+  const site = await createSite(3);
   site.submit(JOB, [{ estimateMs: ESTIMATE_MS }]);
   await loseWorker(site, AT_WORK);
   await loseWorker(site, { ...DUE, orderedMs: ESTIMATE_MS / 3 });
@@ -67,7 +67,7 @@
 });
 
 test("a task whose runs had ended unheard of under two workers that ended by chance is started again", async () => {
-  const site = await siteOf(3);
+  const site = await createSite(3);
   site.submit(JOB, [{ estimateMs: ESTIMATE_MS }]);
   await loseWorker(site, DUE);
   await loseWorker(site, DUE);
@@ -78,7 +78,7 @@
 });
 
 test("a task that crashes its workers when it is due is given up without proof", async () => {
-  const site = await siteOf(3);
+  const site = await createSite(3);
   site.submit(JOB, [{ estimateMs: ESTIMATE_MS }]);
   let crashes = 0;
   while (stateOf(site) !== "failed" && crashes <= MOST_CRASHES) {
@@ -89,7 +89,7 @@
 });
 
 test("after one crash at work two more that cannot be told give the task up", async () => {
-  const site = await siteOf(3);
+  const site = await createSite(3);
   site.submit(JOB, [{ estimateMs: ESTIMATE_MS }]);
   await loseWorker(site, AT_WORK);
   await loseWorker(site, DUE);
@@ -100,7 +100,7 @@
 });
 
 test("runs beside one that began apart go free although that one may have ended", async () => {
-  const site = await siteOf(3);
+  const site = await createSite(3);
   site.submit(OTHER, [{ lasting: true, taskCount: 3, maxPerHost: 1 }]);
   await site.run(1_000);
   site.submit(JOB, [{ estimateMs: ESTIMATE_MS }]);
@@ -112,7 +112,7 @@
 });
 
 test("a lasting task is at work however long ago it was ordered", async () => {
-  const site = await siteOf(3);
+  const site = await createSite(3);
   site.submit(JOB, [{ lasting: true }]);
   await loseWorker(site, { ...DUE, orderedMs: 600_000 });
   await loseWorker(site, { ...DUE, orderedMs: 600_000 });
@@ -121,10 +121,10 @@
 });
 
 test("a run that went on from a checkpoint may have had little left to do", async () => {
-  const site = await siteOf(3);
+  const site = await createSite(3);
   site.submit(JOB, [{ checkpointing: true }]);
   const host = await hostOfTask(site);
-  host.save(TASK, "nearly done");
+  host.saveCheckpoint(TASK, "nearly done");
   await site.run(2_000);
   for (let crash = 0; crash < 3; crash += 1) await loseWorker(site, AT_WORK);
   expect(evidenceOf(site)).toEqual(["settled", "young", "unanswered"]);
@@ -143,7 +143,7 @@
 };
 
 test("runs whose ends their workers had listed before they crashed speak against nothing", async () => {
-  const site = await siteOf(3);
+  const site = await createSite(3);
   site.submit(JOB, [{ estimateMs: ESTIMATE_MS }]);
   for (let end = 0; end <= MOST_CRASHES; end += 1) {
     await loseEnd(site);
@@ -157,7 +157,7 @@
 });
 
 test("a run that had ended is passed over where no other life of its worker reports", async () => {
-  const site = await siteOf(3);
+  const site = await createSite(3);
   site.submit(JOB, [{ estimateMs: ESTIMATE_MS }]);
   const host = await hostOfTask(site);
   const { instance } = host;
@@ -169,7 +169,7 @@
 });
 
 test("a crash is not put down to a run that began apart and had ended", async () => {
-  const site = await siteOf(3);
+  const site = await createSite(3);
   site.submit(OTHER, [{ lasting: true, taskCount: 3, maxPerHost: 1 }]);
   await site.run(1_000);
   site.submit(JOB, [{ estimateMs: ESTIMATE_MS }]);
--- a/packages/scheduling/tests/jobEngine.test.ts
+++ b/packages/scheduling/tests/jobEngine.test.ts
@@ -2,7 +2,12 @@
 import { expect } from "earl";
 import { brand, type HostId } from "@rackspan/common";
 import { decodeProgress, TOPICS } from "@rackspan/state";
-import { EngineHarness, LEASE_MS, taskId, TTL_MS } from "./engineHarness.js";
+import {
+  EngineHarness,
+  LEASE_MS,
+  taskId,
+  LEADERSHIP_TTL_MS,
+} from "./engineHarness.js";
 
 const lastProgress = (harness: EngineHarness, job: string) => {
   const record = harness.store
@@ -100,9 +105,9 @@
   silent.answers = "silent";
   harness.submit("j", [{}]);
   await harness.run(100);
-  silent.beginLate(silent.starts[0] as never);
+  silent.startLate(silent.starts[0] as never);
   await harness.run(2_000);
-  silent.progress(taskId("j.0.0.0"), 95);
+  silent.setProgress(taskId("j.0.0.0"), 95);
   await harness.run(2_000);
   expect(silent.starts.length).toEqual(1);
   silent.end(taskId("j.0.0.0"), "done");
@@ -115,7 +120,7 @@
   const harness = new EngineHarness({ epoch: 2, roster: [silentHost] });
   harness.submit("j", [{}]);
   const other = await harness.addHost("h2");
-  await harness.run(TTL_MS + LEASE_MS - 200);
+  await harness.run(LEADERSHIP_TTL_MS + LEASE_MS - 200);
   expect(other.starts.length).toEqual(0);
   await harness.run(1_000);
   expect(other.starts.length).toEqual(1);
@@ -131,7 +136,7 @@
     roster: [host.host],
     clock: before.clock,
   });
-  before.leads = false;
+  before.isLeader = false;
   after.submit("j", [{ taskCount: 2 }]);
   after.submit("k", [{}]);
   after.engine.attach(host.host, host);
@@ -154,7 +159,7 @@
   await harness.run(200);
   expect(host.runningTasks).toEqual([]);
   expect(lastProgress(harness, "j")?.state).toEqual("cancelled");
-  host.beginLate(host.starts[0] as never);
+  host.startLate(host.starts[0] as never);
   await harness.run(200);
   expect(host.runningTasks).toEqual([]);
 });
@@ -252,9 +257,9 @@
   const stuck = slow.runningTasks;
   expect(stuck.length).toEqual(3);
   for (let percent = 1; percent <= 10; percent += 1) {
-    for (const task of stuck) slow.progress(task, percent);
+    for (const task of stuck) slow.setProgress(task, percent);
     for (const host of others) {
-      for (const task of host.runningTasks) host.progress(task, percent * 8);
+      for (const task of host.runningTasks) host.setProgress(task, percent * 8);
     }
     await harness.run(200);
   }
@@ -271,7 +276,7 @@
   await harness.run(100);
   for (let percent = 1; percent <= 10; percent += 1) {
     for (const host of hosts) {
-      for (const task of host.runningTasks) host.progress(task, percent);
+      for (const task of host.runningTasks) host.setProgress(task, percent);
     }
     await harness.run(200);
   }
@@ -322,7 +327,7 @@
     roster: [first.host, second.host],
     clock: before.clock,
   });
-  before.leads = false;
+  before.isLeader = false;
   after.submit("j", [{}]);
   for (const host of [second, first]) {
     after.engine.attach(host.host, host);
@@ -341,8 +346,8 @@
   harness.submit("s", [{ lasting: true, tailTargetMs: 10, image }]);
   await harness.run(100);
   const server = taskId("s.0.0.0");
-  host.progress(server, 100);
-  host.read(server, 30);
+  host.setProgress(server, 100);
+  host.setReading(server, 30);
   await harness.run(6_000);
   harness.submit("f", [{ filling: true, image: "render" as never }]);
   await harness.run(1_000);
@@ -387,10 +392,10 @@
   const host = await harness.addHost("h1");
   harness.submit("j", [{ taskCount: 2, filling: true }]);
   await harness.run(200);
-  expect(host.described).toEqual([]);
+  expect(host.describedTasks).toEqual([]);
   harness.engine.detach(host.host, host);
   harness.engine.attach(host.host, host);
-  expect(host.described).toEqual([taskId("j.0.0.0"), taskId("j.0.0.1")]);
+  expect(host.describedTasks).toEqual([taskId("j.0.0.0"), taskId("j.0.0.1")]);
 });
 
 test("a filling task that crawls goes on elsewhere from its checkpoint, once a host", async () => {
@@ -401,8 +406,8 @@
   const task = taskId("f.0.0.0");
   const [first, second] = hosts[0]?.isRunning(task) ? hosts : hosts.reverse();
   if (!first || !second) throw new Error("there are two hosts");
-  first.read(task, 100);
-  second.read(task, 100);
+  first.setReading(task, 100);
+  second.setReading(task, 100);
   await harness.run(1_000);
   expect(first.stops.length).toEqual(0);
   await harness.run(700);
@@ -420,7 +425,7 @@
   await harness.addHost("h2");
   harness.submit("f", [{ taskCount: 2, maxPerHost: 1, filling: true }]);
   await harness.run(100);
-  for (const task of host.runningTasks) host.read(task, 50);
+  for (const task of host.runningTasks) host.setReading(task, 50);
   await harness.run(3_000);
   expect(host.stops.length).toEqual(0);
 });
@@ -432,7 +437,7 @@
   const quarter = { milliCores: 8_000, memoryMiB: 1_000, accelerators: 0 };
   before.submit("old", [{ taskCount: 4, demand: quarter }]);
   await before.run(100);
-  before.leads = false;
+  before.isLeader = false;
   host.stopsAtOnce = false;
   const after = new EngineHarness({
     epoch: 2,
@@ -475,7 +480,7 @@
   const host = await harness.addHost("h1");
   harness.submit("j", [{ checkpointing: true }]);
   await harness.run(100);
-  host.save(taskId("j.0.0.0"), "half");
+  host.saveCheckpoint(taskId("j.0.0.0"), "half");
   await harness.run(1_300);
   expect(lastProgress(harness, "j")?.checkpoints).toEqual([["0.0.0", "half"]]);
   const kept = harness.store.recordsOf(TOPICS.progress).length;
@@ -488,7 +493,7 @@
   const host = await harness.addHost("h1");
   harness.submit("j", [{ checkpointing: true }]);
   await harness.run(100);
-  host.save(taskId("j.0.0.0"), "half");
+  host.saveCheckpoint(taskId("j.0.0.0"), "half");
   await harness.run(3_000);
   expect(lastProgress(harness, "j")).toEqual(undefined);
 });
@@ -506,7 +511,7 @@
   await before.run(300);
   expect(starts.length + second.starts.length).toEqual(2);
   expect(second.isRunning(taskId("j.0.0.0"))).toEqual(true);
-  before.leads = false;
+  before.isLeader = false;
   const after = new EngineHarness({
     epoch: 2,
     roster: [first.host, second.host],
@@ -532,15 +537,15 @@
   before.submit("s", [{ lasting: true, tailTargetMs: 10, image }]);
   before.submit("f", [{ filling: true, image: "render" as never }]);
   await before.run(100);
-  host.progress(taskId("s.0.0.0"), 100);
-  host.read(taskId("s.0.0.0"), 30);
-  host.read(taskId("f.0.0.0"), 4_000);
+  host.setProgress(taskId("s.0.0.0"), 100);
+  host.setReading(taskId("s.0.0.0"), 30);
+  host.setReading(taskId("f.0.0.0"), 4_000);
   await before.run(2_500);
-  const [record] = before.learnt;
+  const [record] = before.learned;
   expect(record?.kind).toEqual("tail");
-  before.leads = false;
+  before.isLeader = false;
   const after = new EngineHarness({ epoch: 2, clock: before.clock });
-  after.engine.restoreLearned(before.learnt.slice(0, 1));
+  after.engine.restoreLearned(before.learned.slice(0, 1));
   after.submit("s", [{ lasting: true, tailTargetMs: 10, image }]);
   after.submit("f", [{ filling: true, image: "render" as never }]);
   after.engine.attach(host.host, host);
@@ -555,5 +560,5 @@
   await harness.run(200);
   host.end(taskId("j.0.0.0"), "done");
   await harness.run(5_000);
-  expect(harness.learnt).toEqual([]);
+  expect(harness.learned).toEqual([]);
 });
--- a/packages/scheduling/tests/neverBegunRuns.test.ts
+++ b/packages/scheduling/tests/neverStartedRuns.test.ts
@@ -10,10 +10,10 @@
   hostOfTask,
   JOB,
   progressOf,
-  siteOf,
+  createSite,
   stateOf,
   TASK,
-} from "./crashSite.js";
+} from "./singleJobSite.js";
 import { EngineHarness, type FakeHost } from "./engineHarness.js";
 
 /** One more loss without proof gives the task up. */
@@ -75,7 +75,7 @@
 };
 
 test("an order that another life answers is no crash under its task", async () => {
-  const site = await siteOf(3);
+  const site = await createSite(3);
   for (const host of site.hosts) host.answers = "held";
   site.submit(JOB, [{ estimateMs: 500 }]);
   await site.run(100);
@@ -84,7 +84,7 @@
 });
 
 test("an order without an answer to a worker that crashed may have begun", async () => {
-  const site = await siteOf(3);
+  const site = await createSite(3);
   for (const host of site.hosts) host.answers = "held";
   site.submit(JOB, [{ estimateMs: 500 }]);
   await site.run(100);
@@ -93,7 +93,7 @@
 });
 
 test("a task is not given up before the order to its last run is answered", async () => {
-  const site = await siteOf(4);
+  const site = await createSite(4);
   site.submit(JOB, [{ estimateMs: 500 }]);
   await loseRunning(site, { orderedMs: 100 });
   await loseRunning(site, { orderedMs: 635 }, "held");
@@ -109,7 +109,7 @@
 });
 
 test("a run ordered from a worker that no longer answered is no crash under its task", async () => {
-  const site = await siteOf(3);
+  const site = await createSite(3);
   for (const host of site.hosts) host.answers = "held";
   site.submit(JOB, [{ estimateMs: 500 }]);
   await site.run(100);
@@ -153,13 +153,13 @@
 };
 
 test("a run whose order is open when its leader ends gives no task up at the next leader", async () => {
-  const site = await siteOf(3);
+  const site = await createSite(3);
   const job = await orderNearLimit(site);
   const host = orderedAt(site);
   if (!host) throw new Error("the task was not ordered");
   loseOrdered(host);
   await site.run(300);
-  site.leads = false;
+  site.isLeader = false;
   site.engine.stop();
   host.answerHeld({ kind: "replaced" });
   const next = leadNext(site, job, progressOf(site));
@@ -168,7 +168,7 @@
 });
 
 test("an answer that came does not shorten the wait for that of the next order", async () => {
-  const site = await siteOf(4);
+  const site = await createSite(4);
   await orderNearLimit(site);
   const first = orderedAt(site);
   if (!first) throw new Error("the task was not ordered");
@@ -188,12 +188,12 @@
 });
 
 test("a run that a side tells a new leader of while its order is open gives no task up", async () => {
-  const site = await siteOf(3);
+  const site = await createSite(3);
   const job = await orderNearLimit(site);
   const host = orderedAt(site);
   if (!host) throw new Error("the task was not ordered");
   const progress = progressOf(site);
-  site.leads = false;
+  site.isLeader = false;
   site.engine.stop();
   loseOrdered(host);
   const next = leadNext(site, job, progress);
@@ -208,12 +208,12 @@
   readonly next: EngineHarness;
   readonly host: FakeHost;
 }> => {
-  const site = await siteOf(3);
+  const site = await createSite(3);
   const job = await orderNearLimit(site);
   const host = orderedAt(site);
   if (!host) throw new Error("the task was not ordered");
   const progress = progressOf(site);
-  site.leads = false;
+  site.isLeader = false;
   site.engine.stop();
   loseOrdered(host);
   const next = leadNext(site, job, progress);
@@ -243,7 +243,7 @@
 });
 
 test("an open order that its leader gave over a former connection gives no task up", async () => {
-  const site = await siteOf(3);
+  const site = await createSite(3);
   await orderNearLimit(site);
   const host = orderedAt(site);
   const order = host?.starts.at(-1);
--- a/packages/scheduling/tests/oneRunProperty.test.ts
+++ b/packages/scheduling/tests/oneRunProperty.test.ts
@@ -110,7 +110,7 @@
     if (call.epoch < this.epoch) return { kind: "refused", reason: "fenced" };
     if (this.draining) return { kind: "draining" };
     if (call.leaseUntil < this.at) return { kind: "refused", reason: "late" };
-    this.beginLate(call);
+    this.startLate(call);
     const hasBegun = this.runs.some((run) => runKeyOf(run) === runKeyOf(call));
     return hasBegun
       ? { kind: "ok", at: this.at }
@@ -321,7 +321,7 @@
     const former = this.harness;
     const { clock, store, epoch } = former;
     await clock.advance(KEPT_BY_MS);
-    former.leads = false;
+    former.isLeader = false;
     former.engine.stop();
     const roster = this.hosts.map(({ host }) => host);
     this.harness = new EngineHarness({
--- a/packages/scheduling/tests/unasked.test.ts
+++ b/packages/scheduling/tests/orphanRuns.test.ts
@@ -123,7 +123,7 @@
   const { harness, host, order, job } = await startUnanswered();
   harness.engine.cancelJob(job);
   await harness.run(500);
-  host.beginLate(order);
+  host.startLate(order);
   await harness.run(500);
   expect(host.isRunning(TASK)).toEqual(true);
   heed(host);
@@ -136,7 +136,7 @@
   heed(host);
   harness.engine.cancelJob(job);
   await harness.run(100);
-  host.beginLate(order);
+  host.startLate(order);
   await harness.run(500);
   expect(host.isRunning(TASK)).toEqual(false);
   const whole = { milliCores: 32_000, memoryMiB: 10, accelerators: 0 };
@@ -172,7 +172,7 @@
     const [order] = host.starts;
     if (!order) throw new Error("nothing was ordered");
     host.listsNewestFirst = newestFirst;
-    host.beginLate(runBefore(order));
+    host.startLate(runBefore(order));
     await harness.run(1_000);
     expect(host.runs.map(({ run }) => run)).toEqual([order.run]);
     expect(host.starts.length).toEqual(1);
@@ -197,8 +197,8 @@
   const { host } = before;
   const [order] = host.starts;
   if (!order) throw new Error("nothing was ordered");
-  host.beginLate(runBefore(order));
-  before.harness.leads = false;
+  host.startLate(runBefore(order));
+  before.harness.isLeader = false;
   const after = takeOver(before.harness, host);
   const job = after.submit("j", [{ lasting: true }]);
   after.engine.cancelJob(job.spec.id);
@@ -214,9 +214,9 @@
     const { host } = before;
     const [order] = host.starts;
     if (!order) throw new Error("nothing was ordered");
-    host.beginLate(runBefore(order));
+    host.startLate(runBefore(order));
     host.listsNewestFirst = newestFirst;
-    before.harness.leads = false;
+    before.harness.isLeader = false;
     const after = takeOver(before.harness, host);
     after.submit("j", [{ lasting: true }]);
     after.engine.attach(host.host, host);
@@ -252,7 +252,7 @@
   // Each report would otherwise add an order to those that still wait at a silent worker.
   const before = await startLasting();
   const { host } = before;
-  before.harness.leads = false;
+  before.harness.isLeader = false;
   const after = takeOver(before.harness, host);
   const job = after.submit("j", [{ lasting: true }]);
   after.engine.cancelJob(job.spec.id);
@@ -272,7 +272,7 @@
   loseOrders(host, "silent");
   before.harness.engine.cancelJob(before.job);
   await before.harness.run(100);
-  before.harness.leads = false;
+  before.harness.isLeader = false;
   const silent = brand<HostId>("h2");
   const after = takeOver(before.harness, host, [silent]);
   const job = after.submit("j", [{ lasting: true }]);
@@ -293,7 +293,7 @@
   harness.engine.cancelJob(job);
   await harness.run(3_000);
   harness.engine.forgetJob(job);
-  host.beginLate(order);
+  host.startLate(order);
   await harness.run(1_000);
   expect(host.isRunning(TASK)).toEqual(true);
   heed(host);
--- a/packages/scheduling/tests/unaskedProperty.test.ts
+++ b/packages/scheduling/tests/orphanRunsProperty.test.ts
@@ -144,7 +144,7 @@
   /** The next leader reads all jobs and cancels; hosts attach when they find it. */
   private changeLeader(): void {
     const { clock } = this.harness;
-    this.harness.leads = false;
+    this.harness.isLeader = false;
     this.harness.engine.stop();
     this.epoch += 1;
     const roster = this.hosts.map(({ host }) => host);
@@ -168,7 +168,7 @@
   for (const start of host.starts) {
     if (start.instance !== host.instance || start.leaseUntil < host.at)
       continue;
-    host.beginLate(start);
+    host.startLate(start);
   }
 };
 
--- a/packages/scheduling/tests/overload.test.ts
+++ b/packages/scheduling/tests/overload.test.ts
@@ -2,7 +2,7 @@
 
 import { test } from "node:test";
 import { expect } from "earl";
-import { playOverload, type OverloadResult } from "./playOverload.js";
+import { simulateOverload, type OverloadResult } from "./simulateOverload.js";
 
 /** Twice what a site is built for is the most that its users have planned for. */
 const LOADS = [1, 1.4, 1.8];
@@ -15,7 +15,7 @@
   const results: OverloadResult[] = [];
   for (const load of LOADS) {
     for (const seed of SEEDS) {
-      results.push(await playOverload({ order, seed, load }));
+      results.push(await simulateOverload({ order, seed, load }));
     }
   }
   return results;
@@ -25,10 +25,13 @@
   const bySlack = await playAll("bySlack");
   const byWorth = await playAll("byWorth");
   const earned = (results: readonly OverloadResult[]): number =>
-    mean(results.map((one) => one.earned));
+    mean(results.map((one) => one.utilityShare));
   expect(earned(byWorth)).toBeGreaterThanOrEqual(earned(bySlack));
   // The users' rule of sizes: the largest tenth at least half as often as all.
-  for (const { largestServed, served } of byWorth) {
+  for (const {
+    largestServedShare: largestServed,
+    servedShare: served,
+  } of byWorth) {
     expect(largestServed).toBeGreaterThanOrEqual(served / 2);
   }
 });
--- a/packages/scheduling/tests/reportAfterFreeze.test.ts
+++ b/packages/scheduling/tests/reportAfterSuspension.test.ts
@@ -35,13 +35,13 @@
   harness.submit("lost", [{}]);
   await harness.run(100);
   // Nothing may be started while both the lost run and the late one are settled.
-  harness.leads = false;
+  harness.isLeader = false;
   await harness.run(LEASE_MS / 2);
   const other = await harness.addHost("h2");
-  harness.leads = true;
+  harness.isLeader = true;
   expect(late.isRunning(taskId("late.0.0.0"))).toEqual(false);
   late.vanish(taskId("lost.0.0.0"));
-  late.beginLate(order);
+  late.startLate(order);
   harness.engine.handleOperatorChange();
   harness.clock.freeze(FREEZE_MS);
   harness.reportOf(late);
--- a/packages/scheduling/tests/rosteredLives.test.ts
+++ b/packages/scheduling/tests/rosterIncarnations.test.ts
@@ -8,10 +8,15 @@
   type JobTaskId,
   type WorkerInstance,
 } from "@rackspan/common";
-import { EngineHarness, FakeHost, LEASE_MS, TTL_MS } from "./engineHarness.js";
+import {
+  EngineHarness,
+  FakeHost,
+  LEASE_MS,
+  LEADERSHIP_TTL_MS,
+} from "./engineHarness.js";
 
 const GONE = brand<HostId>("gone");
-const PAST_LEASES_MS = (TTL_MS + LEASE_MS) * 1.1;
+const PAST_LEASES_MS = (LEADERSHIP_TTL_MS + LEASE_MS) * 1.1;
 
 /** A new leader with a host that is heard, one that is not, and a job from before. */
 const takeOver = async () => {
@@ -28,7 +33,7 @@
 test("the end of a life that the roster does not name lets a new leader wait on", async () => {
   const { next, heard } = await takeOver();
   next.engine.handleWorkerGone(GONE, brand<WorkerInstance>("gone-0"));
-  await next.run(TTL_MS);
+  await next.run(LEADERSHIP_TTL_MS);
   expect(heard.starts.length).toEqual(0);
 });
 
@@ -42,9 +47,9 @@
 
 test("a host that never reports leaves the roster with its last lease", async () => {
   const { next, heard } = await takeOver();
-  await next.run(TTL_MS + LEASE_MS - 100);
+  await next.run(LEADERSHIP_TTL_MS + LEASE_MS - 100);
   expect(next.roster.recordedInstance(GONE)).not.toEqual(undefined);
-  await next.run(PAST_LEASES_MS - (TTL_MS + LEASE_MS));
+  await next.run(PAST_LEASES_MS - (LEADERSHIP_TTL_MS + LEASE_MS));
   expect(heard.starts.length).toEqual(1);
   expect(next.roster.recordedInstance(GONE)).toEqual(undefined);
 });
@@ -52,7 +57,7 @@
 test("the next life of a worker gets no lease before the store names it", async () => {
   const harness = new EngineHarness();
   const host = await harness.addHost("h1");
-  harness.roster.isKept = false;
+  harness.roster.isStoreAvailable = false;
   host.replaceWorker();
   harness.reportOf(host);
   harness.submit("j", [{}]);
--- a/packages/scheduling/tests/silentHosts.test.ts
+++ b/packages/scheduling/tests/silentHosts.test.ts
@@ -26,7 +26,7 @@
   const work: Site["work"] = async (ms, reporting) => {
     for (let passed = 0; passed < ms; passed += STEP_MS) {
       percent += 1;
-      for (const task of host.runningTasks) host.progress(task, percent);
+      for (const task of host.runningTasks) host.setProgress(task, percent);
       await harness.run(STEP_MS, reporting);
     }
   };
@@ -59,7 +59,7 @@
   const [task] = host.runningTasks;
   if (!task) throw new Error("no task runs");
   // One reading far below what it asks for.
-  host.read(task, 1);
+  host.setReading(task, 1);
   await harness.run(200);
   await harness.run(SHORT_SILENCE_MS, []);
   expect(host.stops.length).toEqual(0);
--- a/packages/scheduling/tests/silentBeforeTakeOver.test.ts
+++ b/packages/scheduling/tests/silentHostsAtTakeover.test.ts
@@ -6,7 +6,7 @@
 import {
   EngineHarness,
   LEASE_MS,
-  TTL_MS,
+  LEADERSHIP_TTL_MS,
   type FakeHost,
 } from "./engineHarness.js";
 
@@ -19,7 +19,7 @@
 /** When the silence is told, after a tick of the engine: all over its interval. */
 const TICK_PHASES_MS = [0, 60, 120, 180, 240];
 /** Every lease that former leaders could grant is over. */
-const ALL_OVER_MS = (TTL_MS + LEASE_MS) * 1.05;
+const ALL_OVER_MS = (LEADERSHIP_TTL_MS + LEASE_MS) * 1.05;
 
 /** Lets all but the last of these milliseconds pass; the host reports until shortly before. */
 const waitUntilJustBefore = async (
@@ -42,7 +42,7 @@
     silent.push(await former.addHost(`silent${nth}`));
   }
   const job = former.submit("j", [{ lasting: true }]);
-  former.leads = false;
+  former.isLeader = false;
   former.engine.stop();
   const roster = former.hosts.map(({ host }) => host);
   const next = new EngineHarness({ epoch: 2, roster, clock, store });
@@ -102,9 +102,11 @@
 test("a side that cannot tell when its leases are over leaves the wait as it is", async () => {
   const { next, heard, host } = await takeOverBesideOne();
   next.engine.handleWorkerSilent(host.host, undefined);
-  await next.run(TTL_MS + LEASE_MS - 2 * SOON_MS, [heard]);
+  await next.run(LEADERSHIP_TTL_MS + LEASE_MS - 2 * SOON_MS, [heard]);
   expect(heard.starts).toEqual([]);
-  await next.run(ALL_OVER_MS - TTL_MS - LEASE_MS + 2 * SOON_MS, [heard]);
+  await next.run(ALL_OVER_MS - LEADERSHIP_TTL_MS - LEASE_MS + 2 * SOON_MS, [
+    heard,
+  ]);
   expect(heard.starts.length).toEqual(1);
 });
 
@@ -139,7 +141,7 @@
 test("a leader whose term is over says that it grants nothing", async () => {
   const { next, host } = await takeOverBesideOne();
   expect(next.engine.handleWorkerSilent(host.host, OVER_IN_MS)).toEqual(true);
-  next.leads = false;
+  next.isLeader = false;
   expect(next.engine.handleWorkerSilent(host.host, OVER_IN_MS)).toEqual(false);
 });
 
--- a/packages/scheduling/tests/playOverload.ts
+++ b/packages/scheduling/tests/simulateOverload.ts
@@ -43,14 +43,14 @@
 
 export interface OverloadResult {
   /** Worth of what was done in time or late, of the worth of all jobs. */
-  readonly earned: number;
+  readonly utilityShare: number;
   readonly inTime: number;
   readonly late: number;
-  readonly undone: number;
+  readonly unfinished: number;
   /** Share in time, or late, of the largest tenth of the jobs. */
-  readonly largestServed: number;
+  readonly largestServedShare: number;
   /** The same of all jobs. */
-  readonly served: number;
+  readonly servedShare: number;
   /** Milliseconds from a job's first start to its last, the median of those that ended. */
   readonly medianSpanMs: number;
 }
@@ -121,7 +121,7 @@
       const share =
         (now - this.beganAt(host, { task, run }, now)) / this.msOf(task);
       if (share >= 1) host.end(task, "done", run);
-      else host.progress(task, Math.floor(100 * share));
+      else host.setProgress(task, Math.floor(100 * share));
     }
   }
 
@@ -151,7 +151,7 @@
   readonly load: number;
 }
 
-export const playOverload = async ({
+export const simulateOverload = async ({
   order,
   seed,
   load,
@@ -212,12 +212,12 @@
     .map(({ id }) => (times.lastAt.get(id) ?? 0) - (times.firstAt.get(id) ?? 0))
     .sort((a, b) => a - b);
   return {
-    earned: sum(jobs.map(earnedBy)) / sum(jobs.map(worthOf)),
+    utilityShare: sum(jobs.map(earnedBy)) / sum(jobs.map(worthOf)),
     inTime: count("in-time") / jobs.length,
     late: count("late") / jobs.length,
-    undone: count("undone") / jobs.length,
-    largestServed: largest.filter(isServed).length / largest.length,
-    served: jobs.filter(isServed).length / jobs.length,
+    unfinished: count("undone") / jobs.length,
+    largestServedShare: largest.filter(isServed).length / largest.length,
+    servedShare: jobs.filter(isServed).length / jobs.length,
     medianSpanMs: spans[Math.floor(spans.length / 2)] ?? 0,
   };
 };
--- a/packages/scheduling/tests/crashSite.ts
+++ b/packages/scheduling/tests/singleJobSite.ts
@@ -12,7 +12,7 @@
 export const JOB = "5c0e7a21d94b36f8";
 export const TASK = taskId(`${JOB}.0.0.0`);
 
-export const siteOf = async (
+export const createSite = async (
   count: number,
   logger?: Logger,
 ): Promise<EngineHarness> => {
