--- a/bench/src/config.ts
+++ b/bench/src/config.ts
@@ -37,7 +37,7 @@
     logger: silentLogger,
     fold: new Fold(),
   };
-  const peers = { fetch: async () => undefined };
+  const peers = { fetchNewest: async () => undefined };
   const follower = new LogFollower({
     ...shared,
     peers,
--- a/bench/src/state.ts
+++ b/bench/src/state.ts
@@ -13,8 +13,8 @@
   Fold,
   jobSchema,
   jobUnitId,
-  packSnapshot,
-  unpackSnapshot,
+  encodeSnapshot,
+  decodeSnapshot,
   type LogRecord,
 } from "@rackspan/state";
 import { offset } from "@rackspan/common";
@@ -103,7 +103,7 @@
   const after = heapMiB();
   const packs = Array.from({ length: REPEATS }, () =>
     timed(() =>
-      packSnapshot({
+      encodeSnapshot({
         covered: offset(batches.length),
         state: fold.toSnapshot(),
       }),
@@ -111,7 +111,7 @@
   );
   const packed = (packs[0] as (typeof packs)[0]).value;
   const restores = Array.from({ length: REPEATS }, () =>
-    timed(() => new Fold().restore(unpackSnapshot(packed).state)),
+    timed(() => new Fold().restore(decodeSnapshot(packed).state)),
   );
   const ends = timed(() =>
     indexes.forEach((index) => fold.apply(endedOf(index))),
@@ -121,7 +121,8 @@
     "us/record read":
       (median(reads.map(({ ms }) => ms)) * 1_000) / records.length,
     "bytes/record": bytes / records.length,
-    "KiB heap/job": ((after - before) * 1_024) / (2 * state.units.liveCount),
+    "KiB heap/job":
+      ((after - before) * 1_024) / (2 * state.units.unfinishedCount),
     "snapshot KiB": packed.length / 1_024,
     "snapshot ms": median(packs.map(({ ms }) => ms)),
     "restore ms": median(restores.map(({ ms }) => ms)),
--- a/packages/checker/src/EntryNode.ts
+++ b/packages/checker/src/EntryNode.ts
@@ -38,7 +38,7 @@
   SnapshotStore,
   type LogRecord,
   type Snapshot,
-  type Verdict,
+  type ApplyResult,
 } from "@rackspan/state";
 import { createSendAttempt, type RequestFault } from "./fakeAttempts.js";
 import type { History } from "./history.js";
@@ -90,8 +90,8 @@
     const writer = freshId<Incarnation>();
     this.process = `${name} ${writer}`;
     this.fold = new Fold({
-      dropRepeats: mutant !== "no-deduplication",
-      checkBase: mutant !== "no-base-version",
+      ignoreDuplicates: mutant !== "no-deduplication",
+      checkBaseVersion: mutant !== "no-base-version",
     });
     const { clock, fold } = this;
     const shared = {
@@ -102,7 +102,7 @@
       fold,
     };
     this.store = new SnapshotStore(log);
-    const peers = { fetch: async () => options.peerSnapshot() };
+    const peers = { fetchNewest: async () => options.peerSnapshot() };
     this.follower = new LogFollower({
       ...shared,
       log,
@@ -205,7 +205,10 @@
     return this.follower.caughtUp && !this.follower.fault;
   }
 
-  submit(record: LogRecord, timeoutMs = 2_000): Promise<Verdict | undefined> {
+  submit(
+    record: LogRecord,
+    timeoutMs = 2_000,
+  ): Promise<ApplyResult | undefined> {
     return this.appender.submit(record, timeoutMs).catch(() => undefined);
   }
 
--- a/packages/checker/src/FakeWorker.ts
+++ b/packages/checker/src/FakeWorker.ts
@@ -10,7 +10,7 @@
 } from "@rackspan/common";
 import {
   WorkerRefusedError,
-  WorkerUnknownError,
+  WorkerOutcomeUnknownError,
   type StartOrder,
   type UsageSample,
   type Worker,
@@ -146,7 +146,7 @@
     effect: () => T,
   ): Promise<T> {
     await sleep(this.options.clock, CALL_MS);
-    if (this.cut || this.gone) throw new WorkerUnknownError("cut");
+    if (this.cut || this.gone) throw new WorkerOutcomeUnknownError("cut");
     const isOwner =
       owner === undefined || owner === this.owner || this.options.ignoreOwner;
     if (!isOwner)
@@ -154,7 +154,7 @@
     const result = effect();
     if (this.loseAnswers > 0) {
       this.loseAnswers -= 1;
-      throw new WorkerUnknownError("lost");
+      throw new WorkerOutcomeUnknownError("lost");
     }
     return result;
   }
--- a/packages/checker/src/World.ts
+++ b/packages/checker/src/World.ts
@@ -296,7 +296,7 @@
     const end = this.log.end(RECORD_STREAM);
     return [...this.entries.values()].every(
       ({ isReady, follower, fold }) =>
-        isReady && follower.position >= end && fold.units.liveCount === 0,
+        isReady && follower.position >= end && fold.units.unfinishedCount === 0,
     );
   }
 
--- a/packages/checker/src/fakeAttempts.ts
+++ b/packages/checker/src/fakeAttempts.ts
@@ -86,6 +86,6 @@
     });
     const answer = Promise.race([exchange(options), cancelled]);
     answer.catch(() => undefined);
-    return { answer, cancel };
+    return { response: answer, cancel };
   };
 };
--- a/packages/checker/src/followLog.ts
+++ b/packages/checker/src/followLog.ts
@@ -29,7 +29,7 @@
   log.kept.on(({ stream, data }) => {
     if (stream === RECORD_STREAM) truth.applyBatch(decodeBatch(data));
   });
-  truth.applied.on(({ record, verdict }) => {
+  truth.applied.on(({ record, result: verdict }) => {
     if (!verdict.accepted) return;
     if (record.type === "submit") {
       history.record({ type: "jobAccepted", unit: jobUnitId(record.job.name) });
--- a/packages/checker/src/jobs/LeaderModel.ts
+++ b/packages/checker/src/jobs/LeaderModel.ts
@@ -19,7 +19,7 @@
 import {
   decodeHost,
   decodeProgress,
-  StampedWriter,
+  TopicWriter,
   TOPICS,
   type AcceptedJob,
   type JobId,
@@ -69,7 +69,7 @@
   private readonly attached = new Map<HostId, SideLink>();
   /** By host: when all that this leader has granted its worker is over. */
   private readonly grantsOverBy = new Map<HostId, Monotonic>();
-  private readonly writers: StampedWriter[] = [];
+  private readonly writers: TopicWriter[] = [];
   private isOver = false;
 
   constructor(private readonly options: LeaderModelOptions) {
@@ -99,8 +99,8 @@
     const takenOverAt = this.clock.monotonic();
     const progressWriter = this.writerOf(TOPICS.progress);
     const hostsWriter = this.writerOf(TOPICS.hosts);
-    await progressWriter.fenceOthers();
-    await hostsWriter.fenceOthers();
+    await progressWriter.fenceLowerEpochs();
+    await hostsWriter.fenceLowerEpochs();
     const progress = await this.read(TOPICS.progress);
     const hosts = await this.read(TOPICS.hosts);
     if (this.isOver || this.isDead) return;
@@ -261,16 +261,16 @@
     });
   }
 
-  private writerOf(topic: (typeof TOPICS)[keyof typeof TOPICS]): StampedWriter {
-    const writer = new StampedWriter({
+  private writerOf(topic: (typeof TOPICS)[keyof typeof TOPICS]): TopicWriter {
+    const writer = new TopicWriter({
       topic,
       store: this.options.store,
       clock: this.clock,
       logger: silentLogger,
       producer: "leader",
       epoch: this.options.epoch,
-      gatherMs: 0,
-      retriesRefused: true,
+      batchWindowMs: 0,
+      retriesRefusedBatches: true,
     });
     this.writers.push(writer);
     return writer;
@@ -281,7 +281,7 @@
   ): Promise<Map<string, Buffer>> {
     for (;;) {
       try {
-        const { records } = await this.options.store.newest(topic);
+        const { records } = await this.options.store.readNewest(topic);
         return new Map(
           records.flatMap(({ key, value }) => (value ? [[key, value]] : [])),
         );
--- a/packages/checker/src/jobs/SubmittedJobs.ts
+++ b/packages/checker/src/jobs/SubmittedJobs.ts
@@ -9,7 +9,7 @@
 import { plainJob, type MemoryStore } from "@rackspan/standins";
 import {
   decodeProgress,
-  isFinal,
+  isFinalState,
   parseTaskId,
   taskIdAt,
   TOPICS,
@@ -114,7 +114,7 @@
   /** Whether the store keeps that the job has ended. */
   hasEnded(id: JobId): boolean {
     const state = this.stateOf(id);
-    return state !== undefined && isFinal(state);
+    return state !== undefined && isFinalState(state);
   }
 
   /** Whether the store keeps that the job was given up, which only crashes or failures may bring about. */
--- a/packages/checker/src/jobs/WorkerModel.ts
+++ b/packages/checker/src/jobs/WorkerModel.ts
@@ -20,8 +20,8 @@
   TaskRefusedError,
   WorkerReplacedError,
   WorkerSilentError,
-  type HoldAnswer,
-  type HoldOrder,
+  type PollResponse,
+  type PollRequest,
   type RunRef,
   type RunStart,
   type StartOutcome,
@@ -235,7 +235,10 @@
     });
   }
 
-  async hold(instance: WorkerInstance, order: HoldOrder): Promise<HoldAnswer> {
+  async poll(
+    instance: WorkerInstance,
+    order: PollRequest,
+  ): Promise<PollResponse> {
     if (!this.isKnownSilent) this.noteSent(instance, order.leaseUntil);
     await this.reach(instance, () => this.takeHold(order));
     await this.holdUp();
@@ -261,7 +264,7 @@
     };
   }
 
-  private takeHold({ epoch, acknowledged, leaseUntil }: HoldOrder): void {
+  private takeHold({ epoch, acknowledged, leaseUntil }: PollRequest): void {
     const { life } = this;
     this.fence(epoch);
     life.forgetEnds(acknowledged);
--- a/packages/checker/tests/workerModel.test.ts
+++ b/packages/checker/tests/workerModel.test.ts
@@ -41,7 +41,7 @@
     milliCores: 1_000,
     traitsOf: () => LASTING,
   });
-  const at = worker.hold(worker.instance, {
+  const at = worker.poll(worker.instance, {
     epoch: 1 as unknown as Epoch,
     acknowledged: 0,
     leaseUntil: undefined,
--- a/packages/entry/src/AttemptLoop.ts
+++ b/packages/entry/src/AttemptLoop.ts
@@ -38,7 +38,7 @@
 
 /** An attempt that is under way. */
 export interface SentAttempt {
-  readonly answer: Promise<IncomingMessage>;
+  readonly response: Promise<IncomingMessage>;
   cancel(): void;
 }
 
@@ -222,7 +222,7 @@
     cancellation.track(sent);
     endpoint.inFlight += 1;
     try {
-      const answer = await sent.answer;
+      const answer = await sent.response;
       noteLoad(endpoint, answer, clock.monotonic());
       if (answer.headers[HEADER.OUTCOME] === undefined) {
         return this.answered(answer, endpoint, startedAt);
--- a/packages/entry/src/CallerRequestHandler.ts
+++ b/packages/entry/src/CallerRequestHandler.ts
@@ -14,7 +14,7 @@
   INTERNAL_HEADERS,
   readBody,
   REASON,
-  relayAnswer,
+  relayResponse,
   sendProblem,
   type BodyStream,
   type Problem,
@@ -246,7 +246,7 @@
       : undefined;
     this.writeHead(answer);
     const readToEnd = this.keyed !== undefined;
-    const end = await relayAnswer(answer, this.res, { readToEnd });
+    const end = await relayResponse(answer, this.res, { readToEnd });
     result.release(end !== "broken");
     // The endpoint's answer counts even when the caller has gone away meanwhile.
     if (recorder && this.keyed && answer.complete) {
--- a/packages/entry/src/ControlServer.ts
+++ b/packages/entry/src/ControlServer.ts
@@ -16,7 +16,7 @@
   sendText,
   type Handlers,
 } from "@rackspan/protocol";
-import { packSnapshot, type Fold, type LogFollower } from "@rackspan/state";
+import { encodeSnapshot, type Fold, type LogFollower } from "@rackspan/state";
 import { SNAPSHOT_PATH } from "./HttpPeerSnapshots.js";
 import { OPERATOR_METHODS, type OperatorMethods } from "./operatorMethods.js";
 
@@ -83,7 +83,7 @@
   private sendSnapshot(res: ServerResponse): void {
     const { fold, follower } = this.options;
     if (!follower.caughtUp) return sendText(res, 503, "not caught up\n");
-    const bytes = packSnapshot({
+    const bytes = encodeSnapshot({
       covered: follower.position,
       state: fold.toSnapshot(),
     });
--- a/packages/entry/src/EntryProcess.ts
+++ b/packages/entry/src/EntryProcess.ts
@@ -106,7 +106,7 @@
     };
 
     this.policies = new PolicyEvaluator(shared);
-    fold.applied.on(({ record, verdict }) => {
+    fold.applied.on(({ record, result: verdict }) => {
       if (record.type === "apply" && verdict.accepted) this.usePolicies();
     });
     const writer = freshId<Incarnation>();
@@ -292,7 +292,7 @@
     const { metrics, fold, follower, appender, requests } = this;
     metrics.gauge("config_version", fold.config.version);
     metrics.gauge("log_position", follower.position);
-    metrics.gauge("live_units", fold.units.liveCount);
+    metrics.gauge("live_units", fold.units.unfinishedCount);
     metrics.gauge("appends_queued", appender.queueLength);
     metrics.gauge("requests_in_progress", requests.requestsInProgress);
     metrics.gauge("open_watches", requests.openWatches);
@@ -311,7 +311,7 @@
             this.sides.update(records);
             this.sides.setEntries(this.hostList.liveEntryIds());
           });
-          this.follower.restoredState.on(() => this.usePolicies());
+          this.follower.restoredFromSnapshot.on(() => this.usePolicies());
           tasks = Promise.all([
             this.follower.run(signal),
             this.appender.run(signal),
--- a/packages/entry/src/HttpPeerSnapshots.ts
+++ b/packages/entry/src/HttpPeerSnapshots.ts
@@ -5,7 +5,7 @@
 import type { HostList } from "@rackspan/ports";
 import { readBody } from "@rackspan/protocol";
 import {
-  unpackSnapshot,
+  decodeSnapshot,
   type PeerSnapshots,
   type Snapshot,
 } from "@rackspan/state";
@@ -24,7 +24,7 @@
 export class HttpPeerSnapshots implements PeerSnapshots {
   constructor(private readonly options: HttpPeerSnapshotsOptions) {}
 
-  async fetch(): Promise<Snapshot | undefined> {
+  async fetchNewest(): Promise<Snapshot | undefined> {
     const { hostList, self } = this.options;
     const records = await hostList.list();
     const others = records.filter(
@@ -43,7 +43,7 @@
   private async fetchFrom(address: string): Promise<Snapshot | undefined> {
     try {
       const bytes = await download(`http://${address}${SNAPSHOT_PATH}`);
-      return bytes && unpackSnapshot(bytes);
+      return bytes && decodeSnapshot(bytes);
     } catch (err) {
       this.options.logger.info("peer.no-snapshot", {
         address,
--- a/packages/entry/src/KeyedRequests.ts
+++ b/packages/entry/src/KeyedRequests.ts
@@ -15,10 +15,10 @@
 import {
   AppendUnknownError,
   type Appender,
-  type Applied,
+  type AppliedRecord,
   type Fold,
-  type KeyEntry,
-  type RecordedAnswer,
+  type RequestKeyEntry,
+  type RecordedResponse,
 } from "@rackspan/state";
 
 export interface KeyedRequestsOptions {
@@ -38,7 +38,7 @@
 
 export type KeyDecision =
   | { readonly kind: "proceed" }
-  | { readonly kind: "replay"; readonly answer: RecordedAnswer }
+  | { readonly kind: "replay"; readonly answer: RecordedResponse }
   | { readonly kind: "refused"; readonly problem: Problem };
 
 const RECORD_TRIES = 5;
@@ -98,7 +98,7 @@
   }
 
   /** Keeps the whole answer for repeats; without a body when it was too large. */
-  recordAnswer(request: KeyedRequest, answer: RecordedAnswer): void {
+  recordAnswer(request: KeyedRequest, answer: RecordedResponse): void {
     const { id, service, key } = request;
     const { status, contentType, body } = answer;
     const outcome = { service, key, request: id, status, contentType, body };
@@ -128,7 +128,10 @@
     metrics.count("key_records_lost", { type: record.type });
   }
 
-  private decideByHolder(request: KeyedRequest, holder: KeyEntry): KeyDecision {
+  private decideByHolder(
+    request: KeyedRequest,
+    holder: RequestKeyEntry,
+  ): KeyDecision {
     if (holder.digest !== request.digest) {
       return refused(request, {
         status: 422,
@@ -144,7 +147,7 @@
     return { kind: "replay", answer: holder.answer };
   }
 
-  private onApplied({ record, verdict }: Applied): void {
+  private onApplied({ record, result: verdict }: AppliedRecord): void {
     if (record.type !== "requestClaim") return;
     const request = this.abandoned.get(record.request);
     if (!request) return;
--- a/packages/entry/src/LimitedBody.ts
+++ b/packages/entry/src/LimitedBody.ts
@@ -22,7 +22,7 @@
     source.pipe(this);
   }
 
-  isWhole = (): boolean => this.source.complete && !this.exceeded;
+  isComplete = (): boolean => this.source.complete && !this.exceeded;
 
   override _transform(
     chunk: Buffer,
--- a/packages/entry/src/RequestServer.ts
+++ b/packages/entry/src/RequestServer.ts
@@ -12,7 +12,7 @@
 import {
   addressOf,
   closeServer,
-  endWithProblem,
+  endSocketWithProblem,
   listenOn,
   REASON,
   sendProblem,
@@ -182,11 +182,11 @@
   private upgrade(req: IncomingMessage, socket: Duplex, head: Buffer): void {
     socket.on("error", () => socket.destroy());
     const refusal = this.refusalForAll();
-    if (refusal) return endWithProblem(socket, refusal);
+    if (refusal) return endSocketWithProblem(socket, refusal);
     const parsed = parseCallerRequest(req, this.currentRoutes());
-    if (!parsed.ok) return endWithProblem(socket, parsed.problem);
+    if (!parsed.ok) return endSocketWithProblem(socket, parsed.problem);
     if (parsed.request.match.route.class !== "watch")
-      return endWithProblem(socket, notAWatch);
+      return endSocketWithProblem(socket, notAWatch);
     const { loop, metrics, clock } = this.options;
     openTunnel({
       loop,
@@ -198,7 +198,7 @@
       request: parsed.request,
     })
       .then((problem) => {
-        if (problem) endWithProblem(socket, problem);
+        if (problem) endSocketWithProblem(socket, problem);
         else this.addWatch(socket);
       })
       .catch((err: unknown) => {
@@ -222,7 +222,7 @@
       socket.destroy();
       return;
     }
-    endWithProblem(socket, problem);
+    endSocketWithProblem(socket, problem);
   }
 }
 
--- a/packages/entry/src/jobs/JobService.ts
+++ b/packages/entry/src/jobs/JobService.ts
@@ -21,7 +21,7 @@
 import {
   encodeCancel,
   encodeJob,
-  isFinal,
+  isFinalState,
   type AcceptedJob,
   type ConfigHolder,
   type JobId,
@@ -32,7 +32,7 @@
   type PendingWrite,
   type QueueKey,
   type QueueSpec,
-  type StampedWriter,
+  type TopicWriter,
   type TopicFollower,
 } from "@rackspan/state";
 import { STORE_RETRY, retryDeadline } from "./storeRetry.js";
@@ -74,8 +74,8 @@
   readonly config: ConfigHolder;
   readonly jobsFollower: TopicFollower;
   readonly storeReachability: StoreReachability;
-  readonly jobsWriter: StampedWriter;
-  readonly cancelsWriter: StampedWriter;
+  readonly jobsWriter: TopicWriter;
+  readonly cancelsWriter: TopicWriter;
   readonly clock: Clock;
   readonly logger: Logger;
   readonly metrics: Metrics;
@@ -120,7 +120,7 @@
   }
 
   findQueue(hostName: string, path: string): QueueSpec | undefined {
-    return this.options.config.match(hostName, path);
+    return this.options.config.matchQueue(hostName, path);
   }
 
   get maxBodyBytes(): number | undefined {
@@ -147,7 +147,7 @@
     const job: AcceptedJob = { spec, acceptedAt: clock.now(), terms };
     const record = { key: spec.id, value: encodeJob(job) };
     const outcome = await this.keep(jobsWriter, record, deadline, () =>
-      view.noteAccepted(job),
+      view.addAccepted(job),
     );
     if (outcome.kind === "accepted") {
       metrics.latency("submit").record(clock.monotonic() - began);
@@ -251,7 +251,7 @@
       case "refused":
         return found;
       case "known":
-        if (isFinal(found.state)) return { kind: "accepted" };
+        if (isFinalState(found.state)) return { kind: "accepted" };
         return this.keepCancel(id, deadline);
       case "no-such-job": {
         const { view } = this.options;
@@ -271,17 +271,17 @@
     const at = clock.now();
     const record = { key: id, value: encodeCancel(at) };
     return this.keep(cancelsWriter, record, deadline, () =>
-      view.noteCancelled(id, at),
+      view.addCancel(id, at),
     );
   }
 
   pendingCount(queue: QueueKey): number {
-    return this.options.view.pendingCount(queue);
+    return this.options.view.countUnstartedJobs(queue);
   }
 
   /** Writes the record, again for a while where the store turns it away. */
   private async keep(
-    writer: StampedWriter,
+    writer: TopicWriter,
     record: KeyedRecord,
     deadline: Monotonic,
     onKept: () => void,
@@ -308,7 +308,7 @@
     onKept: () => void,
   ): Promise<JobRequestOutcome> {
     const { clock } = this.options;
-    const kept = write.kept.then(
+    const kept = write.persisted.then(
       (): JobRequestOutcome => {
         onKept();
         return { kind: "accepted" };
--- a/packages/entry/src/jobs/Leadership.ts
+++ b/packages/entry/src/jobs/Leadership.ts
@@ -15,17 +15,17 @@
 import type { KeyedRecord, PermitService, RecordStore } from "@rackspan/ports";
 import { JobEngine, type SchedulingPolicy } from "@rackspan/scheduling";
 import {
-  decodeLearnt,
-  encodeLearnt,
-  isFinal,
-  learntKeyOf,
-  StampedWriter,
+  decodeLearned,
+  encodeLearned,
+  isFinalState,
+  learnedKeyOf,
+  TopicWriter,
   TOPICS,
   type ConfigHolder,
   type EvacuatedZones,
   type JobId,
   type JobView,
-  type LearntRecord,
+  type LearnedRecord,
   type TopicFollower,
 } from "@rackspan/state";
 import { StoredRoster } from "./StoredRoster.js";
@@ -44,8 +44,8 @@
   /** Of all that decisions rest on: jobs, what became of them, hosts, the operator's records. */
   readonly followers: readonly TopicFollower[];
   /** The entry's own writers of jobs and cancels; used to drop old ones. */
-  readonly jobsWriter: StampedWriter;
-  readonly cancelsWriter: StampedWriter;
+  readonly jobsWriter: TopicWriter;
+  readonly cancelsWriter: TopicWriter;
   readonly clock: Clock;
   readonly logger: Logger;
   readonly metrics: Metrics;
@@ -105,10 +105,10 @@
 class Term {
   engine: JobEngine | undefined;
   private readonly abort = new AbortController();
-  private readonly writers: readonly StampedWriter[];
-  private readonly progressWriter: StampedWriter;
-  private readonly learntWriter: StampedWriter;
-  private readonly hostsWriter: StampedWriter;
+  private readonly writers: readonly TopicWriter[];
+  private readonly progressWriter: TopicWriter;
+  private readonly learntWriter: TopicWriter;
+  private readonly hostsWriter: TopicWriter;
   private readonly unsubscribes: Unsubscribe[] = [];
 
   constructor(
@@ -117,17 +117,17 @@
   ) {
     const { store, clock, logger } = options;
     const writerOf = (topic: (typeof TOPICS)[keyof typeof TOPICS]) =>
-      new StampedWriter({
+      new TopicWriter({
         topic,
         store,
         clock,
         logger,
         producer: LEADERSHIP.producer,
         epoch,
-        gatherMs: 0,
-        retriesRefused: true,
+        batchWindowMs: 0,
+        retriesRefusedBatches: true,
       });
-    this.learntWriter = writerOf(TOPICS.learnt);
+    this.learntWriter = writerOf(TOPICS.learned);
     this.progressWriter = writerOf(TOPICS.progress);
     this.hostsWriter = writerOf(TOPICS.hosts);
     this.writers = [this.progressWriter, this.hostsWriter];
@@ -137,7 +137,9 @@
     const { signal } = this.abort;
     const { logger, clock, followers, metrics } = this.options;
     const began = clock.monotonic();
-    await Promise.all(this.writers.map((writer) => writer.fenceOthers(signal)));
+    await Promise.all(
+      this.writers.map((writer) => writer.fenceLowerEpochs(signal)),
+    );
     await Promise.all(followers.map((follower) => follower.catchUp(signal)));
     if (signal.aborted) return;
     const tookMs = clock.monotonic() - began;
@@ -156,7 +158,7 @@
   private async restoreLearnt(engine: JobEngine): Promise<void> {
     const { store, logger } = this.options;
     try {
-      const { records } = await store.newest(TOPICS.learnt);
+      const { records } = await store.readNewest(TOPICS.learned);
       if (this.abort.signal.aborted) return;
       engine.restoreLearned(
         records.flatMap((record) => this.readLearnt(record)),
@@ -167,10 +169,10 @@
     }
   }
 
-  private readLearnt({ key, value }: KeyedRecord): LearntRecord[] {
+  private readLearnt({ key, value }: KeyedRecord): LearnedRecord[] {
     if (!value) return [];
     try {
-      return [decodeLearnt(key, value)];
+      return [decodeLearned(key, value)];
     } catch (err) {
       const error = describeError(err);
       this.options.logger.warn("learnt.unreadable", { key, error });
@@ -178,13 +180,13 @@
     }
   }
 
-  private keepLearnt(record: LearntRecord): void {
+  private keepLearnt(record: LearnedRecord): void {
     const { logger, mayDecide } = this.options;
     if (!mayDecide()) return;
-    const key = learntKeyOf(record);
+    const key = learnedKeyOf(record);
     this.learntWriter
-      .write({ key, value: encodeLearnt(record) })
-      .kept.catch((err: unknown) => {
+      .write({ key, value: encodeLearned(record) })
+      .persisted.catch((err: unknown) => {
         // Written again while more is learnt; the next leader misses little.
         logger.info("learnt.not-kept", { key, error: describeError(err) });
       });
@@ -228,14 +230,14 @@
       leaseMs,
       stopMs,
       mayDecide: () => !this.abort.signal.aborted && mayDecide(),
-      queueOf: (queue) => config.queue(queue),
+      queueOf: (queue) => config.getQueue(queue),
       isEvacuated: (zone) => zones.has(zone),
       persistLearned: (record) => this.keepLearnt(record),
       permits: this.options.permits,
     });
     for (const { accepted, cancelled, progress } of view.all()) {
       engine.addJob(accepted, progress);
-      const ended = progress !== undefined && isFinal(progress.state);
+      const ended = progress !== undefined && isFinalState(progress.state);
       if (cancelled && !ended) engine.cancelJob(accepted.spec.id);
     }
     this.unsubscribes.push(
@@ -294,22 +296,23 @@
       this.dropJob(id).catch((err: unknown) => this.noteNotDropped(err));
     }
     const before = clock.now() - keepEndedMs;
-    for (const id of view.jobsNeverCome(before)) {
+    for (const id of view.cancelsWithoutJob(before)) {
       this.dropCancel(id).catch((err: unknown) => this.noteNotDropped(err));
     }
   }
 
   private async dropCancel(id: JobId): Promise<void> {
-    await this.options.cancelsWriter.write({ key: id, value: undefined }).kept;
+    await this.options.cancelsWriter.write({ key: id, value: undefined })
+      .persisted;
   }
 
   /** The job goes before its progress: without that it would be run again. */
   private async dropJob(id: JobId): Promise<void> {
     const { jobsWriter, logger } = this.options;
     const tombstone = { key: id, value: undefined };
-    await jobsWriter.write(tombstone).kept;
+    await jobsWriter.write(tombstone).persisted;
     await this.dropCancel(id);
-    await this.progressWriter.write(tombstone).kept;
+    await this.progressWriter.write(tombstone).persisted;
     logger.info("job.forgotten", { job: id });
   }
 
--- a/packages/entry/src/jobs/SideServer.ts
+++ b/packages/entry/src/jobs/SideServer.ts
@@ -16,7 +16,7 @@
 import {
   hostMethods,
   leaderMethods,
-  LineConnection,
+  JsonRpcConnection,
   listenOn,
   type HostCallResult,
   type StartTaskCall,
@@ -54,7 +54,10 @@
   }
 }
 
-type SideConnection = LineConnection<typeof leaderMethods, typeof hostMethods>;
+type SideConnection = JsonRpcConnection<
+  typeof leaderMethods,
+  typeof hostMethods
+>;
 
 export interface SideServerOptions {
   readonly listen: ListenAddress;
@@ -138,10 +141,10 @@
     private readonly options: SideSessionOptions,
   ) {
     const { clock, logger } = options;
-    this.connection = new LineConnection({
+    this.connection = new JsonRpcConnection({
       socket,
-      serves: leaderMethods,
-      calls: hostMethods,
+      servedMethods: leaderMethods,
+      calledMethods: hostMethods,
       handlers: {
         attach: ({ host, availabilityZone }) =>
           this.attach(host, availabilityZone),
@@ -170,7 +173,7 @@
         },
         ping: () => ({}),
       },
-      silenceMs: SERVER.silenceMs,
+      idleTimeoutMs: SERVER.silenceMs,
       clock,
       logger,
     });
--- a/packages/entry/src/jobs/StoreReachability.ts
+++ b/packages/entry/src/jobs/StoreReachability.ts
@@ -5,7 +5,7 @@
  */
 
 import type { Clock } from "@rackspan/common";
-import type { StampedWriter, TopicFollower } from "@rackspan/state";
+import type { TopicWriter, TopicFollower } from "@rackspan/state";
 
 const REACH = {
   /**
@@ -23,7 +23,7 @@
 
 export interface StoreReachabilityOptions {
   readonly followers: readonly TopicFollower[];
-  readonly writers: readonly StampedWriter[];
+  readonly writers: readonly TopicWriter[];
   readonly clock: Clock;
   /** Whether a cut is looked for at all. */
   readonly enabled: boolean;
@@ -42,9 +42,9 @@
   private isSilent(): boolean {
     const { followers, writers, clock } = this.options;
     const now = clock.monotonic();
-    const heardAt = Math.max(...followers.map((each) => each.heardAt));
+    const heardAt = Math.max(...followers.map((each) => each.lastAnswerAt));
     if (now - heardAt > REACH.silentMs) return true;
-    return writers.some(({ sendingSince }) => {
+    return writers.some(({ inFlightSince: sendingSince }) => {
       if (sendingSince === undefined || heardAt > sendingSince) return false;
       return now - sendingSince > REACH.silentWriteMs;
     });
--- a/packages/entry/src/jobs/StoredRoster.ts
+++ b/packages/entry/src/jobs/StoredRoster.ts
@@ -7,7 +7,7 @@
   type WorkerInstance,
 } from "@rackspan/common";
 import type { HostRoster } from "@rackspan/scheduling";
-import { encodeHost, type Roster, type StampedWriter } from "@rackspan/state";
+import { encodeHost, type Roster, type TopicWriter } from "@rackspan/state";
 
 export class StoredRoster implements HostRoster {
   private readonly kept: Map<HostId, WorkerInstance | undefined>;
@@ -17,7 +17,7 @@
   private readonly removals = new Map<HostId, Promise<boolean>>();
 
   constructor(
-    private readonly writer: StampedWriter,
+    private readonly writer: TopicWriter,
     private readonly logger: Logger,
     roster: Roster,
   ) {
@@ -31,7 +31,8 @@
   async persist(host: HostId, instance: WorkerInstance): Promise<void> {
     this.written.set(host, instance);
     this.removals.delete(host);
-    await this.writer.write({ key: host, value: encodeHost(instance) }).kept;
+    await this.writer.write({ key: host, value: encodeHost(instance) })
+      .persisted;
     // Removed or replaced while it was on its way: the store ends with that.
     if (this.written.get(host) === instance) this.kept.set(host, instance);
   }
@@ -48,7 +49,7 @@
 
   private async writeRemoval(host: HostId): Promise<boolean> {
     try {
-      await this.writer.write({ key: host, value: undefined }).kept;
+      await this.writer.write({ key: host, value: undefined }).persisted;
       return true;
     } catch (err) {
       // A host that stays listed only delays a next leader's first starts.
--- a/packages/entry/src/jobs/createJobEntryParts.ts
+++ b/packages/entry/src/jobs/createJobEntryParts.ts
@@ -23,7 +23,7 @@
   JobView,
   operatorDecoders,
   OperatorView,
-  StampedWriter,
+  TopicWriter,
   TopicFollower,
   TOPICS,
 } from "@rackspan/state";
@@ -72,8 +72,8 @@
   readonly jobsFollower: TopicFollower;
   /** Followers of all topics; a leader must have read them. */
   readonly followers: readonly TopicFollower[];
-  readonly jobsWriter: StampedWriter;
-  readonly cancelsWriter: StampedWriter;
+  readonly jobsWriter: TopicWriter;
+  readonly cancelsWriter: TopicWriter;
 }
 
 export const createJobEntryParts = (
@@ -138,7 +138,7 @@
     topic: TopicName,
     onRecords: (records: readonly KeyedRecord[]) => void,
   ) => buildFollower(base, store, topic, onRecords);
-  const jobsFollower = follow(TOPICS.jobs, (r) => view.takeJobs(r));
+  const jobsFollower = follow(TOPICS.jobs, (r) => view.applyJobRecords(r));
   return {
     store,
     view,
@@ -147,10 +147,10 @@
     jobsFollower,
     followers: [
       jobsFollower,
-      follow(TOPICS.cancels, (r) => view.takeCancels(r)),
-      follow(TOPICS.progress, (r) => view.takeProgress(r)),
-      follow(TOPICS.hosts, (r) => view.takeHosts(r)),
-      follow(TOPICS.config, (r) => operator.take(r)),
+      follow(TOPICS.cancels, (r) => view.applyCancelRecords(r)),
+      follow(TOPICS.progress, (r) => view.applyProgressRecords(r)),
+      follow(TOPICS.hosts, (r) => view.applyHostRecords(r)),
+      follow(TOPICS.config, (r) => operator.applyRecords(r)),
     ],
     jobsWriter: buildWriter(base, store, TOPICS.jobs),
     cancelsWriter: buildWriter(base, store, TOPICS.cancels),
@@ -169,7 +169,7 @@
     store,
     clock,
     logger,
-    floorMs: () => {
+    minPollIntervalMs: () => {
       if (topic === TOPICS.hosts) return HOSTS_POLL_FLOOR_MS;
       return leads() ? pollFloorMs : followFloorMs;
     },
@@ -181,16 +181,16 @@
   { settings, clock, logger, incarnation }: JobEntryContext,
   store: StoreClient,
   topic: TopicName,
-): StampedWriter =>
-  new StampedWriter({
+): TopicWriter =>
+  new TopicWriter({
     topic,
     store,
     clock,
     logger,
     producer: `${settings.entry}/${incarnation}`,
     epoch: FIRST_EPOCH,
-    gatherMs: settings.batching.submitMs,
-    retriesRefused: false,
+    batchWindowMs: settings.batching.submitMs,
+    retriesRefusedBatches: false,
   });
 
 const buildPermitService = ({
--- a/packages/entry/src/openTunnel.ts
+++ b/packages/entry/src/openTunnel.ts
@@ -6,7 +6,7 @@
 import {
   joinSockets,
   REASON,
-  STATUS_SWITCHED,
+  STATUS_SWITCHING_PROTOCOLS,
   type Problem,
 } from "@rackspan/protocol";
 import { Cancellation, type AttemptLoop } from "./AttemptLoop.js";
@@ -54,7 +54,7 @@
   try {
     const result = await loop.run(outgoing, cancellation);
     if (result.kind === "refused") return result.problem;
-    if (result.answer.statusCode === STATUS_SWITCHED) {
+    if (result.answer.statusCode === STATUS_SWITCHING_PROTOCOLS) {
       socket.on("close", () => result.release(true));
       return undefined;
     }
--- a/packages/entry/src/operatorHandlers.ts
+++ b/packages/entry/src/operatorHandlers.ts
@@ -19,7 +19,7 @@
   JobDeclaration,
   LogFollower,
   Unit,
-  Verdict,
+  ApplyResult,
 } from "@rackspan/state";
 import type { HostListWatcher } from "./HostListWatcher.js";
 import {
@@ -131,7 +131,7 @@
   };
 };
 
-const toVerdict = (verdict: Verdict): OperatorVerdict => ({ ...verdict });
+const toVerdict = (verdict: ApplyResult): OperatorVerdict => ({ ...verdict });
 
 /** @throws PolicyError for the first program that may not be published */
 const checkPolicies = (changes: readonly Change[]): void => {
@@ -189,7 +189,7 @@
   prefix: string,
   limit: number,
 ): UnitSummary[] => {
-  const all = [...fold.units.live(), ...fold.units.finished()];
+  const all = [...fold.units.unfinishedUnits(), ...fold.units.finishedUnits()];
   return all
     .filter(({ id }) => id.startsWith(prefix))
     .slice(0, limit)
@@ -207,7 +207,7 @@
   ready: ready(),
   configVersion: fold.config.version as number,
   logPosition: follower.position as number,
-  logSilentMs: Math.min(follower.silentMs, Number.MAX_SAFE_INTEGER),
+  logSilentMs: Math.min(follower.sinceLastReadMs, Number.MAX_SAFE_INTEGER),
   appendsQueued: appender.queueLength,
 });
 
@@ -215,15 +215,15 @@
   options: OperatorHandlersOptions,
 ): Promise<OperatorStatus> => {
   const { fold, sides, metrics } = options;
-  const open = fold.units.open().length;
+  const open = fold.units.openUnits().length;
   const refusals = await metrics.values("refused");
   return {
     ...entryStatus(options),
     hosts: sides.views().map((view) => ({ ...view, tasks: view.tasks.length })),
     units: {
       open,
-      claimed: fold.units.liveCount - open,
-      finished: fold.units.finished().length,
+      claimed: fold.units.unfinishedCount - open,
+      finished: fold.units.finishedUnits().length,
     },
     peers: await askPeers(options),
     refusals: refusals.map(({ labels, value }) => ({
--- a/packages/entry/tests/attemptLoop.test.ts
+++ b/packages/entry/tests/attemptLoop.test.ts
@@ -63,7 +63,7 @@
         new AttemptFailedError(true, ADDRESS, "cut off"),
       );
       answer.catch(() => undefined);
-      return { answer, cancel: () => undefined };
+      return { response: answer, cancel: () => undefined };
     },
     picker: { pick: ([first]) => first as EndpointState },
     ejector: new OutlierEjector({
--- a/packages/entry/tests/createJobService.ts
+++ b/packages/entry/tests/createJobService.ts
@@ -5,7 +5,7 @@
 import {
   ConfigHolder,
   JobView,
-  StampedWriter,
+  TopicWriter,
   TopicFollower,
   TOPICS,
 } from "@rackspan/state";
@@ -26,16 +26,16 @@
 export const createWriter = (
   topic: WrittenTopic,
   { clock, store, entry }: Omit<DeskOptions, "floorMs">,
-): StampedWriter =>
-  new StampedWriter({
+): TopicWriter =>
+  new TopicWriter({
     topic,
     store,
     clock,
     logger: silentLogger,
     producer: entry,
     epoch: 1,
-    gatherMs: 4,
-    retriesRefused: false,
+    batchWindowMs: 4,
+    retriesRefusedBatches: false,
   });
 
 export const createDesk = (options: DeskOptions) => {
@@ -48,8 +48,8 @@
     store,
     clock,
     logger,
-    floorMs: () => floorMs,
-    onRecords: (records) => view.takeJobs(records),
+    minPollIntervalMs: () => floorMs,
+    onRecords: (records) => view.applyJobRecords(records),
   });
   jobsFollower.start();
   const jobsWriter = createWriter(TOPICS.jobs, options);
--- a/packages/entry/tests/jobService.test.ts
+++ b/packages/entry/tests/jobService.test.ts
@@ -26,7 +26,7 @@
   const job = plainJob({ id: JOB, acceptedAt: clock.now() });
   const other = { clock, store, entry: "other-entry" };
   const elsewhere = createWriter(TOPICS.jobs, other);
-  const kept = elsewhere.write({ key: JOB, value: encodeJob(job) }).kept;
+  const kept = elsewhere.write({ key: JOB, value: encodeJob(job) }).persisted;
   await clock.advance(10);
   await kept;
   const deadline = (): Monotonic => clock.monotonic() + 3_000;
--- a/packages/entry/tests/leadership.test.ts
+++ b/packages/entry/tests/leadership.test.ts
@@ -26,7 +26,7 @@
   encodeJob,
   EvacuatedZones,
   JobView,
-  StampedWriter,
+  TopicWriter,
   TopicFollower,
   TOPICS,
   type AcceptedJob,
@@ -50,15 +50,15 @@
   const view = new JobView({ logger, metrics });
   const zones = new EvacuatedZones({ clock, logger, metrics });
   const writerOf = (topic: (typeof TOPICS)[keyof typeof TOPICS]) =>
-    new StampedWriter({
+    new TopicWriter({
       topic,
       store,
       clock,
       logger,
       producer: "entry",
       epoch: 1,
-      gatherMs: 0,
-      retriesRefused: false,
+      batchWindowMs: 0,
+      retriesRefusedBatches: false,
     });
   // One writer a topic: numbers of one producer must not be given twice.
   const jobsWriter = writerOf(TOPICS.jobs);
@@ -72,14 +72,14 @@
       store,
       clock,
       logger,
-      floorMs: () => 20,
+      minPollIntervalMs: () => 20,
       onRecords,
     });
     follower.start();
     return follower;
   };
-  const jobs = follow(TOPICS.jobs, (records) => view.takeJobs(records));
-  const cancels = follow(TOPICS.cancels, (r) => view.takeCancels(r));
+  const jobs = follow(TOPICS.jobs, (records) => view.applyJobRecords(records));
+  const cancels = follow(TOPICS.cancels, (r) => view.applyCancelRecords(r));
   const leadership = new Leadership({
     store,
     view,
@@ -116,13 +116,13 @@
   /** A job, and that it was cancelled, as other entries have kept them. */
   const keepJob = async (): Promise<void> => {
     const value = encodeJob(acceptedJob(clock.now()));
-    const { kept } = jobsWriter.write({ key: JOB, value });
+    const { persisted: kept } = jobsWriter.write({ key: JOB, value });
     await clock.advance(50);
     await kept;
   };
   const keepCancel = async (): Promise<void> => {
     const value = Buffer.from(JSON.stringify({ at: clock.now() }));
-    const { kept } = cancelsWriter.write({ key: JOB, value });
+    const { persisted: kept } = cancelsWriter.write({ key: JOB, value });
     await clock.advance(50);
     await kept;
   };
@@ -146,9 +146,9 @@
   const { clock, view, jobsWriter, leadership, lastState, stop } = setUp();
   leadership.beginTerm(brand<Epoch>(1));
   await clock.advance(200);
-  view.noteCancelled(JOB, clock.now());
+  view.addCancel(JOB, clock.now());
   const value = encodeJob(acceptedJob(clock.now()));
-  const kept = jobsWriter.write({ key: JOB, value }).kept;
+  const kept = jobsWriter.write({ key: JOB, value }).persisted;
   await clock.advance(200);
   await kept;
   expect(lastState()).toEqual("cancelled");
@@ -158,12 +158,12 @@
 test("a job that ended long ago is dropped from the store, its progress last", async () => {
   const { clock, store, view, jobsWriter, leadership, stop } = setUp();
   const value = encodeJob(acceptedJob(clock.now()));
-  const kept = jobsWriter.write({ key: JOB, value }).kept;
+  const kept = jobsWriter.write({ key: JOB, value }).persisted;
   await clock.advance(50);
   await kept;
   leadership.beginTerm(brand<Epoch>(1));
   await clock.advance(200);
-  view.noteCancelled(JOB, clock.now());
+  view.addCancel(JOB, clock.now());
   await clock.advance(16_000);
   for (const topic of [TOPICS.jobs, TOPICS.cancels, TOPICS.progress]) {
     const last = store.recordsOf(topic).at(-1);
@@ -197,7 +197,7 @@
   // A job that this version cannot read exists all the same.
   const { clock, store, jobsWriter, leadership, stop, keepCancel } = setUp();
   const value = Buffer.from("of another version");
-  const { kept } = jobsWriter.write({ key: JOB, value });
+  const { persisted: kept } = jobsWriter.write({ key: JOB, value });
   await clock.advance(50);
   await kept;
   leadership.beginTerm(brand<Epoch>(1));
@@ -262,7 +262,9 @@
 test("a take-over that lasts longer than the former term takes no job that it reads for a new one", async () => {
   const { clock, store, view, leadership, follow, stop, keepJob } = setUp();
   const silent = brand<HostId>("h1");
-  const hosts = follow(TOPICS.hosts, (records) => view.takeHosts(records));
+  const hosts = follow(TOPICS.hosts, (records) =>
+    view.applyHostRecords(records),
+  );
   await store.append({
     topic: TOPICS.hosts,
     records: [{ key: silent, value: Buffer.from("{}") }],
--- a/packages/entry/tests/sideServer.test.ts
+++ b/packages/entry/tests/sideServer.test.ts
@@ -23,7 +23,7 @@
   addressOf,
   hostMethods,
   leaderMethods,
-  LineConnection,
+  JsonRpcConnection,
   type HostReport,
 } from "@rackspan/protocol";
 import type { HostSession } from "@rackspan/scheduling";
@@ -65,7 +65,11 @@
     if (this.session === session) this.session = undefined;
   }
 
-  report(_host: HostId, _zone: AvailabilityZone, report: HostReport): object {
+  handleReport(
+    _host: HostId,
+    _zone: AvailabilityZone,
+    report: HostReport,
+  ): object {
     this.reported.push(report.worker.instance);
     return { acknowledged: 0 };
   }
@@ -84,17 +88,17 @@
 const openSide = async ({ address, port }: ListenAddress) => {
   const socket = connect({ host: address, port });
   await once(socket, "connect");
-  return new LineConnection({
+  return new JsonRpcConnection({
     socket,
-    serves: hostMethods,
-    calls: leaderMethods,
+    servedMethods: hostMethods,
+    calledMethods: leaderMethods,
     handlers: {
       startTask: () => ({ kind: "silent" }) as const,
       stopTask: () => ({ kind: "silent" }) as const,
       acknowledge: () => ({}),
       describe: () => ({}),
     },
-    silenceMs: 4_000,
+    idleTimeoutMs: 4_000,
     clock: new SystemClock(),
     logger: silentLogger,
   });
--- a/packages/entry/tests/storeReachability.test.ts
+++ b/packages/entry/tests/storeReachability.test.ts
@@ -4,19 +4,19 @@
 import { expect } from "earl";
 import { ManualClock } from "@rackspan/common";
 import { StoreReachability } from "@rackspan/entry";
-import type { StampedWriter, TopicFollower } from "@rackspan/state";
+import type { TopicWriter, TopicFollower } from "@rackspan/state";
 
 const setUp = () => {
   const clock = new ManualClock();
-  const follower = { failing: false, heardAt: clock.monotonic() };
-  const other = { failing: false, heardAt: clock.monotonic() };
-  const writer: { sendingSince: number | undefined } = {
-    sendingSince: undefined,
+  const follower = { failing: false, lastAnswerAt: clock.monotonic() };
+  const other = { failing: false, lastAnswerAt: clock.monotonic() };
+  const writer: { inFlightSince: number | undefined } = {
+    inFlightSince: undefined,
   };
   const reachOf = (watches: boolean) =>
     new StoreReachability({
       followers: [follower, other] as unknown as TopicFollower[],
-      writers: [writer as unknown as StampedWriter],
+      writers: [writer as unknown as TopicWriter],
       clock,
       enabled: watches,
     });
@@ -27,13 +27,13 @@
   const { clock, writer, follower, reachOf } = setUp();
   const reach = reachOf(true);
   await clock.advance(10);
-  writer.sendingSince = clock.monotonic();
+  writer.inFlightSince = clock.monotonic();
   await clock.advance(500);
   expect(reach.isReachable).toEqual(true);
   await clock.advance(200);
   expect(reach.isReachable).toEqual(false);
   // A slow store answers other calls in the meantime.
-  follower.heardAt = clock.monotonic();
+  follower.lastAnswerAt = clock.monotonic();
   expect(reach.isReachable).toEqual(true);
 });
 
@@ -44,7 +44,7 @@
   expect(reach.isReachable).toEqual(true);
   await clock.advance(200);
   expect(reach.isReachable).toEqual(false);
-  other.heardAt = clock.monotonic();
+  other.lastAnswerAt = clock.monotonic();
   expect(reach.isReachable).toEqual(true);
 });
 
--- a/packages/entry/tests/storedRoster.test.ts
+++ b/packages/entry/tests/storedRoster.test.ts
@@ -9,7 +9,7 @@
 } from "@rackspan/common";
 import { StoredRoster } from "@rackspan/entry";
 import { MemoryStore } from "@rackspan/standins";
-import { decodeHost, StampedWriter, TOPICS } from "@rackspan/state";
+import { decodeHost, TopicWriter, TOPICS } from "@rackspan/state";
 
 const HOST = brand<HostId>("h1");
 const FIRST = brand<WorkerInstance>("h1-1");
@@ -18,15 +18,15 @@
 const setUp = () => {
   const clock = new ManualClock();
   const store = new MemoryStore(clock);
-  const writer = new StampedWriter({
+  const writer = new TopicWriter({
     topic: TOPICS.hosts,
     store,
     clock,
     logger: silentLogger,
     producer: "leader",
     epoch: 1,
-    gatherMs: 0,
-    retriesRefused: true,
+    batchWindowMs: 0,
+    retriesRefusedBatches: true,
   });
   return {
     clock,
--- a/packages/jobs/src/ClaimReconciler.ts
+++ b/packages/jobs/src/ClaimReconciler.ts
@@ -14,7 +14,7 @@
 } from "@rackspan/common";
 import type { TaskStatus } from "@rackspan/protocol";
 import {
-  replicasInPlace,
+  allReplicasClaimed,
   type Appender,
   type Fold,
   type Unit,
@@ -128,7 +128,7 @@
   /** A changed declaration is rolled out one replica at a time. */
   private mayReplace(unit: Unit): boolean {
     if (!unit.claim || unit.claim.specVersion >= unit.specVersion) return false;
-    return replicasInPlace(this.options.fold, unit);
+    return allReplicasClaimed(this.options.fold, unit);
   }
 
   private freeIfNeverStarted(
--- a/packages/jobs/src/InterferenceEstimator.ts
+++ b/packages/jobs/src/InterferenceEstimator.ts
@@ -5,7 +5,7 @@
  */
 
 import type { Instant } from "@rackspan/common";
-import { BoundedMap, type ImageName, type LearntTail } from "@rackspan/state";
+import { BoundedMap, type ImageName, type LearnedTail } from "@rackspan/state";
 import { TailModel, type FillingCores, type TailReading } from "./TailModel.js";
 
 /** Stands for images of which nothing is known; never taught. */
@@ -30,8 +30,8 @@
   }
 
   /** Models that have changed since they were last taken here. */
-  takeChanged(now: Instant): LearntTail[] {
-    const records: LearntTail[] = [];
+  takeChanged(now: Instant): LearnedTail[] {
+    const records: LearnedTail[] = [];
     for (const serving of this.changed) {
       const snapshot = this.models.get(serving)?.snapshot();
       if (!snapshot) continue;
@@ -53,7 +53,7 @@
    * Takes what a former leader learnt of an image.
    * @returns whether it was of use: nothing is known of the image yet
    */
-  restore(record: LearntTail, ageMs: number): boolean {
+  restore(record: LearnedTail, ageMs: number): boolean {
     if (!this.learns || this.models.get(record.serving)) return false;
     const model = TailModel.restore(record, ageMs);
     if (model) this.models.set(record.serving, model);
--- a/packages/jobs/src/JobRun.ts
+++ b/packages/jobs/src/JobRun.ts
@@ -8,7 +8,7 @@
 import {
   decodeIndices,
   encodeIndices,
-  isFinal,
+  isFinalState,
   type AcceptedJob,
   type JobStateName,
   type JobTerms,
@@ -194,7 +194,7 @@
   }
 
   get isEnded(): boolean {
-    return isFinal(this.state);
+    return isFinalState(this.state);
   }
 
   end(state: JobStateName, now: Instant): void {
--- a/packages/jobs/src/ProgressJournal.ts
+++ b/packages/jobs/src/ProgressJournal.ts
@@ -1,11 +1,11 @@
 /** Keeps the progress of jobs in the store; many changes of a job become one record. */
 
 import type { Clock } from "@rackspan/common";
-import { encodeProgress, type StampedWriter } from "@rackspan/state";
+import { encodeProgress, type TopicWriter } from "@rackspan/state";
 import type { JobRun } from "./JobRun.js";
 
 export interface ProgressJournalOptions {
-  readonly writer: StampedWriter;
+  readonly writer: TopicWriter;
   readonly clock: Clock;
   /** Time for which changes are gathered, milliseconds: each append has a price. */
   readonly batchWindowMs: number;
@@ -68,7 +68,7 @@
     const { writer } = this.options;
     const writes = [...jobs].map((job) => {
       const value = encodeProgress(job.toRecord());
-      return writer.write({ key: job.id, value }).kept;
+      return writer.write({ key: job.id, value }).persisted;
     });
     await Promise.all(writes);
   }
--- a/packages/jobs/src/UnitPlacer.ts
+++ b/packages/jobs/src/UnitPlacer.ts
@@ -16,7 +16,7 @@
 } from "@rackspan/common";
 import { RemoteError } from "@rackspan/protocol";
 import {
-  familyOf,
+  replicaGroupOf,
   type Appender,
   type Fold,
   type Priority,
@@ -78,7 +78,7 @@
 
   /** Starts what may be started now; called again whenever something changed. */
   sweep(): void {
-    const open = this.options.fold.units.open();
+    const open = this.options.fold.units.openUnits();
     const names = new Set<string>();
     for (const unit of open) {
       const name = taskIdOf(unit.id, unit.attempt);
@@ -110,7 +110,7 @@
       return false;
     }
     // One entry places all replicas of a declaration, so that it can spread them.
-    const rank = ownership.rank(familyOf(unit));
+    const rank = ownership.rank(replicaGroupOf(unit));
     return openMs >= retryDelay(unit) + rank * takeoverMs;
   }
 
--- a/packages/jobs/src/describeTask.ts
+++ b/packages/jobs/src/describeTask.ts
@@ -1,16 +1,16 @@
 /** What a host is told of a task, for its side to pace it. */
 
 import type { JobTaskId } from "@rackspan/common";
-import type { TaskNature } from "@rackspan/protocol";
+import type { InterferenceProfile } from "@rackspan/protocol";
 import type { JobTask } from "./JobTask.js";
 
 /** A task as its host is told of it. */
 export interface TaskDescription {
   readonly task: JobTaskId;
-  readonly nature: TaskNature;
+  readonly nature: InterferenceProfile;
 }
 
-export const natureOf = (task: JobTask): TaskNature => {
+export const natureOf = (task: JobTask): InterferenceProfile => {
   const { filling, tailTargetMs, lasting, image, demand } = task.step.spec;
   const serves = lasting && tailTargetMs > 0;
   return {
--- a/packages/leadership/src/LeaderElection.ts
+++ b/packages/leadership/src/LeaderElection.ts
@@ -182,7 +182,7 @@
     if (this.hasGivenUp(name)) return ELECTION.ownerPollIntervalMs;
     const changed = answer.generation !== this.generation;
     this.generation = answer.generation;
-    if (answer.owns) return this.confirm(sentAt, changed);
+    if (answer.ownsPartition) return this.confirm(sentAt, changed);
     if (this.epoch !== undefined) this.resign("dealt-to-another");
     this.fruitlessJoins += 1;
     if (this.fruitlessJoins < ELECTION.maxUnsuccessfulJoins)
--- a/packages/ports/src/HttpWorker.ts
+++ b/packages/ports/src/HttpWorker.ts
@@ -14,7 +14,7 @@
   WorkerRefusedError,
   workerStateSchema,
   workerTaskSchema,
-  WorkerUnknownError,
+  WorkerOutcomeUnknownError,
   type StartOrder,
   type UsageSample,
   type Worker,
@@ -94,7 +94,7 @@
       if (err instanceof StatusError && err.status < FIRST_SERVER_ERROR) {
         throw new WorkerRefusedError(err.body);
       }
-      throw new WorkerUnknownError(err);
+      throw new WorkerOutcomeUnknownError(err);
     }
   }
 }
--- a/packages/ports/src/permitService.ts
+++ b/packages/ports/src/permitService.ts
@@ -13,7 +13,7 @@
   readonly ticket: string;
 }
 
-export interface PermitAnswer {
+export interface PermitResponse {
   /** Of the workers named, those that may run the step. */
   readonly permits: readonly Permit[];
   /** Milliseconds for which the tickets hold. */
@@ -30,12 +30,12 @@
 
 export const PERMIT_LIMITS = {
   /** Workers named in one request; the service takes no more. */
-  maxNamed: 100,
+  maxWorkersPerRequest: 100,
 } as const;
 
 export interface PermitService {
   /** @throws PermitsUnavailableError */
-  ask(req: PermitRequest): Promise<PermitAnswer>;
+  requestPermits(req: PermitRequest): Promise<PermitResponse>;
 }
 
 export class PermitsUnavailableError extends RackspanError {
--- a/packages/ports/src/recordStore.ts
+++ b/packages/ports/src/recordStore.ts
@@ -57,7 +57,7 @@
   readonly unreadableKeys?: readonly string[];
 }
 
-export interface ReadAnswer extends RecordPage {
+export interface ReadResponse extends RecordPage {
   /** Offset behind the last record that the store had; an answer may end before. */
   readonly end: number;
 }
@@ -75,12 +75,12 @@
    * @throws RecordsGoneError when records from `from` on are no longer kept
    * @throws StoreRefusedError or StoreAnswerLostError when it cannot be read now
    */
-  read(req: ReadRequest): Promise<ReadAnswer>;
+  read(req: ReadRequest): Promise<ReadResponse>;
   /**
    * The newest record of each key. Changes made meanwhile may be missing: read
    * on from `next`, which was taken before the first page.
    */
-  newest(topic: TopicName): Promise<RecordPage>;
+  readNewest(topic: TopicName): Promise<RecordPage>;
 }
 
 export interface JoinRequest {
@@ -94,15 +94,15 @@
   readonly timeoutMs: number;
 }
 
-export interface JoinAnswer {
+export interface JoinResponse {
   readonly generation: Epoch;
   /** Whether the topic's only partition belongs to this member. */
-  readonly owns: boolean;
+  readonly ownsPartition: boolean;
 }
 
 export interface GroupMembership {
   /** @throws StoreRefusedError or StoreAnswerLostError */
-  join(req: JoinRequest): Promise<JoinAnswer>;
+  join(req: JoinRequest): Promise<JoinResponse>;
   /** @throws StoreRefusedError or StoreAnswerLostError */
   leave(group: string, member: string): Promise<void>;
   /** The member that owns the topic's only partition, if any does. */
@@ -146,10 +146,10 @@
   readonly kind = "bad-sequence";
   constructor(
     topic: TopicName,
-    readonly wanted: number,
+    readonly expected: number,
   ) {
     super({
-      what: `topic ${topic} wants number ${wanted} next`,
+      what: `topic ${topic} wants number ${expected} next`,
       remedy: "go on from the number wanted",
     });
   }
--- a/packages/ports/src/taskHost.ts
+++ b/packages/ports/src/taskHost.ts
@@ -61,7 +61,7 @@
   | { readonly kind: "started"; readonly at: WorkerTime }
   | { readonly kind: "refused"; readonly reason: StartRefusal };
 
-export interface HoldOrder {
+export interface PollRequest {
   readonly epoch: Epoch;
   /** Ends up to this number may be forgotten by the worker. */
   readonly acknowledged: number;
@@ -71,7 +71,7 @@
   readonly waitMs: number;
 }
 
-export interface HoldAnswer {
+export interface PollResponse {
   readonly at: WorkerTime;
   readonly running: readonly RunningTask[];
   /** In the worker's order, from the first that it was not let forget. */
@@ -95,13 +95,13 @@
     run: RunRef,
     epoch: Epoch,
   ): Promise<WorkerTime>;
-  hold(instance: WorkerInstance, order: HoldOrder): Promise<HoldAnswer>;
+  poll(instance: WorkerInstance, order: PollRequest): Promise<PollResponse>;
   pace(instance: WorkerInstance, order: PaceOrder): Promise<void>;
   /**
    * Whether that life refuses the start for certain, whenever it comes, and takes no
    * lease from it. Absent where the client cannot tell.
    */
-  bars?(instance: WorkerInstance, run: RunRef): boolean;
+  rejectsStart?(instance: WorkerInstance, run: RunRef): boolean;
 }
 
 /** Another life of the worker answers at its address: the old one is gone. */
--- a/packages/ports/src/worker.ts
+++ b/packages/ports/src/worker.ts
@@ -96,7 +96,7 @@
 }
 
 /** The call may have had an effect; the worker's list tells. */
-export class WorkerUnknownError extends RackspanError {
+export class WorkerOutcomeUnknownError extends RackspanError {
   readonly kind = "worker-unknown";
   constructor(cause: unknown) {
     super({
--- a/packages/protocol/src/Attempt.ts
+++ b/packages/protocol/src/Attempt.ts
@@ -30,10 +30,10 @@
 export interface BodyStream {
   readonly stream: Readable;
   /** Whether the stream has come to its proper end. */
-  readonly isWhole: () => boolean;
+  readonly isComplete: () => boolean;
 }
 
-export const STATUS_SWITCHED = 101;
+export const STATUS_SWITCHING_PROTOCOLS = 101;
 
 export interface AttemptOptions {
   readonly address: SocketAddress;
@@ -73,7 +73,7 @@
 
 export class Attempt {
   /** The head of the answer; 101 when protocols were switched. @throws AttemptFailedError */
-  readonly answer: Promise<IncomingMessage>;
+  readonly response: Promise<IncomingMessage>;
   private readonly req: ClientRequest;
   private connected = false;
 
@@ -88,7 +88,7 @@
       // Node takes a flat list here, which keeps order, spelling and repeats.
       headers: headers as unknown as Record<string, string>,
     });
-    this.answer = new Promise((resolve, reject) => {
+    this.response = new Promise((resolve, reject) => {
       let answered = false;
       this.req.on("response", (answer) => {
         answered = true;
@@ -108,7 +108,7 @@
       });
     });
     // A caller that gave up does not look at the answer any more.
-    this.answer.catch(() => undefined);
+    this.response.catch(() => undefined);
     this.noteConnection();
     this.sendBody();
   }
@@ -135,7 +135,7 @@
       this.req.end(body);
       return;
     }
-    const { stream, isWhole } = body;
+    const { stream, isComplete: isWhole } = body;
     // A sender that breaks off must not look like the end of the body.
     stream.on("error", () => this.req.destroy());
     stream.on("close", () => {
--- a/packages/protocol/src/ConfirmedHttpClient.ts
+++ b/packages/protocol/src/ConfirmedHttpClient.ts
@@ -8,7 +8,7 @@
 import type { Socket } from "node:net";
 import { SystemClock } from "@rackspan/common";
 import { ConnectError, LostAnswerError } from "./errors.js";
-import { HttpClient, type HttpAnswer, type HttpCall } from "./HttpClient.js";
+import { HttpClient, type HttpResponse, type HttpCall } from "./HttpClient.js";
 import { startTimeout } from "./startTimeout.js";
 
 const DEFAULT_TIMEOUT_MS = 5_000;
@@ -16,7 +16,7 @@
 const clock = new SystemClock({ keepsProcessAlive: true });
 
 /** Sends a call over the connection that is to be confirmed. */
-export type AskPeer = (call: HttpCall) => Promise<HttpAnswer>;
+export type SendProbe = (call: HttpCall) => Promise<HttpResponse>;
 
 export interface ConfirmedCall extends HttpCall {
   /** Names the process that is meant. */
@@ -25,7 +25,7 @@
    * Asks over a new connection which process answers.
    * @throws when it is not the one that is meant; the call is not sent then
    */
-  readonly confirm: (ask: AskPeer) => Promise<void>;
+  readonly confirmPeer: (ask: SendProbe) => Promise<void>;
 }
 
 export interface ConfirmedHttpClientOptions {
@@ -53,7 +53,7 @@
    * @throws ConnectError when nothing of the call was sent
    * @throws LostAnswerError when the call may have taken effect
    */
-  async call(call: ConfirmedCall): Promise<HttpAnswer> {
+  async call(call: ConfirmedCall): Promise<HttpResponse> {
     const connection = await this.acquire(call);
     try {
       return await connection.call(call);
@@ -120,28 +120,31 @@
     this.http.closeIdle();
   }
 
-  async call(call: ConfirmedCall): Promise<HttpAnswer> {
+  async call(call: ConfirmedCall): Promise<HttpResponse> {
     if (!this.isConfirmed(call.peer)) await this.confirm(call);
     return this.http.call({
       ...call,
-      admits: (socket) => socket === this.socket,
+      acceptsSocket: (socket) => socket === this.socket,
     });
   }
 
-  private async confirm({ peer, confirm }: ConfirmedCall): Promise<void> {
+  private async confirm({
+    peer,
+    confirmPeer: confirm,
+  }: ConfirmedCall): Promise<void> {
     this.peer = undefined;
     await confirm((call) => this.ask(call));
     this.peer = peer;
   }
 
   /** What is asked here takes no effect that the call itself depends on. */
-  private async ask(call: HttpCall): Promise<HttpAnswer> {
+  private async ask(call: HttpCall): Promise<HttpResponse> {
     const admits = (socket: Socket): boolean => {
       this.socket = socket;
       return true;
     };
     try {
-      return await this.http.call({ ...call, admits });
+      return await this.http.call({ ...call, acceptsSocket: admits });
     } catch (err) {
       if (!(err instanceof LostAnswerError)) throw err;
       throw new ConnectError(this.baseUrl, err);
--- a/packages/protocol/src/HttpClient.ts
+++ b/packages/protocol/src/HttpClient.ts
@@ -25,10 +25,10 @@
   readonly timeoutMs?: number;
   readonly signal?: AbortSignal;
   /** Whether the call may be sent over that connection; any when left out. */
-  readonly admits?: (socket: Socket) => boolean;
+  readonly acceptsSocket?: (socket: Socket) => boolean;
 }
 
-export interface HttpAnswer {
+export interface HttpResponse {
   readonly status: number;
   readonly body: Buffer;
 }
@@ -61,7 +61,7 @@
    * @throws ConnectError when nothing was sent
    * @throws LostAnswerError when the call may have taken effect
    */
-  async call(call: HttpCall): Promise<HttpAnswer> {
+  async call(call: HttpCall): Promise<HttpResponse> {
     const url = this.urlOf(call.path);
     const res = await this.send(url, call);
     try {
@@ -104,7 +104,7 @@
         req.destroy(err);
       });
       req.on("socket", (socket) => {
-        if (call.admits?.(socket) === false) {
+        if (call.acceptsSocket?.(socket) === false) {
           // Before a byte is written.
           req.destroy(new Error("the connection before was closed"));
           return;
--- a/packages/protocol/src/LineConnection.ts
+++ b/packages/protocol/src/JsonRpcConnection.ts
@@ -13,17 +13,17 @@
 import { describeError, type Clock, type Logger } from "@rackspan/common";
 import { LostAnswerError } from "./errors.js";
 import {
-  addHandlers,
-  errorResponse,
+  registerHandlers,
+  toErrorResponse,
   toRemoteError,
   type Handlers,
-  type MethodShape,
+  type MethodSchema,
   type MethodTable,
   type ParamsOf,
   type ResultOf,
 } from "./rpc.js";
 
-export const LINE_CONNECTION = {
+export const JSON_RPC_CONNECTION_LIMITS = {
   /** A longer message closes the connection. */
   maxLineBytes: 4 * 1024 * 1024,
   /** More unsent bytes than this close the connection: the peer does not read. */
@@ -32,21 +32,21 @@
 
 const NEWLINE = 0x0a;
 
-export interface LineConnectionOptions<
+export interface JsonRpcConnectionOptions<
   Served extends MethodTable,
   Called extends MethodTable,
 > {
   readonly socket: Socket;
-  readonly serves: Served;
+  readonly servedMethods: Served;
   readonly handlers: Handlers<Served>;
-  readonly calls: Called;
+  readonly calledMethods: Called;
   /** Milliseconds without a byte after which the peer is taken as gone. */
-  readonly silenceMs: number;
+  readonly idleTimeoutMs: number;
   readonly clock: Clock;
   readonly logger: Logger;
 }
 
-export class LineConnection<
+export class JsonRpcConnection<
   Served extends MethodTable,
   Called extends MethodTable,
 > {
@@ -57,11 +57,18 @@
   private gathered = 0;
   private endReason: string | undefined;
 
-  constructor(private readonly options: LineConnectionOptions<Served, Called>) {
-    const { socket, serves, handlers, silenceMs } = options;
+  constructor(
+    private readonly options: JsonRpcConnectionOptions<Served, Called>,
+  ) {
+    const {
+      socket,
+      servedMethods: serves,
+      handlers,
+      idleTimeoutMs: silenceMs,
+    } = options;
     const server = new JSONRPCServer({ errorListener: () => undefined });
-    server.mapErrorToJSONRPCErrorResponse = errorResponse;
-    addHandlers(server, serves, handlers);
+    server.mapErrorToJSONRPCErrorResponse = toErrorResponse;
+    registerHandlers(server, serves, handlers);
     const client = new JSONRPCClient((message) => this.send(message));
     this.peer = new JSONRPCServerAndClient(server, client);
     socket.setNoDelay(true);
@@ -92,7 +99,7 @@
     timeoutMs: number,
   ): Promise<ResultOf<Called, M>> {
     const result = await this.request(method, params, timeoutMs);
-    const shape = this.options.calls[method] as MethodShape;
+    const shape = this.options.calledMethods[method] as MethodSchema;
     return shape.result.parse(result) as ResultOf<Called, M>;
   }
 
@@ -139,7 +146,7 @@
     const { socket } = this.options;
     if (!this.isOpen) return Promise.reject(new Error("not connected"));
     socket.write(`${JSON.stringify(message)}\n`);
-    if (socket.writableLength > LINE_CONNECTION.maxUnsentBytes) {
+    if (socket.writableLength > JSON_RPC_CONNECTION_LIMITS.maxUnsentBytes) {
       this.close("the peer does not read");
     }
     return Promise.resolve();
@@ -160,7 +167,7 @@
     if (rest.length === 0) return;
     this.chunks.push(rest);
     this.gathered += rest.length;
-    if (this.gathered > LINE_CONNECTION.maxLineBytes) {
+    if (this.gathered > JSON_RPC_CONNECTION_LIMITS.maxLineBytes) {
       this.close("a message is too long");
     }
   }
--- a/packages/protocol/src/hostMethods.ts
+++ b/packages/protocol/src/hostMethods.ts
@@ -128,7 +128,7 @@
 });
 
 /** How much one image disturbs another, as the leader has learnt from all hosts. */
-export type Disturbance = z.output<typeof disturbanceSchema>;
+export type InterferenceWeight = z.output<typeof disturbanceSchema>;
 
 const grantSchema = z.object({
   /** Time on the worker's clock until which its tasks may run; absent for none. */
@@ -194,7 +194,7 @@
 });
 
 /** How a task behaves beside others; the side paces by it. */
-export type TaskNature = z.output<typeof natureSchema>;
+export type InterferenceProfile = z.output<typeof natureSchema>;
 
 const callResultSchema = z.discriminatedUnion("kind", [
   z.object({ kind: z.literal("ok"), at: numberOf<WorkerTime>() }),
--- a/packages/protocol/src/joinSockets.ts
+++ b/packages/protocol/src/joinSockets.ts
@@ -3,7 +3,7 @@
 import type { IncomingMessage } from "node:http";
 import type { Duplex } from "node:stream";
 
-export interface JoinOptions {
+export interface JoinSocketsOptions {
   /** The answer that switched protocols. */
   readonly answer: IncomingMessage;
   readonly socket: Duplex;
@@ -24,7 +24,7 @@
 };
 
 /** From here on bytes pass both ways until either side closes. */
-export const joinSockets = (options: JoinOptions): void => {
+export const joinSockets = (options: JoinSocketsOptions): void => {
   const { answer, socket, head, upstream, upstreamHead } = options;
   socket.on("close", () => upstream.destroy());
   upstream.on("error", () => upstream.destroy());
--- a/packages/protocol/src/problem.ts
+++ b/packages/protocol/src/problem.ts
@@ -55,7 +55,10 @@
 };
 
 /** Sends a problem on a bare connection, and ends it. */
-export const endWithProblem = (socket: Duplex, problem: Problem): void => {
+export const endSocketWithProblem = (
+  socket: Duplex,
+  problem: Problem,
+): void => {
   if (socket.destroyed) return;
   const body = problemBody(problem);
   const headers = { ...problemHeaders(problem, body), connection: "close" };
--- a/packages/protocol/src/relayAnswer.ts
+++ b/packages/protocol/src/relayResponse.ts
@@ -3,7 +3,7 @@
 import type { IncomingMessage, ServerResponse } from "node:http";
 
 /** `broken`: the sender broke off. `receiver-gone`: the receiver closed. */
-export type RelayEnd = "whole" | "broken" | "receiver-gone";
+export type RelayResult = "whole" | "broken" | "receiver-gone";
 
 export interface RelayOptions {
   /** Read the answer to its end even when the receiver has gone. */
@@ -24,14 +24,14 @@
  * Streams with back pressure. A sender that breaks off tears the receiver's
  * connection, so that a part is never taken for the whole.
  */
-export const relayAnswer = (
+export const relayResponse = (
   from: IncomingMessage,
   to: ServerResponse,
   { readToEnd = false }: RelayOptions = {},
-): Promise<RelayEnd> =>
+): Promise<RelayResult> =>
   new Promise((resolve) => {
     let ended = false;
-    const finish = (end: RelayEnd): void => {
+    const finish = (end: RelayResult): void => {
       if (ended) return;
       ended = true;
       if (end === "broken") to.destroy();
--- a/packages/protocol/src/rpc.ts
+++ b/packages/protocol/src/rpc.ts
@@ -13,7 +13,7 @@
 import { z } from "zod";
 import { RackspanError } from "@rackspan/common";
 import { BadAnswerError, RemoteError } from "./errors.js";
-import { JsonHttpClient } from "./jsonHttpClient.js";
+import { JsonHttpClient } from "./JsonHttpClient.js";
 import { readBody } from "./readBody.js";
 
 export const RPC_PATH = "/rpc";
@@ -22,12 +22,12 @@
 const INVALID_PARAMS_CODE = -32_602;
 const INVALID_REQUEST_CODE = -32_600;
 
-export interface MethodShape {
+export interface MethodSchema {
   readonly params: z.ZodType;
   readonly result: z.ZodType;
 }
 
-export type MethodTable = Readonly<Record<string, MethodShape>>;
+export type MethodTable = Readonly<Record<string, MethodSchema>>;
 
 export type ParamsOf<T extends MethodTable, M extends keyof T> = z.infer<
   T[M]["params"]
@@ -49,7 +49,7 @@
   remedy: z.string(),
 });
 
-export const errorResponse = (
+export const toErrorResponse = (
   id: JSONRPCID,
   error: unknown,
 ): JSONRPCErrorResponse => {
@@ -65,13 +65,13 @@
 };
 
 /** Checks the parameters of each call before its handler sees them. */
-export const addHandlers = <T extends MethodTable>(
+export const registerHandlers = <T extends MethodTable>(
   server: JSONRPCServer,
   table: T,
   handlers: Handlers<T>,
 ): void => {
   for (const name of Object.keys(table)) {
-    const shape = table[name] as MethodShape;
+    const shape = table[name] as MethodSchema;
     const handle = handlers[name] as (params: unknown) => unknown;
     server.addMethod(name, async (params: unknown) =>
       handle(shape.params.parse(params)),
@@ -87,8 +87,8 @@
   });
 
   constructor(table: T, handlers: Handlers<T>) {
-    this.server.mapErrorToJSONRPCErrorResponse = errorResponse;
-    addHandlers(this.server, table, handlers);
+    this.server.mapErrorToJSONRPCErrorResponse = toErrorResponse;
+    registerHandlers(this.server, table, handlers);
   }
 
   /** Handles one HTTP request to `RPC_PATH`. */
@@ -148,7 +148,7 @@
     options: RpcCallOptions = {},
   ): Promise<ResultOf<T, M>> {
     const result = await this.request(method, params, options);
-    const shape = this.table[method] as MethodShape;
+    const shape = this.table[method] as MethodSchema;
     const parsed = shape.result.safeParse(result);
     if (!parsed.success) throw new BadAnswerError(this.baseUrl, parsed.error);
     return parsed.data as ResultOf<T, M>;
--- a/packages/protocol/tests/confirmedHttpClient.test.ts
+++ b/packages/protocol/tests/confirmedHttpClient.test.ts
@@ -58,7 +58,7 @@
   body: "{}",
   timeoutMs,
   peer,
-  confirm: async (ask) => {
+  confirmPeer: async (ask) => {
     const { body } = await ask({
       method: "GET",
       path: "/name",
--- a/packages/protocol/tests/standstill.test.ts
+++ b/packages/protocol/tests/processSuspension.test.ts
@@ -66,7 +66,7 @@
   const call: ConfirmedCall = {
     ...CALL,
     peer: "the only one",
-    confirm: async (ask) => void (await ask(PATIENT_CALL)),
+    confirmPeer: async (ask) => void (await ask(PATIENT_CALL)),
   };
   const patient = { ...call, ...PATIENT_CALL };
   await client.call(patient);
--- a/packages/scheduling/src/JobEngine.ts
+++ b/packages/scheduling/src/JobEngine.ts
@@ -24,7 +24,7 @@
 import {
   type AcceptedJob,
   type JobId,
-  type LearntRecord,
+  type LearnedRecord,
   type ProgressRecord,
 } from "@rackspan/state";
 import { CheckpointWriter } from "./CheckpointWriter.js";
@@ -194,7 +194,7 @@
   }
 
   /** Takes what a former leader has learnt; it may come at any time. */
-  restoreLearned(records: readonly LearntRecord[]): void {
+  restoreLearned(records: readonly LearnedRecord[]): void {
     this.learnt.restore(records);
   }
 
--- a/packages/scheduling/src/LearnedStateStore.ts
+++ b/packages/scheduling/src/LearnedStateStore.ts
@@ -6,7 +6,11 @@
 
 import type { Clock, Logger, Timer } from "@rackspan/common";
 import type { InterferenceEstimator } from "@rackspan/jobs";
-import { ageOf, learntKeyOf, type LearntRecord } from "@rackspan/state";
+import {
+  learnedRecordAgeMs,
+  learnedKeyOf,
+  type LearnedRecord,
+} from "@rackspan/state";
 import type { RuntimeEstimator } from "./RuntimeEstimator.js";
 
 /** Older records say nothing of what runs now, milliseconds. */
@@ -19,7 +23,7 @@
   readonly logger: Logger;
   /** Milliseconds; 0 for never. */
   readonly intervalMs: number;
-  readonly write: (record: LearntRecord) => void;
+  readonly write: (record: LearnedRecord) => void;
 }
 
 export class LearnedStateStore {
@@ -41,7 +45,7 @@
   }
 
   /** Takes what a former leader had learnt, where this one knows nothing yet. */
-  restore(records: readonly LearntRecord[]): void {
+  restore(records: readonly LearnedRecord[]): void {
     const {
       interference,
       estimates,
@@ -51,13 +55,13 @@
     } = this.options;
     if (everyMs === 0) return;
     for (const record of records) {
-      const age = ageOf(record, clock.now());
+      const age = learnedRecordAgeMs(record, clock.now());
       const taken =
         age <= MAX_AGE_MS &&
         (record.kind === "tail"
           ? interference.restore(record, age)
           : estimates.restore(record));
-      const key = learntKeyOf(record);
+      const key = learnedKeyOf(record);
       logger.info("learnt.restored", { key, age: Math.round(age), taken });
     }
   }
--- a/packages/scheduling/src/PermitTracker.ts
+++ b/packages/scheduling/src/PermitTracker.ts
@@ -16,7 +16,7 @@
 import type { HostState, StepRun } from "@rackspan/jobs";
 import {
   PERMIT_LIMITS,
-  type PermitAnswer,
+  type PermitResponse,
   type PermitService,
 } from "@rackspan/ports";
 import type { PermitRule } from "@rackspan/state";
@@ -123,7 +123,7 @@
   ): WorkerInstance[] {
     const now = this.options.clock.monotonic();
     const most = Math.min(
-      PERMIT_LIMITS.maxNamed,
+      PERMIT_LIMITS.maxWorkersPerRequest,
       Math.max(
         PERMIT_REQUESTS.minHosts,
         PERMIT_REQUESTS.hostsPerTask * step.waiting.size,
@@ -146,7 +146,7 @@
     const permits = this.permitsOf(step);
     const takesMs = decideMs + eachMs * instances.length;
     try {
-      const answer = await service.ask({
+      const answer = await service.requestPermits({
         step: nameOf(step),
         instances,
         timeoutMs:
@@ -166,7 +166,7 @@
   private noteAnswer(
     step: StepRun,
     asked: number,
-    { permits, validMs }: PermitAnswer,
+    { permits, validMs }: PermitResponse,
     began: Monotonic,
   ): void {
     const { clock, logger, metrics } = this.options;
--- a/packages/scheduling/src/RuntimeEstimator.ts
+++ b/packages/scheduling/src/RuntimeEstimator.ts
@@ -6,7 +6,7 @@
 
 import { MILLI_CORES_PER_CORE, type Instant } from "@rackspan/common";
 import type { JobRun, StepRun } from "@rackspan/jobs";
-import type { LearntEstimates, QueueKey } from "@rackspan/state";
+import type { LearnedEstimates, QueueKey } from "@rackspan/state";
 
 const ESTIMATES = {
   /** Weight of one observation in the moving mean of the logarithm. */
@@ -45,7 +45,7 @@
   }
 
   /** What was learnt; undefined when that is nothing new since it was last taken here. */
-  takeChanged(now: Instant): LearntEstimates | undefined {
+  takeChanged(now: Instant): LearnedEstimates | undefined {
     if (!this.changed) return undefined;
     this.changed = false;
     const corrections = [...this.corrections];
@@ -56,7 +56,7 @@
    * Takes what a former leader learnt.
    * @returns whether it was of use: nothing was learnt here yet
    */
-  restore({ corrections }: LearntEstimates): boolean {
+  restore({ corrections }: LearnedEstimates): boolean {
     if (!this.corrects || this.corrections.size > 0) return false;
     for (const [queue, value] of corrections)
       this.corrections.set(queue, value);
--- a/packages/scheduling/src/StepPermits.ts
+++ b/packages/scheduling/src/StepPermits.ts
@@ -1,7 +1,7 @@
 /** What is known of the permits of one step: its tickets, and who may not run it. */
 
 import type { Monotonic, WorkerInstance } from "@rackspan/common";
-import type { PermitAnswer } from "@rackspan/ports";
+import type { PermitResponse } from "@rackspan/ports";
 
 /** A ticket that holds for less than this is not used for a start; milliseconds. */
 const TICKET_MARGIN_MS = 150;
@@ -44,7 +44,7 @@
    */
   applyAnswer(
     asked: readonly WorkerInstance[],
-    { permits, validMs }: PermitAnswer,
+    { permits, validMs }: PermitResponse,
     askedAt: Monotonic,
   ): void {
     const tickets = new Map(
--- a/packages/scheduling/src/engineTypes.ts
+++ b/packages/scheduling/src/engineTypes.ts
@@ -18,7 +18,7 @@
   TakeoverGate,
 } from "@rackspan/jobs";
 import type { PermitService } from "@rackspan/ports";
-import type { LearntRecord, QueueKey, QueueSpec } from "@rackspan/state";
+import type { LearnedRecord, QueueKey, QueueSpec } from "@rackspan/state";
 import type { HostSession } from "./HostSession.js";
 import type { SchedulingPolicy } from "./policy.js";
 
@@ -107,7 +107,7 @@
    */
   readonly isEvacuated: (zone: AvailabilityZone) => boolean;
   /** Keeps what was learnt for the next leader. */
-  readonly persistLearned: (record: LearntRecord) => void;
+  readonly persistLearned: (record: LearnedRecord) => void;
   /** Undefined where the platform has no such service. */
   readonly permits: PermitService | undefined;
 }
--- a/packages/scheduling/src/learnInterference.ts
+++ b/packages/scheduling/src/learnInterference.ts
@@ -12,7 +12,7 @@
   type HostState,
   type InterferenceEstimator,
 } from "@rackspan/jobs";
-import type { Disturbance } from "@rackspan/protocol";
+import type { InterferenceWeight } from "@rackspan/protocol";
 import type { ImageName } from "@rackspan/state";
 
 const FULL_PROGRESS = 100;
@@ -74,8 +74,8 @@
 export const disturbancesFor = (
   ledger: HostState,
   book: InterferenceEstimator,
-): Disturbance[] => {
-  const told: Disturbance[] = [];
+): InterferenceWeight[] => {
+  const told: InterferenceWeight[] = [];
   for (const serving of ledger.servingImages) {
     for (const filling of ledger.fillingCores.keys()) {
       const weight =
--- a/packages/scheduling/src/spreadPlacer.ts
+++ b/packages/scheduling/src/spreadPlacer.ts
@@ -4,7 +4,7 @@
  */
 
 import type { HostView, Placer } from "@rackspan/jobs";
-import { familyOf, type Unit } from "@rackspan/state";
+import { replicaGroupOf, type Unit } from "@rackspan/state";
 import {
   freeShare,
   hostsWithCapacity,
@@ -54,7 +54,7 @@
     if (unit.spec.kind === "job") {
       return sortByScore(fitting, (host) => -freeShare(host));
     }
-    const census = new Census(familyOf(unit), hosts);
+    const census = new Census(replicaGroupOf(unit), hosts);
     return sortByScore(
       fitting,
       (host) => census.crowding(host) - freeShare(host),
--- a/packages/scheduling/tests/engineHarness.ts
+++ b/packages/scheduling/tests/engineHarness.ts
@@ -42,11 +42,11 @@
   type StopTaskCall,
 } from "@rackspan/scheduling";
 import {
-  StampedWriter,
+  TopicWriter,
   TOPICS,
   type AcceptedJob,
   type JobTerms,
-  type LearntRecord,
+  type LearnedRecord,
   type PermitRule,
   type QueueKey,
   type QueueSpec,
@@ -386,7 +386,7 @@
   readonly hosts: FakeHost[] = [];
   isLeader = true;
   /** What the engine has kept for the next leader, in order. */
-  readonly learned: LearntRecord[] = [];
+  readonly learned: LearnedRecord[] = [];
   /** Zones that the operator wants nothing more started in. */
   readonly evacuatedZones = new Set<AvailabilityZone>();
 
@@ -401,18 +401,18 @@
     this.clock = clock ?? new ManualClock();
     this.epoch = epoch;
     this.store = options.store ?? new MemoryStore(this.clock);
-    const writer = new StampedWriter({
+    const writer = new TopicWriter({
       topic: TOPICS.progress,
       store: this.store,
       clock: this.clock,
       logger: silentLogger,
       producer: "leader",
       epoch,
-      gatherMs: 0,
-      retriesRefused: true,
+      batchWindowMs: 0,
+      retriesRefusedBatches: true,
     });
     // As a leader does before it begins: the store numbers its records apart.
-    if (options.store) void writer.fenceOthers();
+    if (options.store) void writer.fenceLowerEpochs();
     this.roster = new FakeRoster(roster);
     this.engine = new JobEngine({
       epoch: epoch as unknown as Epoch,
--- a/packages/scheduling/tests/oneRunProperty.test.ts
+++ b/packages/scheduling/tests/oneRunProperty.test.ts
@@ -409,7 +409,7 @@
 }: EngineHarness): Promise<
   (job: AcceptedJob) => ProgressRecord | undefined
 > => {
-  const { records } = await store.newest(TOPICS.progress);
+  const { records } = await store.readNewest(TOPICS.progress);
   const values = new Map(records.map(({ key, value }) => [key, value]));
   return ({ spec }) => {
     const value = values.get(String(spec.id));
--- a/packages/scheduling/tests/permits.test.ts
+++ b/packages/scheduling/tests/permits.test.ts
@@ -3,7 +3,7 @@
 import type { WorkerInstance } from "@rackspan/common";
 import {
   PermitsUnavailableError,
-  type PermitAnswer,
+  type PermitResponse,
   type PermitRequest,
   type PermitService,
 } from "@rackspan/ports";
@@ -19,7 +19,7 @@
 
   constructor(private readonly good: readonly string[]) {}
 
-  async ask(req: PermitRequest): Promise<PermitAnswer> {
+  async requestPermits(req: PermitRequest): Promise<PermitResponse> {
     this.requests.push(req);
     if (this.failing) throw new PermitsUnavailableError("away for a test");
     const permits = req.instances
--- a/packages/side/src/RequestHandler.ts
+++ b/packages/side/src/RequestHandler.ts
@@ -12,11 +12,11 @@
   HEADER,
   INTERNAL_HEADERS,
   parseAddress,
-  endWithProblem,
+  endSocketWithProblem,
   REASON,
-  relayAnswer,
+  relayResponse,
   sendProblem,
-  STATUS_SWITCHED,
+  STATUS_SWITCHING_PROTOCOLS,
   type BodyStream,
   type Outcome,
   type Problem,
@@ -97,13 +97,15 @@
   handleUpgrade(req: IncomingMessage, socket: Duplex, head: Buffer): void {
     socket.on("error", () => socket.destroy());
     const request = readRequestHead(req);
-    if (!request) return endWithProblem(socket, toProblem(badHead, undefined));
+    if (!request)
+      return endSocketWithProblem(socket, toProblem(badHead, undefined));
     const refusal = this.refusalBeforeAdmission(request);
-    if (refusal) return endWithProblem(socket, toProblem(refusal, request));
+    if (refusal)
+      return endSocketWithProblem(socket, toProblem(refusal, request));
     const admission = this.options.gate.admitWatch();
     if (!admission.admitted) {
       const busy = notAdmitted(admission.reason);
-      return endWithProblem(socket, toProblem(busy, request));
+      return endSocketWithProblem(socket, toProblem(busy, request));
     }
     socket.on("close", () => admission.permit.release());
     this.tunnel(req, socket, head, request, admission.permit);
@@ -203,7 +205,7 @@
     res.on("close", onGone);
     const startedAt = clock.monotonic();
     try {
-      const answer = await attempt.answer;
+      const answer = await attempt.response;
       timer.cancel();
       res.off("close", onGone);
       if (head.watch) this.addWatch(res);
@@ -247,7 +249,7 @@
       add: [HEADER.BUSY_SLOTS, String(this.options.gate.busySlots)],
     });
     res.writeHead(answer.statusCode ?? 502, answer.statusMessage, headers);
-    return relayAnswer(answer, res);
+    return relayResponse(answer, res);
   }
 
   private tunnel(
@@ -262,7 +264,7 @@
       endpoint && this.options.fences.tryStart(request) === "started";
     if (!endpoint || !started) {
       permit.release();
-      return endWithProblem(socket, toProblem(endpointGone, request));
+      return endSocketWithProblem(socket, toProblem(endpointGone, request));
     }
     const attempt = new Attempt({
       address: parseAddress(endpoint.address as string),
@@ -276,17 +278,17 @@
         joinSockets({ answer, socket, head, upstream, upstreamHead });
       },
     });
-    attempt.answer.then(
+    attempt.response.then(
       (answer) => {
-        if (answer.statusCode === STATUS_SWITCHED) return;
+        if (answer.statusCode === STATUS_SWITCHING_PROTOCOLS) return;
         answer.destroy();
-        endWithProblem(
+        endSocketWithProblem(
           socket,
           toProblem(upgradeRefused(answer.statusCode), request),
         );
       },
       (err: unknown) =>
-        endWithProblem(socket, toProblem(failure(err, false), request)),
+        endSocketWithProblem(socket, toProblem(failure(err, false), request)),
     );
     socket.on("close", () => attempt.cancel());
   }
@@ -380,7 +382,7 @@
 
 const bodyOf = (req: IncomingMessage): BodyStream | undefined =>
   hasBody(req.headers)
-    ? { stream: req, isWhole: () => req.complete }
+    ? { stream: req, isComplete: () => req.complete }
     : undefined;
 
 const endpointHeaders = (req: IncomingMessage, timeoutMs: number): string[] => {
--- a/packages/side/src/jobs/FencedTaskHost.ts
+++ b/packages/side/src/jobs/FencedTaskHost.ts
@@ -14,8 +14,8 @@
   runKeyOf,
   TaskRefusedError,
   WorkerSilentError,
-  type HoldAnswer,
-  type HoldOrder,
+  type PollResponse,
+  type PollRequest,
   type PaceOrder,
   type RunRef,
   type RunStart,
@@ -88,7 +88,10 @@
    * was ahead, or in a look that was meant for another life under its id. Looks alone are
    * tried again above it, and no part of this epoch passes a higher epoch.
    */
-  async hold(instance: WorkerInstance, order: HoldOrder): Promise<HoldAnswer> {
+  async poll(
+    instance: WorkerInstance,
+    order: PollRequest,
+  ): Promise<PollResponse> {
     const life = this.lifeOf(instance, order.epoch);
     try {
       return await this.look(instance, order, life.part);
@@ -105,7 +108,7 @@
   }
 
   /** Whether that life has obeyed more than the start was last sent under. */
-  bars(instance: WorkerInstance, run: RunRef): boolean {
+  rejectsStart(instance: WorkerInstance, run: RunRef): boolean {
     const sentUnder = this.sentUnder.get(runKeyOf(run));
     const obeyed = this.lives.get(instance)?.obeyed;
     if (sentUnder === undefined || obeyed === undefined) return false;
@@ -114,12 +117,12 @@
 
   private async look(
     instance: WorkerInstance,
-    order: HoldOrder,
+    order: PollRequest,
     part: number,
-  ): Promise<HoldAnswer> {
+  ): Promise<PollResponse> {
     const epoch = divide(order.epoch, part);
     try {
-      const answer = await this.options.host.hold(instance, {
+      const answer = await this.options.host.poll(instance, {
         ...order,
         epoch,
       });
@@ -135,9 +138,9 @@
   /** @returns undefined when the worker has heard a higher one */
   private async tryPart(
     instance: WorkerInstance,
-    order: HoldOrder,
+    order: PollRequest,
     part: number,
-  ): Promise<HoldAnswer | undefined> {
+  ): Promise<PollResponse | undefined> {
     try {
       const answer = await this.look(instance, order, part);
       const life = this.lifeOf(instance, order.epoch);
--- a/packages/side/src/jobs/KnownTasks.ts
+++ b/packages/side/src/jobs/KnownTasks.ts
@@ -5,23 +5,26 @@
 
 import type { JobTaskId } from "@rackspan/common";
 import type { RunningTask } from "@rackspan/ports";
-import type { Disturbance, TaskNature } from "@rackspan/protocol";
+import type {
+  InterferenceWeight,
+  InterferenceProfile,
+} from "@rackspan/protocol";
 import type { ServingTail } from "./paceFactors.js";
 
 /** Tasks that were ordered and are not listed yet, whose natures are kept at most. */
 const KEPT_UNLISTED = 64;
 
 export class KnownTasks {
-  private readonly natures = new Map<JobTaskId, TaskNature>();
+  private readonly natures = new Map<JobTaskId, InterferenceProfile>();
   /** By serving image, then filling image. */
   private readonly weights = new Map<string, Map<string, number>>();
 
-  describe(task: JobTaskId, nature: TaskNature): void {
+  describe(task: JobTaskId, nature: InterferenceProfile): void {
     this.natures.set(task, nature);
   }
 
   /** Takes what the leader knows of the images on this host, in place of all before. */
-  learn(disturbances: readonly Disturbance[]): void {
+  learn(disturbances: readonly InterferenceWeight[]): void {
     this.weights.clear();
     for (const { serving, filling, weight } of disturbances) {
       const row = this.weights.get(serving) ?? new Map<string, number>();
--- a/packages/side/src/jobs/LeaderConnection.ts
+++ b/packages/side/src/jobs/LeaderConnection.ts
@@ -3,10 +3,10 @@
 import type {
   hostMethods,
   leaderMethods,
-  LineConnection,
+  JsonRpcConnection,
 } from "@rackspan/protocol";
 
-export type LeaderConnection = LineConnection<
+export type LeaderConnection = JsonRpcConnection<
   typeof hostMethods,
   typeof leaderMethods
 >;
--- a/packages/side/src/jobs/LeaderLink.ts
+++ b/packages/side/src/jobs/LeaderLink.ts
@@ -19,7 +19,7 @@
 import {
   hostMethods,
   leaderMethods,
-  LineConnection,
+  JsonRpcConnection,
   LostAnswerError,
   type Grant,
 } from "@rackspan/protocol";
@@ -153,12 +153,12 @@
   private async open(address: string): Promise<LeaderConnection> {
     const { clock, logger } = this.options;
     const socket = await openSocket(address, LINK.connectTimeoutMs);
-    this.connection = new LineConnection({
+    this.connection = new JsonRpcConnection({
       socket,
-      serves: hostMethods,
-      calls: leaderMethods,
+      servedMethods: hostMethods,
+      calledMethods: leaderMethods,
       handlers: this.handlers(),
-      silenceMs: LINK.silenceMs,
+      idleTimeoutMs: LINK.silenceMs,
       clock,
       logger,
     });
@@ -166,7 +166,7 @@
   }
 
   private handlers(): ConstructorParameters<
-    typeof LineConnection<typeof hostMethods, typeof leaderMethods>
+    typeof JsonRpcConnection<typeof hostMethods, typeof leaderMethods>
   >[0]["handlers"] {
     const { orders, watch, pacer } = this.options;
     return {
--- a/packages/side/src/jobs/PacePlanner.ts
+++ b/packages/side/src/jobs/PacePlanner.ts
@@ -12,8 +12,8 @@
 import { runKeyOf, type RunningTask } from "@rackspan/ports";
 import {
   FULL_PACE,
-  type Disturbance,
-  type TaskNature,
+  type InterferenceWeight,
+  type InterferenceProfile,
 } from "@rackspan/protocol";
 import { forgetOtherRuns } from "./forgetOtherRuns.js";
 import { KnownTasks } from "./KnownTasks.js";
@@ -76,12 +76,12 @@
 
   constructor(private readonly options: PacePlannerOptions) {}
 
-  describe(task: JobTaskId, nature: TaskNature): void {
+  describe(task: JobTaskId, nature: InterferenceProfile): void {
     this.tasks.describe(task, nature);
   }
 
   /** Takes what the leader knows of the images on this host. */
-  learn(disturbances: readonly Disturbance[]): void {
+  learn(disturbances: readonly InterferenceWeight[]): void {
     this.tasks.learn(disturbances);
   }
 
--- a/packages/side/src/jobs/Pacer.ts
+++ b/packages/side/src/jobs/Pacer.ts
@@ -23,8 +23,8 @@
 } from "@rackspan/ports";
 import {
   FULL_PACE,
-  type Disturbance,
-  type TaskNature,
+  type InterferenceWeight,
+  type InterferenceProfile,
 } from "@rackspan/protocol";
 import { BoundedMap } from "@rackspan/state";
 import { forgetOtherRuns } from "./forgetOtherRuns.js";
@@ -71,7 +71,7 @@
     this.planner = new PacePlanner(options);
   }
 
-  describe(task: JobTaskId, nature: TaskNature): void {
+  describe(task: JobTaskId, nature: InterferenceProfile): void {
     this.planner.describe(task, nature);
   }
 
@@ -92,7 +92,7 @@
   }
 
   /** Takes what the leader knows of the images on this host. */
-  learn(disturbances: readonly Disturbance[]): void {
+  learn(disturbances: readonly InterferenceWeight[]): void {
     this.planner.learn(disturbances);
   }
 
--- a/packages/side/src/jobs/RunsOfLives.ts
+++ b/packages/side/src/jobs/RunsOfLives.ts
@@ -10,7 +10,7 @@
   type WorkerInstance,
   type WorkerTime,
 } from "@rackspan/common";
-import { runKeyOf, type HoldAnswer, type RunRef } from "@rackspan/ports";
+import { runKeyOf, type PollResponse, type RunRef } from "@rackspan/ports";
 import type { LostRun } from "@rackspan/protocol";
 import { BoundedMap } from "@rackspan/state";
 
@@ -103,7 +103,7 @@
   /** @param askedAt when the worker was asked for these lists, on the side's clock */
   noteListed(
     instance: WorkerInstance,
-    { at, running, ended }: HoldAnswer,
+    { at, running, ended }: PollResponse,
     askedAt: Monotonic,
   ): void {
     const life = this.lifeOf(instance);
--- a/packages/side/src/jobs/WorkerWatch.ts
+++ b/packages/side/src/jobs/WorkerWatch.ts
@@ -19,7 +19,7 @@
   WorkerReplacedError,
   WorkerSilentError,
   type EndedRun,
-  type HoldAnswer,
+  type PollResponse,
   type TaskHost,
 } from "@rackspan/ports";
 import { FormerStartBars } from "./FormerStartBars.js";
@@ -45,7 +45,7 @@
   readonly instance: WorkerInstance;
   /** The epoch that the worker had heard by then. */
   readonly epoch: Epoch;
-  readonly answer: HoldAnswer;
+  readonly answer: PollResponse;
   /** When the call was made that it answers, on the side's clock. */
   readonly askedAt: Monotonic;
 }
@@ -160,7 +160,8 @@
     const { registry, host } = this.options;
     return registry.unanswered.mayReachForMs(
       instance,
-      (run) => instance !== undefined && host.bars?.(instance, run) === true,
+      (run) =>
+        instance !== undefined && host.rejectsStart?.(instance, run) === true,
     );
   }
 
@@ -209,7 +210,7 @@
     const leaseUntil = this.renewedLease();
     if (leaseUntil !== undefined) this.sent.noteSent(instance, leaseUntil);
     try {
-      const answer = await host.hold(instance, {
+      const answer = await host.poll(instance, {
         epoch,
         acknowledged: this.acknowledged,
         leaseUntil,
--- a/packages/side/tests/brokenLook.test.ts
+++ b/packages/side/tests/brokenLook.test.ts
@@ -12,8 +12,8 @@
   runKeyOf,
   WorkerReplacedError,
   WorkerSilentError,
-  type HoldAnswer,
-  type HoldOrder,
+  type PollResponse,
+  type PollRequest,
   type RunRef,
   type TaskHost,
 } from "@rackspan/ports";
@@ -52,7 +52,10 @@
   let isDead = false;
   let breakOff: (err: Error) => void = () => undefined;
   const host = {
-    hold: (_: WorkerInstance, { waitMs }: HoldOrder): Promise<HoldAnswer> => {
+    poll: (
+      _: WorkerInstance,
+      { waitMs }: PollRequest,
+    ): Promise<PollResponse> => {
       if (isDead) throw new WorkerReplacedError(INSTANCE);
       return new Promise((resolve, reject) => {
         breakOff = reject;
--- a/packages/side/tests/fencedLease.test.ts
+++ b/packages/side/tests/fencedLease.test.ts
@@ -14,8 +14,8 @@
 import {
   TaskRefusedError,
   WorkerSilentError,
-  type HoldAnswer,
-  type HoldOrder,
+  type PollResponse,
+  type PollRequest,
   type RunStart,
   type TaskHost,
 } from "@rackspan/ports";
@@ -45,10 +45,10 @@
     worker.heard = epoch;
   };
   const inner = {
-    hold: async (
+    poll: async (
       _: WorkerInstance,
-      { epoch, waitMs }: HoldOrder,
-    ): Promise<HoldAnswer> => {
+      { epoch, waitMs }: PollRequest,
+    ): Promise<PollResponse> => {
       if (worker.isSilent) return fallSilent();
       obey(epoch);
       await sleep(clock, waitMs);
--- a/packages/side/tests/fencedTaskHost.test.ts
+++ b/packages/side/tests/fencedTaskHost.test.ts
@@ -12,8 +12,8 @@
 import {
   TaskRefusedError,
   WorkerSilentError,
-  type HoldAnswer,
-  type HoldOrder,
+  type PollResponse,
+  type PollRequest,
   type RunStart,
   type StartOutcome,
   type TaskHost,
@@ -53,7 +53,7 @@
     return this.obey(epoch, AT);
   }
 
-  async hold(_: WorkerInstance, { epoch }: HoldOrder): Promise<HoldAnswer> {
+  async poll(_: WorkerInstance, { epoch }: PollRequest): Promise<PollResponse> {
     const answer = { at: AT, running: [], ended: [], hasMoreEnds: false };
     if (this.isSilent) throw new WorkerSilentError("no answer");
     return this.obey(epoch, answer);
@@ -84,8 +84,8 @@
     instance: WorkerInstance,
     epoch = 1,
     at = host,
-  ): Promise<HoldAnswer> =>
-    at.hold(instance, { epoch: epochAt(epoch), acknowledged: 0, waitMs: 0 });
+  ): Promise<PollResponse> =>
+    at.poll(instance, { epoch: epochAt(epoch), acknowledged: 0, waitMs: 0 });
   const start = (instance: WorkerInstance, epoch = 1): Promise<StartOutcome> =>
     host.start(instance, { ...START_CALL, epoch: epochAt(epoch) });
   return { clock, worker, host, look, start };
--- a/packages/side/tests/formerStarts.test.ts
+++ b/packages/side/tests/formerStarts.test.ts
@@ -14,8 +14,8 @@
 import {
   WorkerReplacedError,
   WorkerSilentError,
-  type HoldAnswer,
-  type HoldOrder,
+  type PollResponse,
+  type PollRequest,
   type RunRef,
   type TaskHost,
 } from "@rackspan/ports";
@@ -59,10 +59,10 @@
     throw new WorkerSilentError("no answer");
   };
   const host = {
-    hold: async (
+    poll: async (
       instance: WorkerInstance,
-      { waitMs }: HoldOrder,
-    ): Promise<HoldAnswer> => {
+      { waitMs }: PollRequest,
+    ): Promise<PollResponse> => {
       reach(instance);
       await sleep(clock, waitMs);
       reach(instance);
--- a/packages/side/tests/listOf.ts
+++ b/packages/side/tests/listOf.ts
@@ -1,12 +1,12 @@
 /** What a worker lists at that time of its clock; none of its runs has ended. */
 
 import type { WorkerTime } from "@rackspan/common";
-import type { HoldAnswer, RunRef } from "@rackspan/ports";
+import type { PollResponse, RunRef } from "@rackspan/ports";
 
 export const listOf = (
   at: number,
   running: readonly RunRef[] = [],
-): HoldAnswer => ({
+): PollResponse => ({
   at: at as unknown as WorkerTime,
   running: running.map((ref) => ({
     ...ref,
--- a/packages/side/tests/orderedFromSilentWorker.test.ts
+++ b/packages/side/tests/orderedFromSilentWorker.test.ts
@@ -18,7 +18,7 @@
 
 test("a run that was ordered after a look without an answer is told as such", async () => {
   const host = {
-    hold: () => Promise.reject(new WorkerSilentError("no answer")),
+    poll: () => Promise.reject(new WorkerSilentError("no answer")),
   } as unknown as TaskHost;
   const { clock, registry, watch, stop } = buildSide({
     host,
--- a/packages/side/tests/runsOfLives.test.ts
+++ b/packages/side/tests/runsOfLives.test.ts
@@ -11,7 +11,7 @@
   type WorkerInstance,
   type WorkerTime,
 } from "@rackspan/common";
-import type { HoldAnswer, RunRef } from "@rackspan/ports";
+import type { PollResponse, RunRef } from "@rackspan/ports";
 import type { LostRun } from "@rackspan/protocol";
 import { WorkerRegistry } from "@rackspan/side";
 import { beatOf } from "./beatOf.js";
@@ -185,7 +185,7 @@
   expect(registry.runs.neverBegun).toEqual([]);
 });
 
-const listOfEnd = (at: number): HoldAnswer => ({
+const listOfEnd = (at: number): PollResponse => ({
   ...listOf(at, []),
   ended: [{ ...RUN, number: 1, outcome: "done", checkpoint: "" }],
 });
--- a/packages/side/tests/silentWorker.test.ts
+++ b/packages/side/tests/silentWorker.test.ts
@@ -13,8 +13,8 @@
 import {
   TaskRefusedError,
   WorkerSilentError,
-  type HoldAnswer,
-  type HoldOrder,
+  type PollResponse,
+  type PollRequest,
   type TaskHost,
 } from "@rackspan/ports";
 import { buildSide } from "./buildSide.js";
@@ -42,10 +42,10 @@
   const workerTime = (): WorkerTime =>
     clock.monotonic() as unknown as WorkerTime;
   const host = {
-    hold: async (
+    poll: async (
       _: WorkerInstance,
-      { leaseUntil, waitMs }: HoldOrder,
-    ): Promise<HoldAnswer> => {
+      { leaseUntil, waitMs }: PollRequest,
+    ): Promise<PollResponse> => {
       looks.push({ sentAt: clock.monotonic(), leaseUntil });
       if (worker.fences) throw new TaskRefusedError("a higher epoch", true);
       const isAnswered = worker.answers;
--- a/packages/side/tests/unattendedLease.test.ts
+++ b/packages/side/tests/unattendedLease.test.ts
@@ -9,7 +9,7 @@
   type WorkerInstance,
   type WorkerTime,
 } from "@rackspan/common";
-import type { HoldAnswer, HoldOrder, TaskHost } from "@rackspan/ports";
+import type { PollResponse, PollRequest, TaskHost } from "@rackspan/ports";
 import { buildSide } from "./buildSide.js";
 import { listOf } from "./listOf.js";
 
@@ -30,10 +30,10 @@
   const workerTime = (): WorkerTime =>
     (clock.monotonic() + OFFSET_MS) as unknown as WorkerTime;
   const host = {
-    hold: async (
+    poll: async (
       _instance: WorkerInstance,
-      { leaseUntil, waitMs }: HoldOrder,
-    ): Promise<HoldAnswer> => {
+      { leaseUntil, waitMs }: PollRequest,
+    ): Promise<PollResponse> => {
       renewals.push({ at: workerTime(), leaseUntil });
       await new Promise<void>((resolve) => clock.after(waitMs, resolve));
       return listOf(workerTime());
--- a/packages/standins/src/MemoryStore.ts
+++ b/packages/standins/src/MemoryStore.ts
@@ -11,9 +11,9 @@
   StoreAnswerLostError,
   StoreRefusedError,
   type AppendRequest,
-  type JoinAnswer,
+  type JoinResponse,
   type JoinRequest,
-  type ReadAnswer,
+  type ReadResponse,
   type ReadRequest,
   type RecordPage,
   type StoreClient,
@@ -78,7 +78,7 @@
     from,
     waitMs,
     signal,
-  }: ReadRequest): Promise<ReadAnswer> {
+  }: ReadRequest): Promise<ReadResponse> {
     await this.pass("before");
     const { records, waiting } = this.topic(topic);
     if (records.length <= from && waitMs > 0) {
@@ -99,7 +99,7 @@
     return { records: page, next: from + page.length, end };
   }
 
-  async newest(topic: TopicName): Promise<RecordPage> {
+  async readNewest(topic: TopicName): Promise<RecordPage> {
     await this.pass("before");
     const { records } = this.topic(topic);
     const newest = new Map(records.map((record) => [record.key, record]));
@@ -109,7 +109,7 @@
     return { records: kept, next: records.length };
   }
 
-  async join(req: JoinRequest): Promise<JoinAnswer> {
+  async join(req: JoinRequest): Promise<JoinResponse> {
     await this.pass("before");
     this.expireMembers();
     const expiresAt = this.clock.monotonic() + req.ttlMs;
@@ -122,7 +122,10 @@
     this.ownerName ??= req.member;
     const owns = this.ownerName === req.member;
     await this.pass("after");
-    return { generation: this.generation as unknown as Epoch, owns };
+    return {
+      generation: this.generation as unknown as Epoch,
+      ownsPartition: owns,
+    };
   }
 
   async leave(_group: string, member: string): Promise<void> {
--- a/packages/state/src/Appender.ts
+++ b/packages/state/src/Appender.ts
@@ -19,8 +19,8 @@
 import { LogUnavailableError, type LogService } from "@rackspan/ports";
 import { encodeBatch } from "./codec.js";
 import { AppendRefusedError, AppendUnknownError } from "./errors.js";
-import type { Applied, Fold } from "./Fold.js";
-import type { LogRecord, Verdict } from "./records.js";
+import type { AppliedRecord, Fold } from "./Fold.js";
+import type { LogRecord, ApplyResult } from "./records.js";
 
 /** The stream that carries all records. */
 export const RECORD_STREAM = "records";
@@ -52,7 +52,7 @@
 
 interface Pending {
   readonly record: LogRecord;
-  readonly settle: (verdict: Verdict) => void;
+  readonly settle: (verdict: ApplyResult) => void;
   readonly fail: (err: Error) => void;
   readonly timer: Timer;
   /** Whether the record is part of an append that may land or have landed. */
@@ -87,7 +87,7 @@
    * @throws AppendRefusedError when it was not appended and will not be
    * @throws AppendUnknownError when it may have been, or may still be
    */
-  submit(record: LogRecord, timeoutMs: number): Promise<Verdict> {
+  submit(record: LogRecord, timeoutMs: number): Promise<ApplyResult> {
     const { maxQueued = APPENDER_DEFAULTS.maxQueued } = this.options;
     if (this.queue.length >= maxQueued) {
       this.options.metrics.count("append_refused", { reason: "queue-full" });
@@ -241,7 +241,7 @@
     return true;
   }
 
-  private onApplied({ writer, number, verdict }: Applied): void {
+  private onApplied({ writer, number, result: verdict }: AppliedRecord): void {
     if (writer !== this.options.writer) return;
     this.foldMoved.notify();
     const item = this.awaitingFold.get(number);
--- a/packages/state/src/ConfigHolder.ts
+++ b/packages/state/src/ConfigHolder.ts
@@ -21,12 +21,12 @@
     return this.config;
   }
 
-  queue(key: QueueKey): QueueSpec | undefined {
+  getQueue(key: QueueKey): QueueSpec | undefined {
     return this.queues.get(key);
   }
 
   /** The queue of the longest prefix with which the path begins. */
-  match(hostName: string, path: string): QueueSpec | undefined {
+  matchQueue(hostName: string, path: string): QueueSpec | undefined {
     const prefix = this.prefixes
       .get(hostName)
       ?.find((candidate) => path.startsWith(candidate));
@@ -35,7 +35,7 @@
   }
 
   /** Passes over a configuration that is no newer than the one in force. */
-  adopt(config: SiteConfig): void {
+  applyIfNewer(config: SiteConfig): void {
     const before = this.config?.version;
     if (before !== undefined && config.version <= before) {
       this.logger.info("config.passed-over", {
--- a/packages/state/src/EvacuatedZones.ts
+++ b/packages/state/src/EvacuatedZones.ts
@@ -27,7 +27,7 @@
   }
 
   /** @param isAsked whether the operator asks for it; else the zone is taken back */
-  note(zone: AvailabilityZone, isAsked: boolean): void {
+  setEvacuated(zone: AvailabilityZone, isAsked: boolean): void {
     if (isAsked === this.has(zone)) return;
     const { clock, logger, metrics } = this.options;
     const now = clock.now();
--- a/packages/state/src/Fold.ts
+++ b/packages/state/src/Fold.ts
@@ -13,21 +13,21 @@
 import { BoundedMap } from "./BoundedMap.js";
 import type { Batch } from "./codec.js";
 import { ConfigFold, type ConfigSnapshot } from "./ConfigFold.js";
-import type { LogRecord, RecordOf, Verdict } from "./records.js";
+import type { LogRecord, RecordOf, ApplyResult } from "./records.js";
 import { RequestFold, type RequestSnapshot } from "./RequestFold.js";
-import { UnitFold, type UnitRejection, type UnitSnapshot } from "./UnitFold.js";
+import { UnitFold, type Rejection, type UnitSnapshot } from "./UnitFold.js";
 import { updateUnits } from "./updateUnits.js";
 import { jobSpec, jobUnitId } from "./units.js";
 
 /** Writers whose last number is remembered, to drop what they repeat. */
 const WRITERS_KEPT = 4_096;
 
-export interface Applied {
+export interface AppliedRecord {
   readonly writer: Incarnation;
   /** The writer's own number of the record. */
   readonly number: number;
   readonly record: LogRecord;
-  readonly verdict: Verdict;
+  readonly result: ApplyResult;
 }
 
 export interface FoldSnapshot {
@@ -43,8 +43,8 @@
 
 export interface FoldOptions {
   /** Switched off only by the tests that show what it is for. */
-  readonly dropRepeats?: boolean;
-  readonly checkBase?: boolean;
+  readonly ignoreDuplicates?: boolean;
+  readonly checkBaseVersion?: boolean;
 }
 
 export class Fold {
@@ -52,7 +52,7 @@
   readonly units = new UnitFold();
   readonly requests = new RequestFold();
   /** Emits each record right after it was applied. */
-  readonly applied = new Emitter<Applied>();
+  readonly applied = new Emitter<AppliedRecord>();
   private readonly writers = new BoundedMap<Incarnation, number>(WRITERS_KEPT);
   private count = 0;
 
@@ -72,15 +72,15 @@
     records.forEach((record, index) => {
       const number = first + index;
       const repeated = number <= this.lastNumberOf(writer);
-      if (repeated && this.options.dropRepeats !== false) return;
+      if (repeated && this.options.ignoreDuplicates !== false) return;
       this.writers.set(writer, number);
       const verdict = this.apply(record);
-      this.applied.emit({ writer, number, record, verdict });
+      this.applied.emit({ writer, number, record, result: verdict });
     });
   }
 
   /** Applies one record and returns the verdict on it. */
-  apply(record: LogRecord): Verdict {
+  apply(record: LogRecord): ApplyResult {
     this.count += 1;
     const at = this.sequence;
     const rejection = this.dispatch(record, at);
@@ -88,7 +88,7 @@
     return { accepted: false, sequence: at, ...rejection };
   }
 
-  private dispatch(record: LogRecord, at: Sequence): UnitRejection | undefined {
+  private dispatch(record: LogRecord, at: Sequence): Rejection | undefined {
     switch (record.type) {
       case "apply":
         return this.applyConfig(record, at);
@@ -118,9 +118,9 @@
   private applyConfig(
     record: RecordOf<"apply">,
     at: Sequence,
-  ): UnitRejection | undefined {
+  ): Rejection | undefined {
     const conflict = this.config.conflictOf(record);
-    if (conflict && this.options.checkBase !== false) {
+    if (conflict && this.options.checkBaseVersion !== false) {
       const { key, changedAt } = conflict;
       const detail = `${key} was changed at version ${changedAt}, after version ${record.base}`;
       return { reason: "conflict", detail };
@@ -140,7 +140,7 @@
   private submit(
     { job }: RecordOf<"submit">,
     at: Sequence,
-  ): UnitRejection | undefined {
+  ): Rejection | undefined {
     return this.units.submit(
       jobUnitId(job.name),
       jobSpec(job),
@@ -149,7 +149,7 @@
     );
   }
 
-  private cancel({ unit }: RecordOf<"cancel">): UnitRejection | undefined {
+  private cancel({ unit }: RecordOf<"cancel">): Rejection | undefined {
     const known = this.units.get(unit);
     if (!known) return { reason: "unknown-unit", detail: `no unit ${unit}` };
     if (known.phase === "finished") {
@@ -158,14 +158,14 @@
         detail: `${unit} has ${known.finish ?? "finished"}`,
       };
     }
-    this.units.unwant(unit);
+    this.units.retire(unit);
     return undefined;
   }
 
   private claim(
     record: RecordOf<"claim">,
     at: Sequence,
-  ): UnitRejection | undefined {
+  ): Rejection | undefined {
     const team = this.units.get(record.unit)?.spec.team;
     return this.units.claim(record, at, team && this.quotaOf(team));
   }
--- a/packages/state/src/JobView.ts
+++ b/packages/state/src/JobView.ts
@@ -19,7 +19,7 @@
   type ProgressRecord,
 } from "./jobRecords.js";
 import {
-  isFinal,
+  isFinalState,
   type JobId,
   type JobStateName,
   type QueueKey,
@@ -68,7 +68,7 @@
     const entry = this.get(id);
     if (!entry) return undefined;
     const state = entry.progress?.state ?? "queued";
-    if (isFinal(state)) return state;
+    if (isFinalState(state)) return state;
     return entry.cancelled ? "cancelled" : state;
   }
 
@@ -82,7 +82,7 @@
   }
 
   /** Cancels taken before the given time of day whose jobs have not come. */
-  jobsNeverCome(before: Instant): JobId[] {
+  cancelsWithoutJob(before: Instant): JobId[] {
     const never: JobId[] = [];
     for (const [id, at] of this.cancels) {
       const hasCome = this.jobs.has(id) || this.unreadable.has(id);
@@ -92,12 +92,12 @@
   }
 
   /** Jobs of the queue of which no task has begun. */
-  pendingCount(queue: QueueKey): number {
+  countUnstartedJobs(queue: QueueKey): number {
     let count = 0;
     for (const [id, { spec }] of this.jobs) {
       if (spec.queue !== queue || this.cancels.has(id)) continue;
       const progress = this.progress.get(id);
-      if (!progress || (!progress.begun && !isFinal(progress.state)))
+      if (!progress || (!progress.begun && !isFinalState(progress.state)))
         count += 1;
     }
     return count;
@@ -108,7 +108,7 @@
   }
 
   /** Also called by the entry that wrote the record, before it reads it back. */
-  noteAccepted(job: AcceptedJob): void {
+  addAccepted(job: AcceptedJob): void {
     const { id } = job.spec;
     if (this.jobs.has(id)) return;
     this.jobs.set(id, job);
@@ -116,13 +116,13 @@
   }
 
   /** @param at when the cancel was taken, by the time of day */
-  noteCancelled(id: JobId, at: Instant): void {
+  addCancel(id: JobId, at: Instant): void {
     if (this.cancels.has(id)) return;
     this.cancels.set(id, at);
     this.changes.emit({ kind: "cancelled", id });
   }
 
-  takeJobs(records: readonly KeyedRecord[]): void {
+  applyJobRecords(records: readonly KeyedRecord[]): void {
     for (const { key, value } of records) {
       const id = key as unknown as JobId;
       this.unreadable.delete(id);
@@ -131,13 +131,13 @@
         continue;
       }
       const isRead = this.decode(key, () =>
-        this.noteAccepted(decodeJob(key, value)),
+        this.addAccepted(decodeJob(key, value)),
       );
       if (!isRead) this.unreadable.add(id);
     }
   }
 
-  takeCancels(records: readonly KeyedRecord[]): void {
+  applyCancelRecords(records: readonly KeyedRecord[]): void {
     for (const { key, value } of records) {
       const id = key as unknown as JobId;
       if (!value) {
@@ -145,11 +145,11 @@
         continue;
       }
       // One of another writer cancels nothing: no caller has asked for it.
-      this.decode(key, () => this.noteCancelled(id, decodeCancel(key, value)));
+      this.decode(key, () => this.addCancel(id, decodeCancel(key, value)));
     }
   }
 
-  takeProgress(records: readonly KeyedRecord[]): void {
+  applyProgressRecords(records: readonly KeyedRecord[]): void {
     for (const { key, value } of records) {
       const id = key as unknown as JobId;
       if (!value) {
@@ -160,7 +160,7 @@
     }
   }
 
-  takeHosts(records: readonly KeyedRecord[]): void {
+  applyHostRecords(records: readonly KeyedRecord[]): void {
     for (const { key, value } of records) {
       const host = key as unknown as HostId;
       if (!value) {
--- a/packages/state/src/LogFollower.ts
+++ b/packages/state/src/LogFollower.ts
@@ -18,7 +18,7 @@
 import { RetentionError, type LogService } from "@rackspan/ports";
 import { RECORD_STREAM } from "./Appender.js";
 import { decodeBatch, UnreadableEntryError } from "./codec.js";
-import { PastLostError } from "./errors.js";
+import { HistoryLostError } from "./errors.js";
 import type { Fold } from "./Fold.js";
 import type { Snapshot, SnapshotStore } from "./snapshots.js";
 
@@ -29,7 +29,7 @@
 /** Asks the other entries for their state; used where the log cannot help. */
 export interface PeerSnapshots {
   /** The snapshot with the highest offset among the peers that answered. */
-  fetch(): Promise<Snapshot | undefined>;
+  fetchNewest(): Promise<Snapshot | undefined>;
 }
 
 export interface LogFollowerOptions {
@@ -45,7 +45,7 @@
 
 export class LogFollower {
   /** Emits when the fold was restored from a snapshot: its past was not applied one by one. */
-  readonly restoredState = new Emitter<void>();
+  readonly restoredFromSnapshot = new Emitter<void>();
   private from = offset(0);
   private restored = false;
   private reachedEnd = false;
@@ -71,12 +71,12 @@
   }
 
   /** Milliseconds since the log was last read successfully. */
-  get silentMs(): number {
+  get sinceLastReadMs(): number {
     return this.options.clock.monotonic() - this.lastReadAt;
   }
 
   /** Resolves at the next change of position, readiness or fault, or after `ms`. */
-  wait(ms: number): Promise<void> {
+  waitForChange(ms: number): Promise<void> {
     return this.moved.wait(this.options.clock, ms);
   }
 
@@ -125,20 +125,20 @@
     } catch (err) {
       if (!(err instanceof RetentionError)) throw err;
       const what = `the log dropped entries from ${this.from} to ${err.oldest} that this process has not read`;
-      throw new PastLostError(what, err);
+      throw new HistoryLostError(what, err);
     }
   }
 
   private async restore(): Promise<void> {
     const { fold, logger, snapshots, peers } = this.options;
     const kept = await settle(snapshots.load());
-    const fromPeer = await settle(peers.fetch());
+    const fromPeer = await settle(peers.fetchNewest());
     const best = highest(kept.value, fromPeer.value);
     if (!best && kept.error) throw kept.error;
     if (best) {
       fold.restore(best.state);
       this.from = best.covered;
-      this.restoredState.emit();
+      this.restoredFromSnapshot.emit();
       logger.info("state.restored", {
         covered: best.covered,
         sequence: fold.sequence,
@@ -177,4 +177,4 @@
 };
 
 const isFinal = (err: unknown): boolean =>
-  err instanceof PastLostError || err instanceof UnreadableEntryError;
+  err instanceof HistoryLostError || err instanceof UnreadableEntryError;
--- a/packages/state/src/OperatorView.ts
+++ b/packages/state/src/OperatorView.ts
@@ -18,7 +18,7 @@
       readonly kind: "evacuation";
       readonly zone: AvailabilityZone;
       /** False once the zone is taken back. */
-      readonly isAsked: boolean;
+      readonly isEvacuated: boolean;
     };
 
 /** Reads what the operator has written, in the platform's own form. */
@@ -45,7 +45,7 @@
 export class OperatorView {
   constructor(private readonly options: OperatorViewOptions) {}
 
-  take(records: readonly KeyedRecord[]): void {
+  applyRecords(records: readonly KeyedRecord[]): void {
     for (const record of records) {
       try {
         this.adopt(this.options.decoder.decode(record));
@@ -63,10 +63,10 @@
       case undefined:
         return;
       case "config":
-        config.adopt(record.config);
+        config.applyIfNewer(record.config);
         return;
       case "evacuation":
-        zones.note(record.zone, record.isAsked);
+        zones.setEvacuated(record.zone, record.isEvacuated);
         return;
     }
   }
--- a/packages/state/src/RequestFold.ts
+++ b/packages/state/src/RequestFold.ts
@@ -3,43 +3,46 @@
 import type { RequestId, ServiceName } from "@rackspan/common";
 import { BoundedMap } from "./BoundedMap.js";
 import type { RecordOf } from "./records.js";
-import type { UnitRejection } from "./UnitFold.js";
+import type { Rejection } from "./UnitFold.js";
 
 /** Keys that are remembered; older ones are forgotten, the oldest first. */
-export const REQUEST_KEYS_KEPT = 50_000;
+export const MAX_REQUEST_KEYS = 50_000;
 
-export interface RecordedAnswer {
+export interface RecordedResponse {
   readonly status: number;
   readonly contentType?: string | undefined;
   /** Absent when the answer was too large to keep. */
   readonly body?: Uint8Array | undefined;
 }
 
-export interface KeyEntry {
+export interface RequestKeyEntry {
   readonly service: ServiceName;
   readonly key: string;
   readonly digest: string;
   /** The request that holds the key. */
   readonly request: RequestId;
   /** Absent while the outcome is not known. */
-  readonly answer?: RecordedAnswer | undefined;
+  readonly answer?: RecordedResponse | undefined;
 }
 
 export interface RequestSnapshot {
-  readonly keys: readonly KeyEntry[];
+  readonly keys: readonly RequestKeyEntry[];
 }
 
-export interface KeyName {
+export interface RequestKeyName {
   readonly service: ServiceName;
   readonly key: string;
 }
 
-const mapKey = ({ service, key }: KeyName): string => `${service}\n${key}`;
+const mapKey = ({ service, key }: RequestKeyName): string =>
+  `${service}\n${key}`;
 
 export class RequestFold {
-  private readonly keys = new BoundedMap<string, KeyEntry>(REQUEST_KEYS_KEPT);
+  private readonly keys = new BoundedMap<string, RequestKeyEntry>(
+    MAX_REQUEST_KEYS,
+  );
 
-  get(name: KeyName): KeyEntry | undefined {
+  get(name: RequestKeyName): RequestKeyEntry | undefined {
     return this.keys.get(mapKey(name));
   }
 
@@ -47,7 +50,7 @@
     return this.keys.size;
   }
 
-  claim(record: RecordOf<"requestClaim">): UnitRejection | undefined {
+  claim(record: RecordOf<"requestClaim">): Rejection | undefined {
     const holder = this.get(record);
     if (holder && holder.digest !== record.digest) {
       return {
@@ -63,7 +66,7 @@
     return undefined;
   }
 
-  outcome(record: RecordOf<"requestOutcome">): UnitRejection | undefined {
+  outcome(record: RecordOf<"requestOutcome">): Rejection | undefined {
     const holder = this.get(record);
     if (holder?.request !== record.request || holder.answer) {
       return { reason: "not-current", detail: "another request holds the key" };
@@ -74,7 +77,7 @@
     return undefined;
   }
 
-  release(record: RecordOf<"requestRelease">): UnitRejection | undefined {
+  release(record: RecordOf<"requestRelease">): Rejection | undefined {
     const holder = this.get(record);
     if (holder?.request !== record.request || holder.answer) {
       return { reason: "not-current", detail: "another request holds the key" };
--- a/packages/state/src/SnapshotWriter.ts
+++ b/packages/state/src/SnapshotWriter.ts
@@ -62,7 +62,7 @@
   private async writeIfDue(intervalMs: number): Promise<void> {
     const { follower, store, fold, clock, metrics, logger } = this.options;
     if (!follower.caughtUp) return;
-    const newest = await store.newest();
+    const newest = await store.newestCoveredOffset();
     const entries = follower.position - Math.max(0, newest);
     const old = clock.monotonic() - this.lastWriteAt >= intervalMs;
     if (entries < this.options.everyEntries && !(old && entries > 0)) return;
--- a/packages/state/src/TopicFollower.ts
+++ b/packages/state/src/TopicFollower.ts
@@ -34,7 +34,7 @@
    * Least time between two polls, milliseconds: each call has a price. Asked for
    * before each pause, since an entry that leads must hear of news sooner.
    */
-  readonly floorMs: () => number;
+  readonly minPollIntervalMs: () => number;
   /** Called with the records of one page, in order. */
   readonly onRecords: (records: readonly KeyedRecord[]) => void;
 }
@@ -76,7 +76,7 @@
   }
 
   /** When the store last answered a poll; -Infinity before. */
-  get heardAt(): Monotonic {
+  get lastAnswerAt(): Monotonic {
     return this.answeredAt;
   }
 
@@ -96,7 +96,7 @@
   }
 
   private async run(): Promise<void> {
-    const { clock, floorMs } = this.options;
+    const { clock, minPollIntervalMs: floorMs } = this.options;
     while (!this.abort.signal.aborted) {
       const began = clock.monotonic();
       const worked = await this.step();
@@ -136,7 +136,7 @@
     const askedAt = clock.monotonic();
     // What ended a poll before does not excuse a failure of this reading.
     this.pollAbort = new AbortController();
-    const page = await store.newest(topic);
+    const page = await store.readNewest(topic);
     this.noteUnreadable(page);
     this.handOn([...this.droppedSince(page), ...page.records]);
     this.next = page.next;
--- a/packages/state/src/StampedWriter.ts
+++ b/packages/state/src/TopicWriter.ts
@@ -40,7 +40,7 @@
   appendsPerEpoch: 2 ** 20,
 } as const;
 
-export interface StampedWriterOptions {
+export interface TopicWriterOptions {
   readonly topic: TopicName;
   readonly store: RecordStore;
   readonly clock: Clock;
@@ -48,9 +48,9 @@
   readonly producer: string;
   readonly epoch: number;
   /** Time for which records are gathered before they are sent, milliseconds. */
-  readonly gatherMs: number;
+  readonly batchWindowMs: number;
   /** Whether a batch that the store refused is sent again, or its writers told. */
-  readonly retriesRefused: boolean;
+  readonly retriesRefusedBatches: boolean;
 }
 
 interface QueuedRecord {
@@ -66,7 +66,7 @@
    * Rejects with StoreRefusedError when it is not and never will be kept, with
    * FencedError when another writer has taken over.
    */
-  readonly kept: Promise<number>;
+  readonly persisted: Promise<number>;
   /**
    * Gives up.
    * @returns whether the record was certainly not sent, and never will be
@@ -74,7 +74,7 @@
   readonly abandon: () => boolean;
 }
 
-export class StampedWriter {
+export class TopicWriter {
   private queue: QueuedRecord[] = [];
   private sequence = 1;
   /**
@@ -87,10 +87,10 @@
   private batchSentAt: Monotonic | undefined;
   private closed: Error | undefined;
 
-  constructor(private readonly options: StampedWriterOptions) {}
+  constructor(private readonly options: TopicWriterOptions) {}
 
   /** Since when a batch has been on its way; undefined when none is. */
-  get sendingSince(): Monotonic | undefined {
+  get inFlightSince(): Monotonic | undefined {
     return this.batchSentAt;
   }
 
@@ -106,7 +106,7 @@
       this.queue.push(queued);
     });
     void this.run();
-    return { kept, abandon: () => this.abandon(queued) };
+    return { persisted: kept, abandon: () => this.abandon(queued) };
   }
 
   /**
@@ -116,7 +116,7 @@
    *
    * @throws FencedError
    */
-  async fenceOthers(signal?: AbortSignal): Promise<void> {
+  async fenceLowerEpochs(signal?: AbortSignal): Promise<void> {
     await this.send([], signal);
     this.sequence = this.options.epoch * WRITER.appendsPerEpoch;
   }
@@ -140,9 +140,9 @@
 
   /** Whether the store has not answered for so long that callers should not wait. */
   private isStuck(): boolean {
-    const { retriesRefused, clock } = this.options;
-    if (retriesRefused || this.sendingSince === undefined) return false;
-    return clock.monotonic() - this.sendingSince > WRITER.stuckAfterMs;
+    const { retriesRefusedBatches: retriesRefused, clock } = this.options;
+    if (retriesRefused || this.inFlightSince === undefined) return false;
+    return clock.monotonic() - this.inFlightSince > WRITER.stuckAfterMs;
   }
 
   private stuckError(): StoreRefusedError {
@@ -168,7 +168,7 @@
   private async run(): Promise<void> {
     if (this.running) return;
     this.running = true;
-    const { clock, gatherMs } = this.options;
+    const { clock, batchWindowMs: gatherMs } = this.options;
     while (this.queue.length > 0) {
       if (gatherMs > 0) await sleep(clock, gatherMs);
       const batch = this.takeBatch();
@@ -206,7 +206,7 @@
     records: readonly KeyedRecord[],
     signal?: AbortSignal,
   ): Promise<number> {
-    const { clock, retriesRefused } = this.options;
+    const { clock, retriesRefusedBatches: retriesRefused } = this.options;
     let mayBeKept = false;
     let timeoutMs = this.firstTimeoutMs;
     for (;;) {
@@ -215,7 +215,7 @@
       try {
         return await this.appendOnce(records, timeoutMs);
       } catch (err) {
-        const wanted = err instanceof SequenceError ? err.wanted : Infinity;
+        const wanted = err instanceof SequenceError ? err.expected : Infinity;
         // The last number kept is below this batch's: no try of it was kept.
         if (wanted < this.sequence) mayBeKept = false;
         if (err instanceof SequenceError && !mayBeKept) {
--- a/packages/state/src/UnitFold.ts
+++ b/packages/state/src/UnitFold.ts
@@ -19,7 +19,7 @@
 import type { FinishKind, Unit, UnitSpec } from "./units.js";
 
 /** Finished jobs that can still be asked after; older ones are forgotten. */
-export const FINISHED_JOBS_KEPT = 20_000;
+export const MAX_FINISHED_JOBS = 20_000;
 
 /** A host up to a generation. */
 interface HostAt {
@@ -35,7 +35,7 @@
 }
 
 /** Nothing when the record was taken. */
-export type UnitRejection = {
+export type Rejection = {
   readonly reason: RejectReason;
   readonly detail: string;
 };
@@ -50,7 +50,7 @@
 export class UnitFold {
   private readonly units = new Map<UnitId, Unit>();
   private readonly finishedJobs = new BoundedMap<UnitId, Unit>(
-    FINISHED_JOBS_KEPT,
+    MAX_FINISHED_JOBS,
   );
   private readonly endedHosts = new Map<HostId, HostGeneration>();
   private readonly drainingHosts = new Map<HostId, HostGeneration>();
@@ -63,12 +63,12 @@
   }
 
   /** All units that are not finished. */
-  live(): IterableIterator<Unit> {
+  unfinishedUnits(): IterableIterator<Unit> {
     return this.units.values();
   }
 
   /** Units whose next attempt nobody holds. */
-  open(): readonly Unit[] {
+  openUnits(): readonly Unit[] {
     return [...this.openIds].map((id) => this.units.get(id) as Unit);
   }
 
@@ -83,12 +83,12 @@
     return [...ids].map((id) => this.units.get(id) as Unit);
   }
 
-  get liveCount(): number {
+  get unfinishedCount(): number {
     return this.units.size;
   }
 
   /** All finished jobs that are still kept, oldest first. */
-  finished(): readonly Unit[] {
+  finishedUnits(): readonly Unit[] {
     return [...this.finishedJobs].map(([, unit]) => unit);
   }
 
@@ -102,7 +102,7 @@
   }
 
   /** Creates the unit, or gives it a new spec for its next attempt. */
-  want(id: UnitId, spec: UnitSpec, at: Sequence): void {
+  upsert(id: UnitId, spec: UnitSpec, at: Sequence): void {
     const unit = this.units.get(id);
     if (!unit) {
       const fresh = { id, spec, specVersion: at, wanted: true, failures: 0 };
@@ -113,7 +113,7 @@
   }
 
   /** The unit is not to run any more. */
-  unwant(id: UnitId): void {
+  retire(id: UnitId): void {
     const unit = this.units.get(id);
     if (!unit) return;
     if (unit.phase === "claimed") this.put({ ...unit, wanted: false });
@@ -125,7 +125,7 @@
     spec: UnitSpec,
     at: Sequence,
     quota: QuotaDeclaration | undefined,
-  ): UnitRejection | undefined {
+  ): Rejection | undefined {
     const existing = this.get(id);
     if (existing)
       return { reason: "exists", detail: `${id} was submitted before` };
@@ -134,7 +134,7 @@
       const detail = `team ${spec.team} has ${jobs} jobs, its quota is ${quota.maxJobs}`;
       return { reason: "quota", detail };
     }
-    this.want(id, spec, at);
+    this.upsert(id, spec, at);
     return undefined;
   }
 
@@ -142,7 +142,7 @@
     record: RecordOf<"claim">,
     at: Sequence,
     quota: QuotaDeclaration | undefined,
-  ): UnitRejection | undefined {
+  ): Rejection | undefined {
     const unit = this.units.get(record.unit);
     if (!unit)
       return { reason: "unknown-unit", detail: `no unit ${record.unit}` };
@@ -168,7 +168,7 @@
     return undefined;
   }
 
-  ended(record: RecordOf<"ended">): UnitRejection | undefined {
+  ended(record: RecordOf<"ended">): Rejection | undefined {
     const unit = this.units.get(record.unit);
     if (!unit)
       return { reason: "unknown-unit", detail: `no unit ${record.unit}` };
@@ -187,7 +187,7 @@
   hostEnded({
     host,
     generation,
-  }: RecordOf<"hostEnded">): UnitRejection | undefined {
+  }: RecordOf<"hostEnded">): Rejection | undefined {
     if (generation <= this.endedGeneration(host)) {
       return { reason: "repeated", detail: `${host} has ended already` };
     }
@@ -207,7 +207,7 @@
   hostDraining({
     host,
     generation,
-  }: RecordOf<"hostDraining">): UnitRejection | undefined {
+  }: RecordOf<"hostDraining">): Rejection | undefined {
     if (generation <= this.drainingGeneration(host)) {
       return { reason: "repeated", detail: `${host} is leaving already` };
     }
@@ -218,7 +218,7 @@
   toSnapshot(): UnitSnapshot {
     return {
       units: [...this.units.values()],
-      finished: this.finished(),
+      finished: this.finishedUnits(),
       endedHosts: toList(this.endedHosts),
       drainingHosts: toList(this.drainingHosts),
     };
--- a/packages/state/src/replicasInPlace.ts
+++ b/packages/state/src/allReplicasClaimed.ts
@@ -7,7 +7,7 @@
 const REPLICA_UNIT = /^(service|worker)\/(.+)\/(\d+)$/;
 
 /** True when every replica of the unit's declaration holds a claim. */
-export const replicasInPlace = (fold: Fold, unit: Unit): boolean => {
+export const allReplicasClaimed = (fold: Fold, unit: Unit): boolean => {
   const [, kind, name] = REPLICA_UNIT.exec(unit.id) ?? [];
   if ((kind !== "service" && kind !== "worker") || !name) return false;
   const declaration = fold.config.get(kind, name);
--- a/packages/state/src/errors.ts
+++ b/packages/state/src/errors.ts
@@ -26,7 +26,7 @@
 }
 
 /** Neither the log, a snapshot nor a peer has the state any more. */
-export class PastLostError extends RackspanError {
+export class HistoryLostError extends RackspanError {
   readonly kind = "past-lost";
   constructor(what: string, cause?: unknown) {
     super({
--- a/packages/state/src/jobLimits.ts
+++ b/packages/state/src/jobLimits.ts
@@ -4,9 +4,9 @@
 
 export const JOB_LIMITS = {
   steps: 100,
-  tasksOfStep: 5_000,
+  tasksPerStep: 5_000,
   /** What one leader can hold beside all other jobs: some 10 MB. */
-  tasksOfJob: 20_000,
+  tasksPerJob: 20_000,
   repeats: 10_000,
 } as const;
 
@@ -15,7 +15,7 @@
 ): number => steps.reduce((sum, { taskCount }) => sum + taskCount, 0);
 
 /** Whether each step waits for earlier ones only; else it would wait for ever. */
-export const waitsForEarlier = (
+export const dependsOnEarlierSteps = (
   steps: readonly Pick<StepSpec, "after">[],
 ): boolean =>
   steps.every(({ after }, number) => after.every((before) => before < number));
--- a/packages/state/src/jobModel.ts
+++ b/packages/state/src/jobModel.ts
@@ -93,7 +93,7 @@
   readonly version: number;
   readonly queues: readonly QueueSpec[];
   /** Services whose hosts guard themselves against too many tasks. */
-  readonly guardedServices: ReadonlySet<ServiceName>;
+  readonly overloadRejectingServices: ReadonlySet<ServiceName>;
   readonly maxBodyBytes: number;
 }
 
@@ -106,7 +106,7 @@
 ] as const;
 export type JobStateName = (typeof JOB_STATES)[number];
 
-export const isFinal = (state: JobStateName): boolean =>
+export const isFinalState = (state: JobStateName): boolean =>
   state === "completed" || state === "failed" || state === "cancelled";
 
 export const queueKeyOf = (hostName: string, pathPrefix: string): QueueKey =>
--- a/packages/state/src/jobRecords.ts
+++ b/packages/state/src/jobRecords.ts
@@ -7,7 +7,7 @@
   type ServiceName,
 } from "@rackspan/common";
 import type { TopicName } from "@rackspan/ports";
-import { countTasks, JOB_LIMITS, waitsForEarlier } from "./jobLimits.js";
+import { countTasks, JOB_LIMITS, dependsOnEarlierSteps } from "./jobLimits.js";
 import {
   JOB_STATES,
   type ImageName,
@@ -28,7 +28,7 @@
   /** Key: host name. Written by the leader before it first grants a lease there. */
   hosts: "hosts" as TopicName,
   /** Key: see learntKeyOf. Written by the leader, read by the next one. */
-  learnt: "learnt" as TopicName,
+  learned: "learnt" as TopicName,
   /** Key `config`: written by the operator. */
   config: "config" as TopicName,
   /** Never written: its only partition stands for leadership. */
@@ -47,7 +47,7 @@
 }
 
 const stepSchema = z.object({
-  taskCount: z.number().int().positive().max(JOB_LIMITS.tasksOfStep),
+  taskCount: z.number().int().positive().max(JOB_LIMITS.tasksPerStep),
   demand: z.object({
     milliCores: z.number().nonnegative(),
     memoryMiB: z.number().nonnegative(),
@@ -79,9 +79,9 @@
     .array(stepSchema)
     .min(1)
     .max(JOB_LIMITS.steps)
-    .refine(waitsForEarlier, "a step waits for one that is not earlier")
+    .refine(dependsOnEarlierSteps, "a step waits for one that is not earlier")
     .refine(
-      (steps) => countTasks(steps) <= JOB_LIMITS.tasksOfJob,
+      (steps) => countTasks(steps) <= JOB_LIMITS.tasksPerJob,
       "too many tasks",
     ),
   repeat: z
@@ -185,7 +185,7 @@
   if (!INDEX_LIST.test(text)) return false;
   const sizes = parseRanges(text).map(([first, last]) => last - first + 1);
   const count = sizes.reduce((sum, size) => sum + size, 0);
-  return count <= JOB_LIMITS.tasksOfStep && sizes.every((size) => size > 0);
+  return count <= JOB_LIMITS.tasksPerStep && sizes.every((size) => size > 0);
 };
 
 /** Evidence that leaders of earlier versions know: they read no record that has another. */
--- a/packages/state/src/learntRecords.ts
+++ b/packages/state/src/learnedRecords.ts
@@ -46,21 +46,23 @@
   estimatesSchema,
 ]);
 
-export type LearntTail = z.output<typeof tailSchema>;
-export type LearntEstimates = z.output<typeof estimatesSchema>;
-export type LearntRecord = z.output<typeof learntSchema>;
+export type LearnedTail = z.output<typeof tailSchema>;
+export type LearnedEstimates = z.output<typeof estimatesSchema>;
+export type LearnedRecord = z.output<typeof learntSchema>;
 
 /** The key under which a record is kept; one for each serving image. */
-export const learntKeyOf = (record: LearntRecord): string =>
+export const learnedKeyOf = (record: LearnedRecord): string =>
   record.kind === "tail" ? `tail:${record.serving}` : record.kind;
 
-export const encodeLearnt = (record: LearntRecord): Buffer =>
+export const encodeLearned = (record: LearnedRecord): Buffer =>
   Buffer.from(JSON.stringify(record));
 
 /** @throws BadRecordError */
-export const decodeLearnt = (key: string, value: Buffer): LearntRecord =>
-  parseRecord(TOPICS.learnt, key, value, learntSchema);
+export const decodeLearned = (key: string, value: Buffer): LearnedRecord =>
+  parseRecord(TOPICS.learned, key, value, learntSchema);
 
 /** Milliseconds since the record was written; clocks of hosts may disagree. */
-export const ageOf = (record: LearntRecord, now: Instant): number =>
-  Math.max(0, now - record.writtenAt);
+export const learnedRecordAgeMs = (
+  record: LearnedRecord,
+  now: Instant,
+): number => Math.max(0, now - record.writtenAt);
--- a/packages/state/src/records.ts
+++ b/packages/state/src/records.ts
@@ -139,7 +139,7 @@
 >;
 
 /** The fold's verdict on a record. */
-export type Verdict =
+export type ApplyResult =
   | { readonly accepted: true; readonly sequence: Sequence }
   | {
       readonly accepted: false;
--- a/packages/state/src/snapshots.ts
+++ b/packages/state/src/snapshots.ts
@@ -45,7 +45,7 @@
   createHash("sha256").update(bytes).digest("base64");
 
 /** Bytes of a snapshot, as peers hand them to each other. */
-export const packSnapshot = ({ covered, state }: Snapshot): Buffer =>
+export const encodeSnapshot = ({ covered, state }: Snapshot): Buffer =>
   deflateSync(
     encode({ v: SNAPSHOT_VERSION, covered, state }, { ignoreUndefined: true }),
   );
@@ -57,7 +57,7 @@
 });
 
 /** @throws when the bytes are not a snapshot of this version */
-export const unpackSnapshot = (bytes: Uint8Array): Snapshot =>
+export const decodeSnapshot = (bytes: Uint8Array): Snapshot =>
   packedSchema.parse(decode(inflateSync(bytes)));
 
 const encodePart = (part: Part): Buffer => Buffer.from(encode(part));
@@ -83,7 +83,7 @@
    * @throws LogUnavailableError or LogAnswerLostError; a snapshot that is not whole is never used
    */
   async write(snapshot: Snapshot): Promise<void> {
-    const bytes = packSnapshot(snapshot);
+    const bytes = encodeSnapshot(snapshot);
     const id = freshId<SnapshotId>();
     const digest = digestOf(bytes);
     const parts = Math.ceil(bytes.length / PART_BYTES);
@@ -105,7 +105,7 @@
   }
 
   /** Offset that the newest whole snapshot covers; -1 for none. */
-  async newest(): Promise<number> {
+  async newestCoveredOffset(): Promise<number> {
     await this.readOn();
     return this.newestCovered;
   }
@@ -116,7 +116,7 @@
     for (const parts of this.partsById.values()) {
       if (parts[0]?.covered !== this.newestCovered) continue;
       const bytes = joinParts(parts);
-      if (bytes) return unpackSnapshot(bytes);
+      if (bytes) return decodeSnapshot(bytes);
     }
     return undefined;
   }
--- a/packages/state/src/units.ts
+++ b/packages/state/src/units.ts
@@ -102,5 +102,5 @@
 ): UnitId => unitId(`${kind}/${name}/${replica}`);
 
 /** `service/roll-call/3` belongs to `service/roll-call/`; each job is by itself. */
-export const familyOf = ({ id, spec }: Unit): string =>
+export const replicaGroupOf = ({ id, spec }: Unit): string =>
   spec.kind === "job" ? id : id.slice(0, id.lastIndexOf("/") + 1);
--- a/packages/state/src/updateUnits.ts
+++ b/packages/state/src/updateUnits.ts
@@ -38,7 +38,7 @@
   for (let replica = 0; replica < replicas; replica += 1) {
     const id = replicaUnitId(kind, name, replica);
     if (keep && units.get(id)?.wanted) continue;
-    units.want(id, spec, at);
+    units.upsert(id, spec, at);
   }
   removeReplicas(units, declaration, replicas, replicasOf(before));
 };
@@ -50,7 +50,7 @@
   to: number,
 ): void => {
   for (let replica = from; replica < to; replica += 1) {
-    units.unwant(replicaUnitId(kind, name, replica));
+    units.retire(replicaUnitId(kind, name, replica));
   }
 };
 
@@ -62,7 +62,7 @@
   at: Sequence,
 ): void => {
   if (change.action === "remove") {
-    if (before?.kind === "job") units.unwant(jobUnitId(before.name));
+    if (before?.kind === "job") units.retire(jobUnitId(before.name));
     if (before?.kind === "service" || before?.kind === "worker") {
       removeReplicas(units, before, 0, before.replicas);
     }
@@ -77,7 +77,7 @@
     case "job":
       // A job that ran before is not run again by applying its file again.
       if (!units.get(jobUnitId(declaration.name))) {
-        units.want(jobUnitId(declaration.name), jobSpec(declaration), at);
+        units.upsert(jobUnitId(declaration.name), jobSpec(declaration), at);
       }
       return;
     case "policy":
--- a/packages/state/tests/appender.test.ts
+++ b/packages/state/tests/appender.test.ts
@@ -25,7 +25,7 @@
   declarationSchema,
   Fold,
   LogFollower,
-  PastLostError,
+  HistoryLostError,
   SnapshotStore,
   type LogRecord,
   type Snapshot,
@@ -114,7 +114,7 @@
     appendsPerSecond: 20,
     maxQueued: 5,
   });
-  const peers = { fetch: async () => peer?.() };
+  const peers = { fetchNewest: async () => peer?.() };
   const follower = new LogFollower({
     ...shared,
     snapshots: new SnapshotStore(log),
@@ -184,9 +184,9 @@
   const next = settled(process.appender.submit(submit("b"), 60_000));
   await process.pass(20_000);
   expect(await next).toLooseEqual({ accepted: true, sequence: 1 });
-  expect([...process.fold.units.live()].map(({ id }) => String(id))).toEqual([
-    "job/b",
-  ]);
+  expect(
+    [...process.fold.units.unfinishedUnits()].map(({ id }) => String(id)),
+  ).toEqual(["job/b"]);
   process.stop();
 });
 
@@ -200,9 +200,9 @@
   await process.pass(30_000);
   expect(await impatient).toBeA(AppendRefusedError);
   expect(await patient).toLooseEqual({ accepted: true, sequence: 1 });
-  expect([...process.fold.units.live()].map(({ id }) => String(id))).toEqual([
-    "job/b",
-  ]);
+  expect(
+    [...process.fold.units.unfinishedUnits()].map(({ id }) => String(id)),
+  ).toEqual(["job/b"]);
   process.stop();
 });
 
@@ -222,7 +222,7 @@
   expect(await unknown).toBeA(AppendUnknownError);
   release();
   await process.pass(500);
-  expect(process.fold.units.liveCount).toEqual(1);
+  expect(process.fold.units.unfinishedCount).toEqual(1);
   process.stop();
 });
 
@@ -238,7 +238,7 @@
   expect(await unknown).toBeA(AppendUnknownError);
   log.readsDown = false;
   await process.pass(5_000);
-  expect(process.fold.units.liveCount).toEqual(1);
+  expect(process.fold.units.unfinishedCount).toEqual(1);
   process.stop();
 });
 
@@ -284,9 +284,9 @@
   second.start();
   await second.pass(300);
   expect(second.follower.fault).toEqual(undefined);
-  expect([...second.fold.units.live()].map(({ id }) => String(id))).toEqual([
-    "job/old",
-  ]);
+  expect(
+    [...second.fold.units.unfinishedUnits()].map(({ id }) => String(id)),
+  ).toEqual(["job/old"]);
   second.stop();
 });
 
@@ -303,7 +303,7 @@
   await second.pass(300);
   expect([
     Number(second.follower.position),
-    second.fold.units.liveCount,
+    second.fold.units.unfinishedCount,
   ]).toEqual([1, 1]);
   second.stop();
 });
@@ -315,7 +315,7 @@
   const second = createProcess(log);
   second.start();
   await second.pass(300);
-  expect(second.follower.fault).toBeA(PastLostError);
+  expect(second.follower.fault).toBeA(HistoryLostError);
   expect(second.follower.caughtUp).toEqual(false);
   second.stop();
 });
--- a/packages/state/tests/fold.test.ts
+++ b/packages/state/tests/fold.test.ts
@@ -158,7 +158,7 @@
   fold.apply(apply(service(3), 0));
   fold.apply(claim("service/bays/0"));
   fold.apply(apply(service(1, "endpoint-2"), 1));
-  expect([...fold.units.live()].map(({ id }) => id)).toEqual([
+  expect([...fold.units.unfinishedUnits()].map(({ id }) => id)).toEqual([
     unitId("service/bays/0"),
   ]);
   const unit = fold.units.get(unitId("service/bays/0"));
--- a/packages/state/tests/followerBehind.test.ts
+++ b/packages/state/tests/followerBehind.test.ts
@@ -25,7 +25,7 @@
     store: memory,
     clock,
     logger: silentLogger,
-    floorMs: () => 20,
+    minPollIntervalMs: () => 20,
     onRecords: (records) => known.push(...records.map(({ key }) => key)),
   });
   follower.start();
@@ -53,12 +53,12 @@
 /** A store that is asked for all keys, and turns the asker away. */
 const turnsAway = (clock: ManualClock) => {
   let calls = 0;
-  const newest = async (): Promise<never> => {
+  const readNewest = async (): Promise<never> => {
     calls += 1;
     await new Promise<void>((resolve) => clock.after(1, resolve));
     throw new StoreRefusedError("too many calls");
   };
-  const store = { newest } as unknown as RecordStore;
+  const store = { readNewest } as unknown as RecordStore;
   return { store, calls: () => calls };
 };
 
@@ -71,7 +71,7 @@
     store,
     clock,
     logger: silentLogger,
-    floorMs: () => 20,
+    minPollIntervalMs: () => 20,
     onRecords: () => undefined,
   });
   follower.start();
--- a/packages/state/tests/otherWriters.test.ts
+++ b/packages/state/tests/foreignRecords.test.ts
@@ -12,7 +12,7 @@
 } from "@rackspan/common";
 import {
   decodeIndices,
-  decodeLearnt,
+  decodeLearned,
   decodeProgress,
   encodeCancel,
   encodeHost,
@@ -42,9 +42,9 @@
 const viewOfOneJob = (): JobView => {
   const view = createView();
   const job = plainJob({ id: JOB, acceptedAt: 0, steps: [{ taskCount: 9 }] });
-  view.takeJobs([{ key: JOB, value: encodeJob(job) }]);
-  view.takeProgress([{ key: JOB, value: encodeProgress(PROGRESS) }]);
-  view.takeHosts([{ key: HOST, value: encodeHost(LIFE) }]);
+  view.applyJobRecords([{ key: JOB, value: encodeJob(job) }]);
+  view.applyProgressRecords([{ key: JOB, value: encodeProgress(PROGRESS) }]);
+  view.applyHostRecords([{ key: HOST, value: encodeHost(LIFE) }]);
   return view;
 };
 
@@ -67,10 +67,10 @@
   fc.assert(
     fc.property(keys, foreign, (key, value) => {
       const records = [{ key, value }];
-      view.takeJobs(records);
-      view.takeCancels(records);
-      view.takeProgress(records);
-      view.takeHosts(records);
+      view.applyJobRecords(records);
+      view.applyCancelRecords(records);
+      view.applyProgressRecords(records);
+      view.applyHostRecords(records);
       expect(view.all().length).toEqual(1);
       expect(JSON.stringify([view.get(JOB), ...view.roster])).toEqual(before);
     }),
@@ -80,15 +80,15 @@
 
 test("a cancel that can be read still cancels, beside one that cannot", () => {
   const view = viewOfOneJob();
-  view.takeCancels([{ key: JOB, value: Buffer.from("{}") }]);
+  view.applyCancelRecords([{ key: JOB, value: Buffer.from("{}") }]);
   expect(view.stateOf(JOB)).toEqual("running");
-  view.takeCancels([{ key: JOB, value: encodeCancel(5) }]);
+  view.applyCancelRecords([{ key: JOB, value: encodeCancel(5) }]);
   expect(view.stateOf(JOB)).toEqual("cancelled");
 });
 
 test("a host that an earlier version listed is waited for, whatever its life", () => {
   const view = createView();
-  view.takeHosts([{ key: HOST, value: Buffer.from("{}") }]);
+  view.applyHostRecords([{ key: HOST, value: Buffer.from("{}") }]);
   expect([...view.roster]).toEqual([[HOST, undefined]]);
 });
 
@@ -120,7 +120,7 @@
   for (const [at, step] of sizes.entries()) {
     const id = `job-${at}`;
     const job = plainJob({ id, acceptedAt: 0, steps: [step] });
-    view.takeJobs([{ key: id, value: encodeJob(job) }]);
+    view.applyJobRecords([{ key: id, value: encodeJob(job) }]);
   }
   expect(view.all()).toEqual([]);
 });
@@ -128,5 +128,5 @@
 test("what was learnt beyond any measurement is not read", () => {
   const record = { kind: "estimates", writtenAt: 0, corrections: [["q", 800]] };
   const value = Buffer.from(JSON.stringify(record));
-  expect(() => decodeLearnt("estimates", value)).toThrow();
+  expect(() => decodeLearned("estimates", value)).toThrow();
 });
--- a/packages/state/tests/operatorView.test.ts
+++ b/packages/state/tests/operatorView.test.ts
@@ -32,7 +32,7 @@
 const decode = ({ key, value }: KeyedRecord): OperatorRecord | undefined => {
   if (key === "?") throw new Error("nonsense");
   const zone = brand<AvailabilityZone>(key);
-  return { kind: "evacuation", zone, isAsked: value !== undefined };
+  return { kind: "evacuation", zone, isEvacuated: value !== undefined };
 };
 
 const setUp = () => {
@@ -54,9 +54,9 @@
 
 test("a zone is evacuated until its record is taken away, each told once", () => {
   const { view, zones, changes, lines } = setUp();
-  view.take([asked(A), asked(A), asked(B)]);
+  view.applyRecords([asked(A), asked(A), asked(B)]);
   expect([zones.has(A), zones.has(B)]).toEqual([true, true]);
-  view.take([takenBack(A), takenBack(A)]);
+  view.applyRecords([takenBack(A), takenBack(A)]);
   expect([zones.has(A), zones.has(B)]).toEqual([false, true]);
   expect(changes).toEqual([A, B, A]);
   expect(lines).toEqual([
@@ -68,7 +68,7 @@
 
 test("a record that cannot be read leaves those beside it standing", () => {
   const { view, zones, lines } = setUp();
-  view.take([asked("?"), asked(A)]);
+  view.applyRecords([asked("?"), asked(A)]);
   expect(zones.has(A)).toEqual(true);
   expect(lines).toEqual(["operator.unreadable", "zone.evacuated"]);
 });
@@ -79,7 +79,7 @@
   let isForgetful = false;
   const forgetful: RecordStore = {
     append: (req) => store.append(req),
-    newest: (topic) => store.newest(topic),
+    readNewest: (topic) => store.readNewest(topic),
     read: async (req) => {
       const answer = await store.read(req);
       if (!isForgetful) return answer;
@@ -92,8 +92,8 @@
     store: forgetful,
     clock,
     logger: silentLogger,
-    floorMs: () => 20,
-    onRecords: (records) => view.take(records),
+    minPollIntervalMs: () => 20,
+    onRecords: (records) => view.applyRecords(records),
   });
   let sequence = 0;
   const write = (records: readonly KeyedRecord[]): Promise<number> =>
--- a/packages/state/tests/slowStore.test.ts
+++ b/packages/state/tests/slowStore.test.ts
@@ -5,7 +5,7 @@
 import { ManualClock, silentLogger, sleep } from "@rackspan/common";
 import { StoreAnswerLostError, type AppendRequest } from "@rackspan/ports";
 import { MemoryStore } from "@rackspan/standins";
-import { StampedWriter, TOPICS } from "@rackspan/state";
+import { TopicWriter, TOPICS } from "@rackspan/state";
 
 const RECORDS = 10;
 
@@ -42,15 +42,15 @@
   const clock = new ManualClock();
   const memory = new MemoryStore(clock);
   const store = new SlowStore(clock, memory);
-  const writer = new StampedWriter({
+  const writer = new TopicWriter({
     topic: TOPICS.jobs,
     store: store as unknown as MemoryStore,
     clock,
     logger: silentLogger,
     producer: "p",
     epoch: 1,
-    gatherMs: 0,
-    retriesRefused: true,
+    batchWindowMs: 0,
+    retriesRefusedBatches: true,
   });
   /** Writes one record after the other; @returns milliseconds taken. */
   const writeAll = async (count: number): Promise<number> => {
@@ -59,7 +59,7 @@
     let isDone = false;
     const all = (async () => {
       for (let n = 0; n < count; n += 1) {
-        await writer.write({ key: `${n}`, value: Buffer.from("v") }).kept;
+        await writer.write({ key: `${n}`, value: Buffer.from("v") }).persisted;
       }
       endedAt = clock.monotonic();
       isDone = true;
--- a/packages/state/tests/topicFollower.test.ts
+++ b/packages/state/tests/topicFollower.test.ts
@@ -28,7 +28,8 @@
     return this.store.read(req);
   };
 
-  newest = (topic: TopicName): Promise<RecordPage> => this.store.newest(topic);
+  readNewest = (topic: TopicName): Promise<RecordPage> =>
+    this.store.readNewest(topic);
 
   append = (): never => {
     throw new Error("not used");
@@ -56,7 +57,7 @@
     store: store as unknown as RecordStore,
     clock,
     logger: silentLogger,
-    floorMs: () => 20,
+    minPollIntervalMs: () => 20,
     onRecords: (records) => {
       for (const { key, value } of records) {
         if (value) known.set(key, value.toString());
@@ -102,7 +103,7 @@
   await write("dropped", Buffer.from("1"));
   follower.start();
   await clock.advance(50);
-  store.newest = async () => ({
+  store.readNewest = async () => ({
     records: [],
     next: 5,
     unreadable: 1,
--- a/packages/state/tests/stampedWriter.test.ts
+++ b/packages/state/tests/topicWriter.test.ts
@@ -3,7 +3,7 @@
 import { ManualClock, silentLogger } from "@rackspan/common";
 import { FencedError, StoreRefusedError } from "@rackspan/ports";
 import { MemoryStore } from "@rackspan/standins";
-import { StampedWriter, TOPICS } from "@rackspan/state";
+import { TopicWriter, TOPICS } from "@rackspan/state";
 
 const record = (key: string) => ({ key, value: Buffer.from(key) });
 
@@ -11,15 +11,15 @@
   const clock = new ManualClock();
   const store = new MemoryStore(clock);
   const writerOf = (of: number) =>
-    new StampedWriter({
+    new TopicWriter({
       topic: TOPICS.jobs,
       store,
       clock,
       logger: silentLogger,
       producer: "p",
       epoch: of,
-      gatherMs: 2,
-      retriesRefused,
+      batchWindowMs: 2,
+      retriesRefusedBatches: retriesRefused,
     });
   const keys = () => store.recordsOf(TOPICS.jobs).map(({ key }) => key);
   return { clock, store, writer: writerOf(epoch), writerOf, keys };
@@ -27,7 +27,9 @@
 
 test("records written together go out as one append", async () => {
   const { clock, store, writer, keys } = setUp();
-  const writes = ["a", "b", "c"].map((key) => writer.write(record(key)).kept);
+  const writes = ["a", "b", "c"].map(
+    (key) => writer.write(record(key)).persisted,
+  );
   await clock.advance(10);
   await Promise.all(writes);
   expect(store.appends).toEqual(1);
@@ -37,7 +39,7 @@
 test("a batch whose answer was lost is kept once", async () => {
   const { clock, store, writer, keys } = setUp();
   store.fault = "loses-answers";
-  const { kept } = writer.write(record("a"));
+  const { persisted: kept } = writer.write(record("a"));
   await clock.advance(1_200);
   store.fault = "none";
   await clock.advance(1_000);
@@ -48,12 +50,12 @@
 test("a refused record is told to its writer and never kept", async () => {
   const { clock, store, writer, keys } = setUp();
   store.fault = "refuses";
-  const { kept } = writer.write(record("a"));
+  const { persisted: kept } = writer.write(record("a"));
   const refusal = expect(kept).toBeRejectedWith(StoreRefusedError);
   await clock.advance(100);
   await refusal;
   store.fault = "none";
-  const second = writer.write(record("b")).kept;
+  const second = writer.write(record("b")).persisted;
   await clock.advance(100);
   await second;
   expect(keys()).toEqual(["b"]);
@@ -65,27 +67,27 @@
   const first = writer.write(record("sent"));
   await clock.advance(1_500);
   const waiting = writer.write(record("waiting"));
-  await expect(waiting.kept).toBeRejectedWith(StoreRefusedError);
+  await expect(waiting.persisted).toBeRejectedWith(StoreRefusedError);
   expect(first.abandon()).toEqual(false);
   store.fault = "none";
   await clock.advance(3_000);
-  await first.kept;
+  await first.persisted;
   expect(keys()).toEqual(["sent"]);
 });
 
 test("a writer of a lower epoch writes nothing once a higher one has fenced it off", async () => {
   const { clock, writer, writerOf, keys } = setUp({ retriesRefused: true });
-  const first = writer.write(record("a")).kept;
+  const first = writer.write(record("a")).persisted;
   await clock.advance(10);
   await first;
   const next = writerOf(2);
-  await next.fenceOthers();
-  const late = expect(writer.write(record("late")).kept).toBeRejectedWith(
+  await next.fenceLowerEpochs();
+  const late = expect(writer.write(record("late")).persisted).toBeRejectedWith(
     FencedError,
   );
   await clock.advance(10);
   await late;
-  const second = next.write(record("b")).kept;
+  const second = next.write(record("b")).persisted;
   await clock.advance(10);
   await second;
   expect(keys()).toEqual(["a", "b"]);
@@ -96,15 +98,15 @@
   for (const former of [1, 3, 5, 7]) {
     const { clock, writer, writerOf, keys } = setUp({ retriesRefused: true });
     const wanted: string[] = [];
-    const keep = async (by: StampedWriter, key: string): Promise<void> => {
+    const keep = async (by: TopicWriter, key: string): Promise<void> => {
       wanted.push(key);
-      const { kept } = by.write(record(key));
+      const { persisted: kept } = by.write(record(key));
       await clock.advance(100);
       await kept;
     };
     for (let at = 0; at < former; at += 1) await keep(writer, `former-${at}`);
     const next = writerOf(2);
-    await next.fenceOthers();
+    await next.fenceLowerEpochs();
     for (let at = 0; at < 7; at += 1) await keep(next, `next-${at}`);
     expect(keys()).toEqual(wanted);
   }
@@ -116,13 +118,13 @@
   const { clock, store, writer, writerOf, keys } = setUp({
     retriesRefused: true,
   });
-  const first = writer.write(record("former")).kept;
+  const first = writer.write(record("former")).persisted;
   await clock.advance(100);
   await first;
   const next = writerOf(2);
-  await next.fenceOthers();
+  await next.fenceLowerEpochs();
   store.fault = "silent";
-  const { kept } = next.write(record("next"));
+  const { persisted: kept } = next.write(record("next"));
   await clock.advance(1_000);
   store.fault = "none";
   await clock.advance(1_000);
--- a/scripts/src/demo.ts
+++ b/scripts/src/demo.ts
@@ -44,7 +44,7 @@
 
 const unitsAreUp = (site: Site): boolean =>
   [...site.entries.values()].every(({ fold }) =>
-    [...fold.units.live()].every(
+    [...fold.units.unfinishedUnits()].every(
       ({ phase, spec }) => phase === "claimed" || spec.kind === "job",
     ),
   );
@@ -61,7 +61,7 @@
 
 const jobsAreFinished = (site: Site): boolean =>
   [...site.entries.values()].every(({ fold }) =>
-    [...fold.units.live()].every(({ spec }) => spec.kind !== "job"),
+    [...fold.units.unfinishedUnits()].every(({ spec }) => spec.kind !== "job"),
   );
 
 /** The side that one of the watches is on, for a planned stop. */
--- a/scripts/src/demoSummary.ts
+++ b/scripts/src/demoSummary.ts
@@ -53,7 +53,7 @@
 ): DemoSummary => {
   const { tasks, requests } = site.platform;
   const [entry] = site.entries.values();
-  const jobs = (entry?.fold.units.finished() ?? []).filter(({ id }) =>
+  const jobs = (entry?.fold.units.finishedUnits() ?? []).filter(({ id }) =>
     id.includes("-demo-"),
   );
   const done = jobs.filter(({ finish }) => finish === "succeeded");
