--- a/packages/checker/src/SideNode.ts
+++ b/packages/checker/src/SideNode.ts
@@ -15,8 +15,8 @@
   createSideHandlers,
   RequestFences,
   sideSettingsSchema,
-  StatusBoard,
-  TaskHolder,
+  StatusPublisher,
+  TaskSupervisor,
 } from "@rackspan/side";
 import { ProcessClock } from "./ProcessClock.js";
 
@@ -34,9 +34,9 @@
   readonly clock: ProcessClock;
   readonly incarnation = freshId<Incarnation>();
   readonly fences: RequestFences;
-  readonly board: StatusBoard;
+  readonly board: StatusPublisher;
   readonly handlers: Handlers<SideMethods>;
-  readonly tasks: TaskHolder;
+  readonly tasks: TaskSupervisor;
   private readonly stop = new AbortController();
 
   constructor(options: SideNodeOptions) {
@@ -66,7 +66,7 @@
       reservationTtlMs,
       expireReservations,
     });
-    this.tasks = new TaskHolder({
+    this.tasks = new TaskSupervisor({
       ...shared,
       worker,
       commitments,
@@ -76,7 +76,7 @@
     const gate = new AdmissionGate({ clock, ...settings.admission });
     this.fences = new RequestFences(clock, 1_000);
     const { tasks, fences } = this;
-    this.board = new StatusBoard({
+    this.board = new StatusPublisher({
       settings,
       incarnation,
       tasks,
@@ -90,7 +90,7 @@
       tasks,
       commitments,
       fences,
-      board: this.board,
+      statusPublisher: this.board,
     });
   }
 
@@ -98,7 +98,7 @@
     const { signal } = this.stop;
     this.tasks
       .adopt(signal)
-      .then(() => this.tasks.run(signal))
+      .then(() => this.tasks.renewLeases(signal))
       .catch(() => undefined);
   }
 
--- a/packages/checker/src/jobs/HostModel.ts
+++ b/packages/checker/src/jobs/HostModel.ts
@@ -162,7 +162,7 @@
     const { clock, worker } = this.options;
     const { instance } = worker;
     if (!worker.isUp) return;
-    this.side.registry.noteGone(instance, "it said that it leaves");
+    this.side.registry.recordGone(instance, "it said that it leaves");
     clock.after(lingerMs, () => {
       if (worker.instance === instance && worker.isUp) worker.crash();
     });
@@ -193,7 +193,7 @@
       unattendedLeaseMs: this.options.unattendedLeaseMs,
       longestLeaseMs: this.options.longestLeaseMs,
     });
-    const orders = new TaskOrders({ ...base, registry, watch, pacer });
+    const orders = new TaskOrders({ ...base, registry, poller: watch, pacer });
     const abort = new AbortController();
     const side = { registry, watch, orders, abort };
     watch.start();
@@ -214,7 +214,7 @@
 
   private deliver(beat: WorkerHeartbeat): void {
     const { clock, random } = this.options;
-    const arrive = (): void => this.side.registry.noteHeartbeat(beat);
+    const arrive = (): void => this.side.registry.recordHeartbeat(beat);
     if (this.beatsLateMs === 0) arrive();
     else clock.after(random.next() * this.beatsLateMs, arrive);
   }
@@ -290,10 +290,10 @@
       const isUngranted = clock.monotonic() - grantedAt >= HOST.ungrantedMs;
       const asksStore = !this.options.staysWithGranter || isUngranted;
       if (asksStore && findLeader() && findLeader() !== leader) return;
-      const { sighting } = watch;
+      const { currentStatus: sighting } = watch;
       const { worker } = registry;
-      const isFresh = sighting && sighting.askedAt >= attachedAt;
-      const last = watch.unacknowledged.at(-1)?.number ?? 0;
+      const isFresh = sighting && sighting.polledAt >= attachedAt;
+      const last = watch.unacknowledgedEnds.at(-1)?.number ?? 0;
       const isDue =
         clock.monotonic() - reportedAt >= HOST.reportEveryMs || last > lastEnd;
       if (isFresh && isDue && worker?.instance === sighting.instance) {
@@ -303,12 +303,12 @@
           worker,
           at: sighting.answer.at,
           running: [...sighting.answer.running],
-          ended: [...watch.unacknowledged],
+          ended: [...watch.unacknowledgedEnds],
           hasMoreEnds: sighting.answer.hasMoreEnds,
-          lostRuns: [...registry.runs.untold],
-          neverBegun: [...registry.runs.neverBegun],
-          formerStartsForMs: watch.formerStartsForMs(worker.instance),
-          unheardEnds: [...registry.runs.unheardEnds],
+          lostRuns: [...registry.runs.unreportedLostRuns],
+          neverBegun: [...registry.runs.unreportedNeverBegun],
+          formerStartsForMs: watch.previousStartsForMs(worker.instance),
+          unheardEnds: [...registry.runs.unreportedEnds],
         };
         const grant = await this.ask(link, () =>
           leader.report(this.options.host, this.options.zone, report),
@@ -316,24 +316,25 @@
         unanswered = grant ? 0 : unanswered + 1;
         if (grant?.leaseUntil !== undefined) grantedAt = clock.monotonic();
         if (grant) {
-          registry.runs.noteTold(report.lostRuns);
-          registry.runs.noteNeverBegunTold(report.neverBegun ?? []);
-          registry.runs.noteEndsTold(report.unheardEnds ?? []);
+          registry.runs.markLostRunsReported(report.lostRuns);
+          registry.runs.markNeverBegunReported(report.neverBegun ?? []);
+          registry.runs.markEndsReported(report.unheardEnds ?? []);
         }
         if (grant) takeGrant(watch, worker, grant);
         if (unanswered >= HOST.maxUnanswered) return;
       } else if (
-        (!watch.isAnswered ||
+        (!watch.isResponding ||
           (!isFresh && clock.monotonic() - attachedAt >= HOST.unseenMs)) &&
         clock.monotonic() - silenceToldAt >= HOST.reportEveryMs
       ) {
         silenceToldAt = clock.monotonic();
-        const overInMs = watch.boundLease();
-        const { neverBegun } = registry.runs;
+        const overInMs = watch.stopRenewingLease();
+        const { unreportedNeverBegun: neverBegun } = registry.runs;
         const grants = await this.ask(link, () =>
           leader.noteWorkerSilent(this.options.host, overInMs, neverBegun),
         );
-        if (grants !== undefined) registry.runs.noteNeverBegunTold(neverBegun);
+        if (grants !== undefined)
+          registry.runs.markNeverBegunReported(neverBegun);
         unanswered = grants === undefined ? unanswered + 1 : 0;
         if (grants) grantedAt = clock.monotonic();
         if (unanswered >= HOST.maxUnanswered) return;
@@ -341,12 +342,13 @@
       const gone = registry.lastGone;
       if (gone !== undefined && gone !== toldGone) {
         toldGone = gone;
-        const { untold, unheardEnds } = registry.runs;
+        const { unreportedLostRuns: untold, unreportedEnds: unheardEnds } =
+          registry.runs;
         link.tellLeader(() =>
           leader.noteWorkerGone(this.options.host, gone, untold, unheardEnds),
         );
       }
-      await watch.news.wait(clock, HOST.newsWaitMs);
+      await watch.statusChanged.wait(clock, HOST.newsWaitMs);
     }
   }
 
--- a/packages/entry/src/EntryProcess.ts
+++ b/packages/entry/src/EntryProcess.ts
@@ -22,7 +22,7 @@
   RendezvousOwnership,
   UnitPlacer,
 } from "@rackspan/jobs";
-import { Lifecycle, type Part } from "@rackspan/kernel";
+import { Lifecycle, type LifecyclePart } from "@rackspan/kernel";
 import {
   hostLists,
   logServices,
@@ -299,7 +299,7 @@
   }
 
   /** In the order of their start; drained in this order, stopped in the reverse. */
-  private parts(): Part[] {
+  private parts(): LifecyclePart[] {
     const { listen, control, drain } = this.settings;
     const { signal } = this.stopped;
     let tasks: Promise<unknown> = Promise.resolve();
--- a/packages/kernel/src/Lifecycle.ts
+++ b/packages/kernel/src/Lifecycle.ts
@@ -3,7 +3,7 @@
 import { describeError, type Logger } from "@rackspan/common";
 
 /** A part of a process. Each step is optional. */
-export interface Part {
+export interface LifecyclePart {
   readonly name: string;
   start?(): Promise<void>;
   /** Takes no new work, and resolves once work in progress is done. */
@@ -15,10 +15,10 @@
 
 export class Lifecycle {
   private current: LifecycleState = "starting";
-  private readonly started: Part[] = [];
+  private readonly started: LifecyclePart[] = [];
 
   constructor(
-    private readonly parts: readonly Part[],
+    private readonly parts: readonly LifecyclePart[],
     private readonly logger: Logger,
   ) {}
 
@@ -61,11 +61,14 @@
 
   private async stopStarted(): Promise<void> {
     while (this.started.length > 0) {
-      await this.attempt("stop", this.started.pop() as Part);
+      await this.attempt("stop", this.started.pop() as LifecyclePart);
     }
   }
 
-  private async attempt(step: "drain" | "stop", part: Part): Promise<void> {
+  private async attempt(
+    step: "drain" | "stop",
+    part: LifecyclePart,
+  ): Promise<void> {
     try {
       await part[step]?.();
     } catch (err) {
--- a/packages/side/src/RequestFences.ts
+++ b/packages/side/src/RequestFences.ts
@@ -2,7 +2,7 @@
 
 import type { Clock, Monotonic, RequestId } from "@rackspan/common";
 
-export interface AttemptName {
+export interface AttemptKey {
   readonly request: RequestId;
   readonly attempt: number;
 }
@@ -14,7 +14,7 @@
   readonly at: Monotonic;
 }
 
-const nameOf = ({ request, attempt }: AttemptName): string =>
+const nameOf = ({ request, attempt }: AttemptKey): string =>
   `${request}#${attempt}`;
 
 export class RequestFences {
@@ -28,7 +28,7 @@
   ) {}
 
   /** Notes that the attempt starts now, unless it must not. */
-  tryStart(name: AttemptName): "started" | "fenced" | "repeated" {
+  tryStart(name: AttemptKey): "started" | "fenced" | "repeated" {
     const key = nameOf(name);
     const known = this.fates.get(key);
     if (known) return known.fate === "fenced" ? "fenced" : "repeated";
@@ -40,7 +40,7 @@
    * Makes sure that the attempt never starts here, unless it did.
    * @param ageMs milliseconds since it was sent
    */
-  fence(name: AttemptName, ageMs: number): "yes" | "no" | "unknown" {
+  fence(name: AttemptKey, ageMs: number): "yes" | "no" | "unknown" {
     const key = nameOf(name);
     const known = this.fates.get(key);
     if (known) return known.fate === "started" ? "yes" : "no";
--- a/packages/side/src/RequestHandler.ts
+++ b/packages/side/src/RequestHandler.ts
@@ -25,11 +25,11 @@
 import type { AdmissionGate, Permit } from "./AdmissionGate.js";
 import type { RequestFences } from "./RequestFences.js";
 import { readRequestHead, type RequestHead } from "./requestHead.js";
-import type { HeldTask, TaskHolder } from "./TaskHolder.js";
+import type { HeldTask, TaskSupervisor } from "./TaskSupervisor.js";
 
 export interface RequestHandlerOptions {
   readonly incarnation: Incarnation;
-  readonly tasks: TaskHolder;
+  readonly tasks: TaskSupervisor;
   readonly gate: AdmissionGate;
   readonly fences: RequestFences;
   readonly clock: Clock;
@@ -61,7 +61,7 @@
 
 export class RequestHandler {
   /** While set, requests are refused as not run. */
-  refusing = false;
+  isRefusing = false;
   private readonly agent = new Agent({
     keepAlive: true,
     keepAliveMsecs: 5_000,
@@ -116,7 +116,7 @@
     return this.watches.size;
   }
 
-  cutWatches(): void {
+  closeWatches(): void {
     for (const watch of this.watches) watch.destroy();
   }
 
@@ -132,7 +132,7 @@
         "the request is meant for an earlier run of this side process";
       return { status, reason: REASON.WRONG_INCARNATION, detail };
     }
-    if (this.refusing) {
+    if (this.isRefusing) {
       return { status, reason: REASON.LEAVING, detail: "this host is leaving" };
     }
     if (!tasks.ready) {
--- a/packages/side/src/SideProcess.ts
+++ b/packages/side/src/SideProcess.ts
@@ -34,8 +34,8 @@
 import { RequestHandler } from "./RequestHandler.js";
 import type { SideSettings } from "./settings.js";
 import { createSideHandlers } from "./sideHandlers.js";
-import { StatusBoard } from "./StatusBoard.js";
-import { TaskHolder } from "./TaskHolder.js";
+import { StatusPublisher } from "./StatusPublisher.js";
+import { TaskSupervisor } from "./TaskSupervisor.js";
 
 export interface SideProcessOptions {
   readonly settings: SideSettings;
@@ -51,10 +51,10 @@
   readonly incarnation = freshId<Incarnation>();
   readonly metrics = new Metrics();
   readonly commitments: Commitments;
-  readonly tasks: TaskHolder;
+  readonly tasks: TaskSupervisor;
   readonly gate: AdmissionGate;
   private readonly handler: RequestHandler;
-  private readonly board: StatusBoard;
+  private readonly board: StatusPublisher;
   private readonly lifecycle: Lifecycle;
   private readonly server: Server;
   private readonly rpc: RpcServer<typeof SIDE_METHODS>;
@@ -75,7 +75,7 @@
     this.commitments = new Commitments({ clock, reservationTtlMs });
     const { commitments } = this;
     const shared = { clock, metrics, logger, incarnation };
-    this.tasks = new TaskHolder({
+    this.tasks = new TaskSupervisor({
       ...shared,
       worker,
       commitments,
@@ -86,7 +86,7 @@
     const { tasks, gate } = this;
     const fences = new RequestFences(clock, settings.limits.fencesKept);
     this.handler = new RequestHandler({ ...shared, tasks, gate, fences });
-    this.board = new StatusBoard({
+    this.board = new StatusPublisher({
       settings,
       incarnation,
       tasks,
@@ -102,7 +102,7 @@
         commitments,
         fences,
         settings,
-        board: this.board,
+        statusPublisher: this.board,
       }),
     );
     this.server = this.createServer();
@@ -187,7 +187,7 @@
           start: async () => {
             void this.tasks
               .adopt(signal)
-              .then(() => (renewing = this.tasks.run(signal)))
+              .then(() => (renewing = this.tasks.renewLeases(signal)))
               .catch(() => undefined);
           },
           stop: async () => {
@@ -209,9 +209,9 @@
   /** Tells the entries first, then refuses, then waits for what is in progress. */
   private async drain(): Promise<void> {
     const { noticeMs, limitMs } = this.options.settings.drain;
-    this.board.leave();
+    this.board.startLeaving();
     await sleep(this.clock, noticeMs);
-    this.handler.refusing = true;
+    this.handler.isRefusing = true;
     const end = this.clock.monotonic() + limitMs;
     while (this.gate.openConnections > this.handler.openWatches) {
       await sleep(this.clock, DRAIN_POLL_MS);
@@ -219,12 +219,12 @@
     while (this.handler.openWatches > 0 && this.clock.monotonic() < end) {
       await sleep(this.clock, DRAIN_POLL_MS);
     }
-    this.handler.cutWatches();
+    this.handler.closeWatches();
   }
 
   private async close(): Promise<void> {
     this.board.close();
-    this.handler.cutWatches();
+    this.handler.closeWatches();
     this.handler.close();
     await closeServer(this.server);
   }
--- a/packages/side/src/StatusBoard.ts
+++ b/packages/side/src/StatusPublisher.ts
@@ -11,12 +11,12 @@
 import type { AdmissionGate } from "./AdmissionGate.js";
 import type { Commitments } from "./Commitments.js";
 import type { SideSettings } from "./settings.js";
-import type { HeldTask, TaskHolder } from "./TaskHolder.js";
+import type { HeldTask, TaskSupervisor } from "./TaskSupervisor.js";
 
-export interface StatusBoardOptions {
+export interface StatusPublisherOptions {
   readonly settings: SideSettings;
   readonly incarnation: Incarnation;
-  readonly tasks: TaskHolder;
+  readonly tasks: TaskSupervisor;
   readonly commitments: Commitments;
   readonly gate: AdmissionGate;
   readonly clock: Clock;
@@ -28,13 +28,13 @@
   readonly revision: number;
 }
 
-export class StatusBoard {
+export class StatusPublisher {
   private revision = 0;
   private isLeaving = false;
   private closed = false;
   private readonly changed = new ChangeSignal();
 
-  constructor(private readonly options: StatusBoardOptions) {
+  constructor(private readonly options: StatusPublisherOptions) {
     options.tasks.changed.on(() => this.bump());
   }
 
@@ -43,7 +43,7 @@
   }
 
   /** From now on entries are told to send nothing new. */
-  leave(): void {
+  startLeaving(): void {
     this.isLeaving = true;
     this.bump();
   }
--- a/packages/side/src/TaskHolder.ts
+++ b/packages/side/src/TaskSupervisor.ts
@@ -32,7 +32,7 @@
   type TaskIdentity,
 } from "./taskIdentity.js";
 
-export interface TaskHolderOptions {
+export interface TaskSupervisorOptions {
   readonly worker: Worker;
   readonly commitments: Commitments;
   readonly incarnation: Incarnation;
@@ -66,7 +66,7 @@
 const ADOPT_RETRY_MS = 200;
 const FENCED_TASKS_KEPT = 10_000;
 
-export class TaskHolder {
+export class TaskSupervisor {
   /** Emits each change of any task. */
   readonly changed = new Emitter<void>();
   private readonly tasks = new Map<TaskId, HeldTask>();
@@ -75,7 +75,7 @@
   private readonly stopOrders = new Map<TaskId, boolean>();
   private adopted = false;
 
-  constructor(private readonly options: TaskHolderOptions) {}
+  constructor(private readonly options: TaskSupervisorOptions) {}
 
   /** Whether the worker's own list is known; before that nothing is admitted. */
   get ready(): boolean {
@@ -110,7 +110,7 @@
   }
 
   /** Renews leases and notices ends, until the signal ends it. */
-  async run(signal: AbortSignal): Promise<void> {
+  async renewLeases(signal: AbortSignal): Promise<void> {
     const { clock, renewEveryMs, logger } = this.options;
     try {
       for (;;) {
--- a/packages/side/src/jobs/JobSideProcess.ts
+++ b/packages/side/src/jobs/JobSideProcess.ts
@@ -20,13 +20,13 @@
 import { TOPICS } from "@rackspan/state";
 import { FencedTaskHost } from "./FencedTaskHost.js";
 import { LeaderFinder } from "./LeaderFinder.js";
-import { LeaderLink } from "./LeaderLink.js";
+import { LeaderClient } from "./LeaderClient.js";
 import { Pacer } from "./Pacer.js";
 import type { JobSideSettings } from "./settings.js";
-import { TaskOrders } from "./TaskOrders.js";
+import { TaskOrderHandler } from "./TaskOrderHandler.js";
 import { workerInboxes, type WorkerInbox } from "./workerInboxes.js";
 import { WorkerRegistry } from "./WorkerRegistry.js";
-import { WorkerWatch } from "./WorkerWatch.js";
+import { WorkerPoller } from "./WorkerPoller.js";
 
 const SIDE = {
   /** A call to the worker, which is on this host, is repeated after this. */
@@ -48,8 +48,8 @@
 export class JobSideProcess {
   readonly logger: Logger;
   private readonly store: StoreClient;
-  private readonly watch: WorkerWatch;
-  private readonly link: LeaderLink;
+  private readonly watch: WorkerPoller;
+  private readonly link: LeaderClient;
   private readonly inbox: WorkerInbox;
   private readonly metricsServer: MetricsServer;
 
@@ -68,7 +68,7 @@
     const { service } = settings.worker;
     const registry = new WorkerRegistry(clock, logger, service);
     const pacer = new Pacer({ host, ...base, ...settings.pacing });
-    const watch = new WorkerWatch({
+    const watch = new WorkerPoller({
       registry,
       host,
       pacer,
@@ -83,19 +83,26 @@
       }),
       longestLeaseMs: settings.leases.longestMs ?? Infinity,
     });
-    const orders = new TaskOrders({ host, registry, watch, pacer, ...base });
+    const orders = new TaskOrderHandler({
+      host,
+      registry,
+      poller: watch,
+      pacer,
+      ...base,
+    });
     this.watch = watch;
-    this.link = new LeaderLink({
+    this.link = new LeaderClient({
       host: settings.host,
       availabilityZone: settings.availabilityZone,
       finder: buildFinder(settings, this.store, base),
       registry,
-      watch,
+      poller: watch,
       orders,
       pacer,
       clock,
       logger,
-      goodbyeMs: SIDE.goodbyeShare * settings.graceSeconds * MS_PER_SECOND,
+      deregistrationTimeoutMs:
+        SIDE.goodbyeShare * settings.graceSeconds * MS_PER_SECOND,
     });
     this.inbox = workerInboxes.create(client, {
       ...settings.inbox,
--- a/packages/side/src/jobs/LeaderLink.ts
+++ b/packages/side/src/jobs/LeaderClient.ts
@@ -27,9 +27,9 @@
 import type { LeaderFinder } from "./LeaderFinder.js";
 import type { Pacer } from "./Pacer.js";
 import { SilenceReporter } from "./SilenceReporter.js";
-import type { TaskOrders } from "./TaskOrders.js";
+import type { TaskOrderHandler } from "./TaskOrderHandler.js";
 import type { WorkerRegistry } from "./WorkerRegistry.js";
-import type { Sighting, WorkerWatch } from "./WorkerWatch.js";
+import type { WorkerStatus, WorkerPoller } from "./WorkerPoller.js";
 
 const LINK = {
   /** Between two looks for a leader. */
@@ -58,21 +58,21 @@
   goodbyeAgainMs: 400,
 } as const;
 
-export interface LeaderLinkOptions {
+export interface LeaderClientOptions {
   readonly host: HostId;
   readonly availabilityZone: AvailabilityZone;
   readonly finder: LeaderFinder;
   readonly registry: WorkerRegistry;
-  readonly watch: WorkerWatch;
-  readonly orders: TaskOrders;
+  readonly poller: WorkerPoller;
+  readonly orders: TaskOrderHandler;
   readonly pacer: Pacer;
   readonly clock: Clock;
   readonly logger: Logger;
   /** For how long a planned stop waits until a leader knows that the worker left, milliseconds. */
-  readonly goodbyeMs: number;
+  readonly deregistrationTimeoutMs: number;
 }
 
-export class LeaderLink {
+export class LeaderClient {
   private readonly abort = new AbortController();
   private connection: LeaderConnection | undefined;
   private reportedAt: Monotonic = -Infinity;
@@ -82,10 +82,10 @@
   private toldGone: WorkerInstance | undefined;
   private isTelling = false;
   /** The newest sighting that was reported over this connection. */
-  private lastSent: Sighting | undefined;
+  private lastSent: WorkerStatus | undefined;
   private task: Promise<void> | undefined;
 
-  constructor(private readonly options: LeaderLinkOptions) {}
+  constructor(private readonly options: LeaderClientOptions) {}
 
   start(): void {
     this.task ??= this.run();
@@ -95,7 +95,7 @@
     await this.awaitGoodbye();
     this.abort.abort();
     this.connection?.close("stopping");
-    this.options.watch.news.notify();
+    this.options.poller.statusChanged.notify();
     await this.task;
   }
 
@@ -104,7 +104,12 @@
    * leader would start nothing that it knew before until this host's lease is over.
    */
   private async awaitGoodbye(): Promise<void> {
-    const { registry, clock, logger, goodbyeMs } = this.options;
+    const {
+      registry,
+      clock,
+      logger,
+      deregistrationTimeoutMs: goodbyeMs,
+    } = this.options;
     const { worker, lastGone } = registry;
     if (worker !== undefined || lastGone === undefined) return;
     const giveUpAt = clock.monotonic() + goodbyeMs;
@@ -126,7 +131,7 @@
 
   /** Attaches to the entry and reports for as long as it answers. */
   private async serve(address: string): Promise<void> {
-    const { host, availabilityZone, watch, logger } = this.options;
+    const { host, availabilityZone, poller: watch, logger } = this.options;
     let reason: string;
     try {
       const connection = await this.open(address);
@@ -168,7 +173,7 @@
   private handlers(): ConstructorParameters<
     typeof JsonRpcConnection<typeof hostMethods, typeof leaderMethods>
   >[0]["handlers"] {
-    const { orders, watch, pacer } = this.options;
+    const { orders, poller: watch, pacer } = this.options;
     return {
       startTask: (call) => orders.start(call),
       stopTask: (call) => orders.stop(call),
@@ -188,7 +193,7 @@
     connection: LeaderConnection,
     address: string,
   ): Promise<string> {
-    const { clock, watch, registry, logger } = this.options;
+    const { clock, poller: watch, registry, logger } = this.options;
     const attachedAt = clock.monotonic();
     this.grantedAt = attachedAt;
     this.toldGone = undefined;
@@ -197,7 +202,7 @@
       connection,
       attachedAt,
       registry,
-      watch,
+      poller: watch,
       clock,
       logger,
       callTimeoutMs: LINK.callTimeoutMs,
@@ -219,7 +224,7 @@
         connection.notify("ping", {});
       }
       await Promise.race([
-        watch.news.wait(clock, LINK.newsWaitMs),
+        watch.statusChanged.wait(clock, LINK.newsWaitMs),
         connection.closed,
       ]);
     }
@@ -233,7 +238,7 @@
   private tellDue(
     connection: LeaderConnection,
     silence: SilenceReporter,
-    sighting: Sighting | undefined,
+    sighting: WorkerStatus | undefined,
   ): Promise<boolean> | undefined {
     if (sighting && this.isDue(sighting)) {
       this.lastSent = sighting;
@@ -246,7 +251,7 @@
 
   /** @returns whether the leader answered */
   private async tellSilent(silence: SilenceReporter): Promise<boolean> {
-    const { isAnswered, grants } = await silence.tell();
+    const { isAnswered, grants } = await silence.report();
     if (grants) this.grantedAt = this.options.clock.monotonic();
     return isAnswered;
   }
@@ -266,8 +271,8 @@
     instance: WorkerInstance,
   ): Promise<void> {
     const { registry, clock, logger } = this.options;
-    const lostRuns = [...registry.runs.untold];
-    const unheardEnds = [...registry.runs.unheardEnds];
+    const lostRuns = [...registry.runs.unreportedLostRuns];
+    const unheardEnds = [...registry.runs.unreportedEnds];
     const params = { instance, lostRuns, unheardEnds };
     try {
       await connection.call("workerGone", params, LINK.callTimeoutMs);
@@ -292,18 +297,18 @@
   }
 
   /** Older ones may show a worker that is gone, or runs that ended since. */
-  private sightingSince(attachedAt: Monotonic): Sighting | undefined {
-    const { sighting } = this.options.watch;
-    return sighting && sighting.askedAt >= attachedAt ? sighting : undefined;
+  private sightingSince(attachedAt: Monotonic): WorkerStatus | undefined {
+    const { currentStatus: sighting } = this.options.poller;
+    return sighting && sighting.polledAt >= attachedAt ? sighting : undefined;
   }
 
-  private isDue(sighting: Sighting): boolean {
+  private isDue(sighting: WorkerStatus): boolean {
     const { lastSent } = this;
     if (sighting === lastSent) return false;
     if (!lastSent) return true;
-    const { clock, watch, registry } = this.options;
+    const { clock, poller: watch, registry } = this.options;
     const lastEnd = lastSent.answer.ended.at(-1)?.number ?? 0;
-    const hasNewEnds = watch.unacknowledged.some(
+    const hasNewEnds = watch.unacknowledgedEnds.some(
       ({ number }) => number > lastEnd,
     );
     const worker = registry.worker;
@@ -317,31 +322,31 @@
   /** @returns whether the leader answered */
   private async report(
     connection: LeaderConnection,
-    { instance, answer }: Sighting,
+    { instance, answer }: WorkerStatus,
   ): Promise<boolean> {
-    const { registry, watch, clock, logger } = this.options;
+    const { registry, poller: watch, clock, logger } = this.options;
     const { worker } = registry;
     if (worker?.instance !== instance) return true;
     this.reportedAt = clock.monotonic();
-    const lostRuns = [...registry.runs.untold];
-    const neverBegun = [...registry.runs.neverBegun];
-    const unheardEnds = [...registry.runs.unheardEnds];
+    const lostRuns = [...registry.runs.unreportedLostRuns];
+    const neverBegun = [...registry.runs.unreportedNeverBegun];
+    const unheardEnds = [...registry.runs.unreportedEnds];
     const params = {
       worker,
       at: answer.at,
       running: [...answer.running],
-      ended: [...watch.unacknowledged],
+      ended: [...watch.unacknowledgedEnds],
       hasMoreEnds: answer.hasMoreEnds,
       lostRuns,
       neverBegun,
-      formerStartsForMs: watch.formerStartsForMs(instance),
+      formerStartsForMs: watch.previousStartsForMs(instance),
       unheardEnds,
     };
     try {
       const grant = await connection.call("report", params, LINK.callTimeoutMs);
-      registry.runs.noteTold(lostRuns);
-      registry.runs.noteNeverBegunTold(neverBegun);
-      registry.runs.noteEndsTold(unheardEnds);
+      registry.runs.markLostRunsReported(lostRuns);
+      registry.runs.markNeverBegunReported(neverBegun);
+      registry.runs.markEndsReported(unheardEnds);
       this.take(instance, grant);
       return true;
     } catch (err) {
@@ -350,9 +355,9 @@
     }
   }
 
-  private take(instance: Sighting["instance"], grant: Grant): void {
-    const { watch, pacer } = this.options;
-    pacer.learn(grant.disturbances ?? []);
+  private take(instance: WorkerStatus["instance"], grant: Grant): void {
+    const { poller: watch, pacer } = this.options;
+    pacer.updateDisturbances(grant.disturbances ?? []);
     if (grant.leaseUntil !== undefined) {
       this.grantedAt = this.options.clock.monotonic();
       watch.grant(instance, grant.leaseUntil);
--- a/packages/side/src/jobs/PacePlanner.ts
+++ b/packages/side/src/jobs/PacePlanner.ts
@@ -15,12 +15,12 @@
   type InterferenceWeight,
   type InterferenceProfile,
 } from "@rackspan/protocol";
-import { forgetOtherRuns } from "./forgetOtherRuns.js";
-import { KnownTasks } from "./KnownTasks.js";
-import { LongTails } from "./LongTails.js";
+import { retainListedRuns } from "./retainListedRuns.js";
+import { TaskDescriptions } from "./TaskDescriptions.js";
+import { TailOverrunTracker } from "./TailOverrunTracker.js";
 import {
   headroomOf,
-  PACE_LAW,
+  PACE_FACTORS,
   paceFactors,
   type ServingTail,
 } from "./paceFactors.js";
@@ -31,18 +31,18 @@
  */
 export const PACING = {
   /** Their least pace, percent: some progress tells them from hung tasks. */
-  leastPercent: 4,
+  minPercent: 4,
   /** Least pace at which a new task begins, percent. */
-  leastFirstPercent: 15,
+  minFirstPercent: 15,
   /** Points of percent by which they speed up at least. */
-  leastSpeedPoints: 8,
+  minSpeedUpPoints: 8,
   /** Time between two adjustments, milliseconds; a reading spans 500. */
-  everyMs: 250,
+  intervalMs: 250,
   /**
    * Share of the time that a tail may stay over its target after which every
    * filling task is slowed: what was learnt of the images is then wrong.
    */
-  blameAllAfter: 0.25,
+  slowAllAfter: 0.25,
   /** Share of it after which they stand still; a reading is half a second old. */
   haltAfter: 0.6,
 } as const;
@@ -69,8 +69,8 @@
 }
 
 export class PacePlanner {
-  private readonly tasks = new KnownTasks();
-  private readonly longTails = new LongTails();
+  private readonly tasks = new TaskDescriptions();
+  private readonly longTails = new TailOverrunTracker();
   /** The pace last wanted for each run, percent. */
   private readonly wanted = new Map<string, number>();
 
@@ -81,26 +81,26 @@
   }
 
   /** Takes what the leader knows of the images on this host. */
-  learn(disturbances: readonly InterferenceWeight[]): void {
-    this.tasks.learn(disturbances);
+  updateDisturbances(disturbances: readonly InterferenceWeight[]): void {
+    this.tasks.updateDisturbances(disturbances);
   }
 
   /**
    * Takes a run that this process did not start: its pace is told by the
    * processor time that it gets.
    */
-  noteFound(row: RunningTask): void {
+  adoptRun(row: RunningTask): void {
     const key = runKeyOf(row);
     if (!this.tasks.isFilling(row) || this.wanted.has(key)) return;
     const pace = Math.round(this.usedPercent(row));
     this.wanted.set(
       key,
-      Math.min(FULL_PACE, Math.max(PACING.leastPercent, pace)),
+      Math.min(FULL_PACE, Math.max(PACING.minPercent, pace)),
     );
   }
 
   /** The run was begun at this pace, percent. */
-  beginAt(row: RunningTask, percent: number): void {
+  recordFirstPace(row: RunningTask, percent: number): void {
     this.wanted.set(runKeyOf(row), percent);
   }
 
@@ -109,7 +109,7 @@
     this.forgetEnded(running);
     const filling = running.filter((row) => this.tasks.isFilling(row));
     const serving = this.tasks.servingTails(running);
-    const trouble = this.troubleAfter(this.longTails.note(serving, now));
+    const trouble = this.troubleAfter(this.longTails.update(serving, now));
     const factors = paceFactors({
       aim: this.options.tailAim,
       serving,
@@ -123,7 +123,7 @@
         this.wanted.get(runKeyOf(row)) ?? this.firstPace(row, serving, filling);
       const factor = boundFactor(factors.get(row) ?? 1, trouble);
       // Nobody stands still any longer than the trouble does.
-      const going = Math.max(before, PACING.leastPercent);
+      const going = Math.max(before, PACING.minPercent);
       const pace =
         trouble === "halt" ? HALTED : this.nextPace(row, going, factor);
       if (pace < before) slowed.add(row);
@@ -137,7 +137,7 @@
   private troubleAfter(longestMs: number): Trouble {
     const share = longestMs / this.options.tailGraceMs;
     if (share >= PACING.haltAfter) return "halt";
-    return share >= PACING.blameAllAfter ? "blame-all" : "none";
+    return share >= PACING.slowAllAfter ? "blame-all" : "none";
   }
 
   /** Processor time that the task got, percent of what it asked for. */
@@ -149,12 +149,12 @@
     const wanted = this.usedPercent(row) * factor;
     if (factor < 1) {
       const slower = Math.min(before, Math.round(wanted));
-      return Math.max(Math.min(before, PACING.leastPercent), slower);
+      return Math.max(Math.min(before, PACING.minPercent), slower);
     }
     if (factor === 1) return before;
     const faster = Math.max(
-      before + PACING.leastSpeedPoints,
-      Math.min(wanted, before * PACE_LAW.mostFactor),
+      before + PACING.minSpeedUpPoints,
+      Math.min(wanted, before * PACE_FACTORS.maxFactor),
     );
     return Math.min(FULL_PACE, Math.round(faster));
   }
@@ -167,7 +167,7 @@
   ): number {
     const pace =
       this.paceOfSiblings(row, filling) ?? this.paceFor(row, serving);
-    return Math.max(PACING.leastFirstPercent, pace);
+    return Math.max(PACING.minFirstPercent, pace);
   }
 
   /** The least pace of other tasks of the image; undefined when there are none. */
@@ -189,7 +189,7 @@
     let pace = FULL_PACE;
     for (const server of serving) {
       const weight = this.tasks.weightOf(server.image, row);
-      if (weight < PACE_LAW.leastWeight) continue;
+      if (weight < PACE_FACTORS.minWeight) continue;
       const share =
         Math.max(0, headroomOf(server, this.options.tailAim)) /
         (weight * cores);
@@ -199,13 +199,13 @@
   }
 
   private forgetEnded(running: readonly RunningTask[]): void {
-    forgetOtherRuns(this.wanted, running);
+    retainListedRuns(this.wanted, running);
     const tasks = new Set(running.map(({ task }) => task));
-    this.longTails.forgetOthers(tasks);
-    this.tasks.forgetOthers(tasks);
+    this.longTails.retainOnly(tasks);
+    this.tasks.retainOnly(tasks);
   }
 }
 
 /** A tail that stays too long shows that the tasks to blame are not known. */
 const boundFactor = (factor: number, trouble: Trouble): number =>
-  trouble === "none" ? factor : Math.min(factor, PACE_LAW.leastFactor);
+  trouble === "none" ? factor : Math.min(factor, PACE_FACTORS.minFactor);
--- a/packages/side/src/jobs/Pacer.ts
+++ b/packages/side/src/jobs/Pacer.ts
@@ -27,7 +27,7 @@
   type InterferenceProfile,
 } from "@rackspan/protocol";
 import { BoundedMap } from "@rackspan/state";
-import { forgetOtherRuns } from "./forgetOtherRuns.js";
+import { retainListedRuns } from "./retainListedRuns.js";
 import { PacePlanner, type PacePlan } from "./PacePlanner.js";
 
 /** Runs that were ordered and may not be listed yet; older ones are forgotten. */
@@ -76,12 +76,18 @@
   }
 
   /** This process starts the run; the worker begins it at full pace. */
-  noteStarted(run: RunRef): void {
+  recordStarting(run: RunRef): void {
     this.unlisted.set(runKeyOf(run), FULL_PACE);
   }
 
   /** The worker has begun the run: its first pace is ordered without waiting for a look. */
-  paceFirst({ instance, epoch, task, run, firstPercent }: FirstPace): void {
+  orderFirstPace({
+    instance,
+    epoch,
+    task,
+    run,
+    firstPercent,
+  }: FirstPace): void {
     if (firstPercent >= FULL_PACE) return;
     const key = runKeyOf({ task, run });
     // A look was faster: the pace follows from what it showed.
@@ -92,8 +98,8 @@
   }
 
   /** Takes what the leader knows of the images on this host. */
-  learn(disturbances: readonly InterferenceWeight[]): void {
-    this.planner.learn(disturbances);
+  updateDisturbances(disturbances: readonly InterferenceWeight[]): void {
+    this.planner.updateDisturbances(disturbances);
   }
 
   /** Looks at the readings of one report and orders new paces where needed. */
@@ -104,7 +110,7 @@
   ): void {
     this.closeOrders();
     for (const row of running) this.noteListed(row);
-    forgetOtherRuns(this.given, running);
+    retainListedRuns(this.given, running);
     const plan = this.planner.plan(running, this.options.clock.monotonic());
     for (const [row, pace] of plan.paces) this.give(instance, epoch, row, pace);
     if (plan.slowed.size > 0) this.logSlowed(plan);
@@ -116,8 +122,8 @@
     if (first !== undefined) {
       this.unlisted.delete(key);
       this.given.set(key, first);
-      if (first < FULL_PACE) this.planner.beginAt(row, first);
-    } else if (!this.given.has(key)) this.planner.noteFound(row);
+      if (first < FULL_PACE) this.planner.recordFirstPace(row, first);
+    } else if (!this.given.has(key)) this.planner.adoptRun(row);
   }
 
   private give(
--- a/packages/side/src/jobs/FormerStartBars.ts
+++ b/packages/side/src/jobs/PreviousStartFencer.ts
@@ -22,23 +22,23 @@
   againMs: 50,
 } as const;
 
-export interface FormerStartBarsOptions {
+export interface PreviousStartFencerOptions {
   readonly host: TaskHost;
-  readonly unanswered: UnansweredStarts;
+  readonly unansweredStarts: UnansweredStarts;
   readonly clock: Clock;
   readonly logger: Logger;
 }
 
-export class FormerStartBars {
-  constructor(private readonly options: FormerStartBarsOptions) {}
+export class PreviousStartFencer {
+  constructor(private readonly options: PreviousStartFencerOptions) {}
 
   /** @returns the errors of bars that failed; none when the worker has barred them all */
-  async barAll(
+  async fenceAll(
     instance: WorkerInstance,
     epoch: Epoch,
   ): Promise<readonly unknown[]> {
-    const { unanswered, logger } = this.options;
-    const open = unanswered.openAt(instance);
+    const { unansweredStarts: unanswered, logger } = this.options;
+    const open = unanswered.unfencedAt(instance);
     if (open.length === 0) return [];
     const left = [...open];
     const errors: unknown[] = [];
@@ -67,7 +67,7 @@
     ref: RunRef,
     epoch: Epoch,
   ): Promise<void> {
-    const { host, unanswered, clock } = this.options;
+    const { host, unansweredStarts: unanswered, clock } = this.options;
     let isBarred = false;
     const tryAfter = async (afterMs: number): Promise<void> => {
       if (afterMs > 0) await sleep(clock, afterMs);
@@ -79,6 +79,6 @@
       tryAfter(index * BARS.againMs),
     );
     await Promise.any(tries).catch(() => tries[0]);
-    unanswered.noteBarred(instance, ref);
+    unanswered.recordFenced(instance, ref);
   }
 }
--- a/packages/side/src/jobs/SentLease.ts
+++ b/packages/side/src/jobs/SentLeaseTracker.ts
@@ -21,35 +21,35 @@
   readonly receivedAt: Monotonic;
 }
 
-export interface SentLeaseOptions {
+export interface SentLeaseTrackerOptions {
   readonly clock: Clock;
   /** Longest lease that the worker takes, milliseconds; Infinity when nobody says. */
   readonly longestLeaseMs: number;
 }
 
-export class SentLease {
+export class SentLeaseTracker {
   /** Unknown until this process begins. */
   private overBy: Monotonic = Infinity;
   private reading: ClockReading | undefined;
 
-  constructor(private readonly options: SentLeaseOptions) {}
+  constructor(private readonly options: SentLeaseTrackerOptions) {}
 
   /** A process before this one may have sent a lease until now, and none later. */
-  begin(): void {
+  start(): void {
     this.overBy = this.longestFromNow();
   }
 
   /** That life has answered with this reading of its clock. */
-  noteReading(instance: WorkerInstance, at: WorkerTime): void {
+  recordClockReading(instance: WorkerInstance, at: WorkerTime): void {
     const receivedAt = this.options.clock.monotonic();
     this.reading = { instance, at, receivedAt };
   }
 
   /** A call that carries this lease is about to be sent to that life. */
-  noteSent(instance: WorkerInstance, leaseUntil: WorkerTime): void {
+  recordSent(instance: WorkerInstance, leaseUntil: WorkerTime): void {
     const { reading } = this;
     if (reading?.instance !== instance) {
-      this.noteLongest();
+      this.assumeLongest();
       return;
     }
     const leaseMs = Math.max(0, leaseUntil - reading.at);
@@ -57,7 +57,7 @@
   }
 
   /** A lease was sent, here or by another, of which this process cannot tell the end. */
-  noteLongest(): void {
+  assumeLongest(): void {
     this.raise(this.longestFromNow());
   }
 
--- a/packages/side/src/jobs/SilenceReporter.ts
+++ b/packages/side/src/jobs/SilenceReporter.ts
@@ -13,7 +13,7 @@
 import { LostAnswerError } from "@rackspan/protocol";
 import type { LeaderConnection } from "./LeaderConnection.js";
 import type { WorkerRegistry } from "./WorkerRegistry.js";
-import type { Sighting, WorkerWatch } from "./WorkerWatch.js";
+import type { WorkerStatus, WorkerPoller } from "./WorkerPoller.js";
 
 const SILENCE = {
   /** A worker that has not been seen for this long since the side attached is silent, milliseconds. */
@@ -36,7 +36,7 @@
   /** When the side attached over the connection. */
   readonly attachedAt: Monotonic;
   readonly registry: WorkerRegistry;
-  readonly watch: WorkerWatch;
+  readonly poller: WorkerPoller;
   readonly clock: Clock;
   readonly logger: Logger;
   /** For how long an answer is waited for, milliseconds. */
@@ -51,19 +51,25 @@
   constructor(private readonly options: SilenceReporterOptions) {}
 
   /** @param sighting the newest since the side attached */
-  isDue(sighting: Sighting | undefined): boolean {
-    const { watch, clock, attachedAt } = this.options;
+  isDue(sighting: WorkerStatus | undefined): boolean {
+    const { poller: watch, clock, attachedAt } = this.options;
     const now = clock.monotonic();
     const mayComeYet = sighting || now - attachedAt < SILENCE.unseenMs;
-    if (watch.isAnswered && mayComeYet) return false;
+    if (watch.isResponding && mayComeYet) return false;
     return now - this.toldAt >= SILENCE.tellEveryMs;
   }
 
   /** @returns whether the leader answered, and whether it grants leases */
-  async tell(): Promise<{ isAnswered: boolean; grants: boolean }> {
-    const { connection, registry, watch, clock, callTimeoutMs } = this.options;
-    const overInMs = watch.boundLease();
-    const neverBegun = [...registry.runs.neverBegun];
+  async report(): Promise<{ isAnswered: boolean; grants: boolean }> {
+    const {
+      connection,
+      registry,
+      poller: watch,
+      clock,
+      callTimeoutMs,
+    } = this.options;
+    const overInMs = watch.stopRenewingLease();
+    const neverBegun = [...registry.runs.unreportedNeverBegun];
     this.toldAt = clock.monotonic();
     try {
       const { grants } = await connection.call(
@@ -72,7 +78,7 @@
         callTimeoutMs,
       );
       // One that decides nothing any more hands nothing on.
-      if (grants) registry.runs.noteNeverBegunTold(neverBegun);
+      if (grants) registry.runs.markNeverBegunReported(neverBegun);
       this.logOutcome({ overInMs, grants });
       return { isAnswered: true, grants };
     } catch (err) {
@@ -85,7 +91,7 @@
 
   /** Once a connection, and when what came of it changes. */
   private logOutcome({ overInMs, grants, error }: SilenceTold): void {
-    const { watch, registry, logger } = this.options;
+    const { poller: watch, registry, logger } = this.options;
     const outcome = error ?? `grants ${grants}`;
     if (outcome === this.loggedOutcome) return;
     this.loggedOutcome = outcome;
--- a/packages/side/src/jobs/LongTails.ts
+++ b/packages/side/src/jobs/TailOverrunTracker.ts
@@ -3,12 +3,12 @@
 import type { JobTaskId, Monotonic } from "@rackspan/common";
 import type { ServingTail } from "./paceFactors.js";
 
-export class LongTails {
+export class TailOverrunTracker {
   /** Since when each serving task's tail has been over its target. */
   private readonly since = new Map<JobTaskId, Monotonic>();
 
   /** @returns the longest time of any tail over its target on end, milliseconds */
-  note(serving: readonly ServingTail[], now: Monotonic): number {
+  update(serving: readonly ServingTail[], now: Monotonic): number {
     let longestMs = 0;
     for (const { task, tail } of serving) {
       if (tail <= 1) {
@@ -23,7 +23,7 @@
   }
 
   /** Drops what is known of tasks that run no more. */
-  forgetOthers(tasks: ReadonlySet<JobTaskId>): void {
+  retainOnly(tasks: ReadonlySet<JobTaskId>): void {
     for (const task of this.since.keys()) {
       if (!tasks.has(task)) this.since.delete(task);
     }
--- a/packages/side/src/jobs/KnownTasks.ts
+++ b/packages/side/src/jobs/TaskDescriptions.ts
@@ -14,7 +14,7 @@
 /** Tasks that were ordered and are not listed yet, whose natures are kept at most. */
 const KEPT_UNLISTED = 64;
 
-export class KnownTasks {
+export class TaskDescriptions {
   private readonly natures = new Map<JobTaskId, InterferenceProfile>();
   /** By serving image, then filling image. */
   private readonly weights = new Map<string, Map<string, number>>();
@@ -24,7 +24,7 @@
   }
 
   /** Takes what the leader knows of the images on this host, in place of all before. */
-  learn(disturbances: readonly InterferenceWeight[]): void {
+  updateDisturbances(disturbances: readonly InterferenceWeight[]): void {
     this.weights.clear();
     for (const { serving, filling, weight } of disturbances) {
       const row = this.weights.get(serving) ?? new Map<string, number>();
@@ -64,7 +64,7 @@
   }
 
   /** Drops what is known of tasks that run no more, once that is much. */
-  forgetOthers(tasks: ReadonlySet<JobTaskId>): void {
+  retainOnly(tasks: ReadonlySet<JobTaskId>): void {
     if (this.natures.size <= 2 * tasks.size + KEPT_UNLISTED) return;
     for (const task of this.natures.keys()) {
       if (!tasks.has(task)) this.natures.delete(task);
--- a/packages/side/src/jobs/TaskOrders.ts
+++ b/packages/side/src/jobs/TaskOrderHandler.ts
@@ -23,7 +23,7 @@
 } from "@rackspan/protocol";
 import type { Pacer } from "./Pacer.js";
 import type { WorkerRegistry } from "./WorkerRegistry.js";
-import type { WorkerWatch } from "./WorkerWatch.js";
+import type { WorkerPoller } from "./WorkerPoller.js";
 
 const ORDERS = {
   /** Calls to the worker are repeated for this long; the leader waits a little longer. */
@@ -39,18 +39,18 @@
   readonly tookMs?: number;
 }
 
-export interface TaskOrdersOptions {
+export interface TaskOrderHandlerOptions {
   readonly host: TaskHost;
   readonly registry: WorkerRegistry;
-  readonly watch: WorkerWatch;
+  readonly poller: WorkerPoller;
   readonly pacer: Pacer;
   readonly clock: Clock;
   readonly logger: Logger;
   readonly metrics: Metrics;
 }
 
-export class TaskOrders {
-  constructor(private readonly options: TaskOrdersOptions) {}
+export class TaskOrderHandler {
+  constructor(private readonly options: TaskOrderHandlerOptions) {}
 
   async start(call: StartTaskCall): Promise<HostCallResult> {
     const refusal = this.refusal(call.epoch, call.instance);
@@ -60,26 +60,26 @@
       return this.note("start", call, { kind: "draining" });
     }
     pacer.describe(call.task, call.nature);
-    pacer.noteStarted(call);
-    registry.runs.noteOrderOpen(call);
+    pacer.recordStarting(call);
+    registry.runs.recordOrderOpen(call);
     try {
       return await this.orderStart(call);
     } finally {
-      registry.runs.noteOrderOver(call);
+      registry.runs.recordOrderClosed(call);
     }
   }
 
   private async orderStart(call: StartTaskCall): Promise<HostCallResult> {
-    const { registry, host, pacer, clock, watch } = this.options;
+    const { registry, host, pacer, clock, poller: watch } = this.options;
     const { instance, ...order } = call;
     const beganAt = clock.monotonic();
-    registry.runs.noteOrdered(instance, order);
-    watch.noteOrdered(instance, order.leaseUntil);
+    registry.runs.recordOrdered(instance, order);
+    watch.recordLeaseSent(instance, order.leaseUntil);
     let tries = 0;
     let mayHaveArrived = false;
     const result = await this.repeat(instance, async () => {
       tries += 1;
-      registry.unanswered.noteTried(instance, order);
+      registry.unansweredStarts.recordSent(instance, order);
       try {
         return toResult(await host.start(instance, order));
       } catch (err) {
@@ -90,17 +90,17 @@
         return { kind: "refused", reason: "unhealthy" };
       }
     });
-    if (!mayHaveArrived) registry.unanswered.noteAnswered(order);
+    if (!mayHaveArrived) registry.unansweredStarts.recordAnswered(order);
     if (result.kind === "ok") {
-      registry.runs.noteStarted(instance, order, result.at);
-      pacer.paceFirst(call);
+      registry.runs.recordStarted(instance, order, result.at);
+      pacer.orderFirstPace(call);
     }
     // A refusal speaks of the last try only: one before it that got no answer may
     // have been carried out, and the run have ended since, or may be later. So does
     // the answer of another life: the run may have crashed the one before it.
     const isNo = result.kind === "refused" || result.kind === "replaced";
     const isUnsure = mayHaveArrived && isNo;
-    if (isNo && !isUnsure) registry.runs.noteRefused(instance, order);
+    if (isNo && !isUnsure) registry.runs.recordRefused(instance, order);
     const tookMs = Math.round(clock.monotonic() - beganAt);
     const answer: HostCallResult = isUnsure ? { kind: "silent" } : result;
     return this.note("start", call, answer, { tries, tookMs });
@@ -121,12 +121,12 @@
     epoch: Epoch,
     instance: WorkerInstance,
   ): HostCallResult | undefined {
-    const { watch, registry } = this.options;
+    const { poller: watch, registry } = this.options;
     if (epoch < (watch.currentEpoch ?? 0)) {
       return { kind: "refused", reason: "fenced" };
     }
     // While it is open which life stands here, the worker's own answer decides.
-    return registry.mayStand(instance) ? undefined : { kind: "replaced" };
+    return registry.mayBeCurrent(instance) ? undefined : { kind: "replaced" };
   }
 
   private async repeat(
@@ -140,7 +140,7 @@
         return await call();
       } catch (err) {
         if (err instanceof WorkerReplacedError) {
-          registry.noteGone(instance, "another life answers");
+          registry.recordGone(instance, "another life answers");
           return { kind: "replaced" };
         }
         if (err instanceof TaskRefusedError) {
--- a/packages/side/src/jobs/UnansweredStarts.ts
+++ b/packages/side/src/jobs/UnansweredStarts.ts
@@ -32,7 +32,7 @@
   constructor(private readonly clock: Clock) {}
 
   /** That life is about to be told to start it. */
-  noteTried(instance: WorkerInstance, { task, run }: RunRef): void {
+  recordSent(instance: WorkerInstance, { task, run }: RunRef): void {
     const triedAt = this.clock.monotonic();
     this.starts.set(runKeyOf({ task, run }), {
       ref: { task, run },
@@ -43,18 +43,18 @@
   }
 
   /** Every order to start it was answered. */
-  noteAnswered(ref: RunRef): void {
+  recordAnswered(ref: RunRef): void {
     this.starts.delete(runKeyOf(ref));
   }
 
   /** The run never begins at that life. */
-  noteBarred(instance: WorkerInstance, ref: RunRef): void {
+  recordFenced(instance: WorkerInstance, ref: RunRef): void {
     const start = this.starts.get(runKeyOf(ref));
     if (start) start.barredAt = instance;
   }
 
   /** Runs that were ordered of other lives, and that may yet begin at this one. */
-  openAt(instance: WorkerInstance): readonly RunRef[] {
+  unfencedAt(instance: WorkerInstance): readonly RunRef[] {
     return this.ofOthers(instance)
       .filter(({ barredAt }) => barredAt !== instance)
       .map(({ ref }) => ref);
@@ -66,7 +66,7 @@
    * @param isBarred whether that life refuses the start, whenever it comes
    * @returns milliseconds; 0 when none may
    */
-  mayReachForMs(
+  mayArriveForMs(
     instance: WorkerInstance | undefined,
     isBarred: (run: RunRef) => boolean = () => false,
   ): number {
--- a/packages/side/src/jobs/WorkerWatch.ts
+++ b/packages/side/src/jobs/WorkerPoller.ts
@@ -22,10 +22,10 @@
   type PollResponse,
   type TaskHost,
 } from "@rackspan/ports";
-import { FormerStartBars } from "./FormerStartBars.js";
+import { PreviousStartFencer } from "./PreviousStartFencer.js";
 import type { Pacer } from "./Pacer.js";
 import { PACING } from "./PacePlanner.js";
-import { SentLease } from "./SentLease.js";
+import { SentLeaseTracker } from "./SentLeaseTracker.js";
 import type { WorkerRegistry } from "./WorkerRegistry.js";
 
 const WATCH = {
@@ -41,16 +41,16 @@
 } as const;
 
 /** What one look at the worker has shown. */
-export interface Sighting {
+export interface WorkerStatus {
   readonly instance: WorkerInstance;
   /** The epoch that the worker had heard by then. */
   readonly epoch: Epoch;
   readonly answer: PollResponse;
   /** When the call was made that it answers, on the side's clock. */
-  readonly askedAt: Monotonic;
+  readonly polledAt: Monotonic;
 }
 
-export interface WorkerWatchOptions {
+export interface WorkerPollerOptions {
   readonly registry: WorkerRegistry;
   readonly host: TaskHost;
   readonly pacer: Pacer;
@@ -62,13 +62,13 @@
   readonly longestLeaseMs: number;
 }
 
-export class WorkerWatch {
+export class WorkerPoller {
   /** Notified at the first look under an epoch, and when ends were listed. */
-  readonly news = new ChangeSignal();
+  readonly statusChanged = new ChangeSignal();
   private readonly abort = new AbortController();
   private readonly wake = new ChangeSignal();
   private epoch: Epoch | undefined;
-  private lastSighting: Sighting | undefined;
+  private lastSighting: WorkerStatus | undefined;
   /** When the last sighting arrived, on the side's clock. */
   private seenAt: Monotonic = -Infinity;
   private leaseUntil: WorkerTime | undefined;
@@ -77,19 +77,22 @@
   private pacedAt: Monotonic = -Infinity;
   private answering = true;
   private task: Promise<void> | undefined;
-  private readonly sent: SentLease;
-  private readonly formerStarts: FormerStartBars;
+  private readonly sent: SentLeaseTracker;
+  private readonly formerStarts: PreviousStartFencer;
 
-  constructor(private readonly options: WorkerWatchOptions) {
+  constructor(private readonly options: WorkerPollerOptions) {
     const { clock, longestLeaseMs, registry } = options;
-    this.sent = new SentLease({ clock, longestLeaseMs });
-    const { unanswered } = registry;
-    this.formerStarts = new FormerStartBars({ ...options, unanswered });
+    this.sent = new SentLeaseTracker({ clock, longestLeaseMs });
+    const { unansweredStarts: unanswered } = registry;
+    this.formerStarts = new PreviousStartFencer({
+      ...options,
+      unansweredStarts: unanswered,
+    });
   }
 
   start(): void {
     if (this.task) return;
-    this.sent.begin();
+    this.sent.start();
     this.task = this.run();
   }
 
@@ -100,7 +103,7 @@
   }
 
   /** The newest sighting under the current epoch. */
-  get sighting(): Sighting | undefined {
+  get currentStatus(): WorkerStatus | undefined {
     const seen = this.lastSighting;
     const { worker } = this.options.registry;
     if (!seen || seen.epoch !== this.epoch) return undefined;
@@ -112,12 +115,12 @@
   }
 
   /** An order that carries this lease is about to be sent to that life. */
-  noteOrdered(instance: WorkerInstance, leaseUntil: WorkerTime): void {
-    this.sent.noteSent(instance, leaseUntil);
+  recordLeaseSent(instance: WorkerInstance, leaseUntil: WorkerTime): void {
+    this.sent.recordSent(instance, leaseUntil);
   }
 
   /** Whether the last look at the worker was answered. */
-  get isAnswered(): boolean {
+  get isResponding(): boolean {
     return this.answering;
   }
 
@@ -141,11 +144,12 @@
    *
    * @returns milliseconds; undefined when it cannot be told
    */
-  boundLease(): number | undefined {
+  stopRenewingLease(): number | undefined {
     const { worker } = this.options.registry;
     this.leaseUntil = undefined;
     // Its lease is by the clock of another life.
-    if (this.formerStartsForMs(worker?.instance) > 0) this.sent.noteLongest();
+    if (this.previousStartsForMs(worker?.instance) > 0)
+      this.sent.assumeLongest();
     return this.sent.overInMs;
   }
 
@@ -156,9 +160,9 @@
    * @param instance undefined for a life that was not heard yet
    * @returns milliseconds; 0 when none may
    */
-  formerStartsForMs(instance: WorkerInstance | undefined): number {
+  previousStartsForMs(instance: WorkerInstance | undefined): number {
     const { registry, host } = this.options;
-    return registry.unanswered.mayReachForMs(
+    return registry.unansweredStarts.mayArriveForMs(
       instance,
       (run) =>
         instance !== undefined && host.rejectsStart?.(instance, run) === true,
@@ -174,8 +178,8 @@
   }
 
   /** Ends that were not acknowledged, of the newest sighting. */
-  get unacknowledged(): readonly EndedRun[] {
-    const ended = this.sighting?.answer.ended ?? [];
+  get unacknowledgedEnds(): readonly EndedRun[] {
+    const ended = this.currentStatus?.answer.ended ?? [];
     return ended.filter(({ number }) => number > this.acknowledged);
   }
 
@@ -190,7 +194,7 @@
       const seen = await this.look(worker.instance, this.epoch);
       if (!seen) {
         await pause(clock, WATCH.idleMs, this.abort.signal);
-      } else if (this.unacknowledged.length > 0) {
+      } else if (this.unacknowledgedEnds.length > 0) {
         await this.wake.wait(clock, WATCH.unacknowledgedMs);
       }
     }
@@ -204,11 +208,11 @@
     if (!this.lastSighting && !(await this.barFormerStarts(instance, epoch))) {
       return false;
     }
-    const isFirst = this.sighting === undefined;
+    const isFirst = this.currentStatus === undefined;
     const askedAt = this.options.clock.monotonic();
-    const waitMs = isFirst ? 0 : PACING.everyMs;
+    const waitMs = isFirst ? 0 : PACING.intervalMs;
     const leaseUntil = this.renewedLease();
-    if (leaseUntil !== undefined) this.sent.noteSent(instance, leaseUntil);
+    if (leaseUntil !== undefined) this.sent.recordSent(instance, leaseUntil);
     try {
       const answer = await host.poll(instance, {
         epoch,
@@ -216,15 +220,16 @@
         leaseUntil,
         waitMs,
       });
-      registry.noteAnswered(instance);
-      registry.runs.noteListed(instance, answer, askedAt);
-      this.take({ instance, epoch, answer, askedAt }, isFirst);
+      registry.confirmCurrent(instance);
+      registry.runs.recordListed(instance, answer, askedAt);
+      this.take({ instance, epoch, answer, polledAt: askedAt }, isFirst);
       return true;
     } catch (err) {
       if (this.hasBrokenOff(err, { askedAt, waitMs })) {
-        registry.runs.noteLookBroken(instance);
+        registry.runs.recordPollInterrupted(instance);
       }
-      if (err instanceof WorkerSilentError) registry.runs.noteSilent(instance);
+      if (err instanceof WorkerSilentError)
+        registry.runs.recordSilent(instance);
       this.noteFailure(instance, err);
       return false;
     }
@@ -238,7 +243,7 @@
     instance: WorkerInstance,
     epoch: Epoch,
   ): Promise<boolean> {
-    const errors = await this.formerStarts.barAll(instance, epoch);
+    const errors = await this.formerStarts.fenceAll(instance, epoch);
     for (const err of errors) this.noteFailure(instance, err);
     return errors.length === 0;
   }
@@ -273,7 +278,7 @@
     return until as WorkerTime;
   }
 
-  private take(seen: Sighting, isFirst: boolean): void {
+  private take(seen: WorkerStatus, isFirst: boolean): void {
     const { pacer, clock, logger } = this.options;
     if (!this.answering) {
       this.answering = true;
@@ -282,29 +287,29 @@
     this.lastSighting = seen;
     const now = clock.monotonic();
     this.seenAt = now;
-    this.sent.noteReading(seen.instance, seen.answer.at);
+    this.sent.recordClockReading(seen.instance, seen.answer.at);
     const last = seen.answer.ended.at(-1)?.number ?? 0;
     const hasNewEnds = last > this.highestEnd;
     this.highestEnd = Math.max(this.highestEnd, last);
-    if (now - this.pacedAt >= PACING.everyMs) {
+    if (now - this.pacedAt >= PACING.intervalMs) {
       this.pacedAt = now;
       pacer.adjust(seen.instance, seen.epoch, seen.answer.running);
     }
-    if (isFirst || hasNewEnds) this.news.notify();
+    if (isFirst || hasNewEnds) this.statusChanged.notify();
   }
 
   private noteFailure(instance: WorkerInstance, err: unknown): void {
     const { logger, registry } = this.options;
     if (err instanceof WorkerReplacedError) {
-      registry.noteGone(instance, "another life answers");
+      registry.recordGone(instance, "another life answers");
     }
     if (err instanceof WorkerSilentError && !err.mayHaveArrived) {
-      registry.noteUnreachable(instance);
+      registry.recordUnreachable(instance);
     }
     if (err instanceof TaskRefusedError && err.fenced) {
       logger.info("worker.fenced-us", { epoch: this.epoch });
       // Another process calls this worker, and may renew its lease.
-      this.sent.noteLongest();
+      this.sent.assumeLongest();
     }
     if (!this.answering) return;
     this.answering = false;
--- a/packages/side/src/jobs/WorkerRegistry.ts
+++ b/packages/side/src/jobs/WorkerRegistry.ts
@@ -10,7 +10,7 @@
   type WorkerInstance,
 } from "@rackspan/common";
 import type { WorkerDescription } from "@rackspan/protocol";
-import { RunsOfLives } from "./RunsOfLives.js";
+import { WorkerRunTracker } from "./WorkerRunTracker.js";
 import { UnansweredStarts } from "./UnansweredStarts.js";
 
 /** A heartbeat of the worker on this host. */
@@ -22,7 +22,7 @@
    * Whether it may be another life's that was heard; given only where the worker does
    * not say which of the lives under its id it is.
    */
-  readonly mayMean?: ((life: WorkerInstance) => boolean) | undefined;
+  readonly mayBeFrom?: ((life: WorkerInstance) => boolean) | undefined;
 }
 
 const REGISTRY = {
@@ -33,11 +33,11 @@
 } as const;
 
 /** What a worker says at its planned end. */
-export interface WorkerGoodbye {
+export interface WorkerDeregistration {
   /** The life that it names. */
-  readonly life: WorkerInstance;
+  readonly instance: WorkerInstance;
   /** Whether it may mean that life, where it does not name one that was heard. */
-  readonly mayMean: (life: WorkerInstance) => boolean;
+  readonly mayBeFrom: (life: WorkerInstance) => boolean;
 }
 
 /** The heartbeat of a worker that is not the one on this host. */
@@ -56,7 +56,7 @@
 }
 
 /** A heartbeat that leaves open which life it is from, where a life that says so stands. */
-export class OpenLifeError extends RackspanError {
+export class AmbiguousIncarnationError extends RackspanError {
   readonly kind = "open-life";
   constructor(instance: WorkerInstance) {
     super({
@@ -70,9 +70,9 @@
   /** Notified when the worker or its state changes. */
   readonly changed = new ChangeSignal();
   /** What runs at the lives that may be the present one, and what was lost with others. */
-  readonly runs: RunsOfLives;
+  readonly runs: WorkerRunTracker;
   /** Starts that a life may yet carry out, or its next one in its place. */
-  readonly unanswered: UnansweredStarts;
+  readonly unansweredStarts: UnansweredStarts;
   /** The life that ended last. */
   lastGone: WorkerInstance | undefined;
   private heartbeat: WorkerHeartbeat | undefined;
@@ -95,8 +95,8 @@
     private readonly logger: Logger,
     private readonly service?: ServiceName,
   ) {
-    this.runs = new RunsOfLives(clock);
-    this.unanswered = new UnansweredStarts(clock);
+    this.runs = new WorkerRunTracker(clock);
+    this.unansweredStarts = new UnansweredStarts(clock);
   }
 
   /** The life that was heard last and is not known to be over. */
@@ -113,14 +113,15 @@
    * @throws OtherServiceError when it does not come from the worker on this host
    * @throws OpenLifeError when it may come from another life than it names
    */
-  noteHeartbeat(beat: WorkerHeartbeat): void {
+  recordHeartbeat(beat: WorkerHeartbeat): void {
     const { instance, service } = beat.worker;
     if (this.service !== undefined && service !== this.service) {
       throw new OtherServiceError(instance, service, this.service);
     }
     const isOther = ({ worker }: WorkerHeartbeat): boolean =>
-      worker.instance !== instance && beat.mayMean?.(worker.instance) === true;
-    if (this.lives.some(isOther)) throw new OpenLifeError(instance);
+      worker.instance !== instance &&
+      beat.mayBeFrom?.(worker.instance) === true;
+    if (this.lives.some(isOther)) throw new AmbiguousIncarnationError(instance);
     const current = this.heartbeat;
     if (this.gone.has(instance)) return;
     if (this.isDisplaced(instance)) return;
@@ -141,14 +142,14 @@
   }
 
   /** Whether that life may be the present one: only an answer settles it. */
-  mayStand(instance: WorkerInstance): boolean {
+  mayBeCurrent(instance: WorkerInstance): boolean {
     const { heartbeat } = this;
     if (!heartbeat || heartbeat.worker.instance === instance) return true;
     return this.isDisplaced(instance);
   }
 
   /** That life of the worker has answered a call: those before are over. */
-  noteAnswered(instance: WorkerInstance): void {
+  confirmCurrent(instance: WorkerInstance): void {
     if (this.heartbeat?.worker.instance !== instance) return;
     for (const { worker } of this.displaced) this.ban(worker);
     this.displaced = [];
@@ -159,10 +160,13 @@
    * what was held up may come from one before: only one that drains can have said it,
    * and it is over once it can be reached no more.
    */
-  noteLeft({ life, mayMean }: WorkerGoodbye): void {
+  recordDeregistration({
+    instance: life,
+    mayBeFrom: mayMean,
+  }: WorkerDeregistration): void {
     const meant = this.lives.filter(({ worker }) => mayMean(worker.instance));
     if (meant.length === 0 || this.heard(life)) {
-      this.noteGone(life, "it said that it leaves");
+      this.recordGone(life, "it said that it leaves");
       return;
     }
     const draining = meant.filter(({ worker }) => worker.draining);
@@ -172,13 +176,13 @@
   }
 
   /** No connection to that life of the worker can be made. */
-  noteUnreachable(instance: WorkerInstance): void {
+  recordUnreachable(instance: WorkerInstance): void {
     if (!this.leaving.has(instance)) return;
-    this.noteGone(instance, "it said that it leaves, and cannot be reached");
+    this.recordGone(instance, "it said that it leaves, and cannot be reached");
   }
 
   /** That life of the worker is over. */
-  noteGone(instance: WorkerInstance, reason: string): void {
+  recordGone(instance: WorkerInstance, reason: string): void {
     if (this.gone.has(instance)) return;
     this.ban(this.heard(instance) ?? { instance, draining: false });
     this.lastGone = instance;
@@ -220,7 +224,7 @@
     instance,
     draining,
   }: Pick<WorkerDescription, "instance" | "draining">): void {
-    this.runs.endLife(instance, draining);
+    this.runs.endIncarnation(instance, draining);
     this.leaving.delete(instance);
     this.gone.add(instance);
     if (this.gone.size <= REGISTRY.maxGone) return;
--- a/packages/side/src/jobs/RunsOfLives.ts
+++ b/packages/side/src/jobs/WorkerRunTracker.ts
@@ -50,7 +50,7 @@
   silentSince: Monotonic | undefined;
 }
 
-export class RunsOfLives {
+export class WorkerRunTracker {
   private readonly lives = new BoundedMap<WorkerInstance, WorkerLife>(
     MEMORY.maxLives,
   );
@@ -66,23 +66,23 @@
   constructor(private readonly clock: Clock) {}
 
   /** The worker is about to be told to start it. */
-  noteOrdered(instance: WorkerInstance, ref: RunRef): void {
+  recordOrdered(instance: WorkerInstance, ref: RunRef): void {
     const runs = this.runsOf(instance);
     const key = runKeyOf(ref);
     if (!runs.has(key)) runs.set(key, this.begun(ref, true));
   }
 
   /** The order to start it is repeated until it is answered, or given up. */
-  noteOrderOpen(ref: RunRef): void {
+  recordOrderOpen(ref: RunRef): void {
     this.openOrders.add(runKeyOf(ref));
   }
 
-  noteOrderOver(ref: RunRef): void {
+  recordOrderClosed(ref: RunRef): void {
     this.openOrders.delete(runKeyOf(ref));
   }
 
   /** The worker has said that the run is there. */
-  noteStarted(instance: WorkerInstance, ref: RunRef, at: WorkerTime): void {
+  recordStarted(instance: WorkerInstance, ref: RunRef, at: WorkerTime): void {
     const life = this.lifeOf(instance);
     life.silentSince = undefined;
     const run = life.runs.get(runKeyOf(ref));
@@ -92,7 +92,7 @@
   }
 
   /** The run has not begun, and never will; its life may have ended meanwhile. */
-  noteRefused(instance: WorkerInstance, ref: RunRef): void {
+  recordRefused(instance: WorkerInstance, ref: RunRef): void {
     const key = runKeyOf(ref);
     this.lives.get(instance)?.runs.delete(key);
     if (!this.lost.get(key)) return;
@@ -101,7 +101,7 @@
   }
 
   /** @param askedAt when the worker was asked for these lists, on the side's clock */
-  noteListed(
+  recordListed(
     instance: WorkerInstance,
     { at, running, ended }: PollResponse,
     askedAt: Monotonic,
@@ -134,17 +134,17 @@
    * the connection broke off instead. If its life has ended, its runs were at work, but
    * for those that had ended while the look or its answer was held up on its way.
    */
-  noteLookBroken(instance: WorkerInstance): void {
+  recordPollInterrupted(instance: WorkerInstance): void {
     this.lifeOf(instance).lookBrokenAt = this.clock.monotonic();
   }
 
   /** The worker has not answered a look. */
-  noteSilent(instance: WorkerInstance): void {
+  recordSilent(instance: WorkerInstance): void {
     this.lifeOf(instance).silentSince ??= this.clock.monotonic();
   }
 
   /** @param wasPlanned whether the worker had said that it would leave */
-  endLife(instance: WorkerInstance, wasPlanned: boolean): void {
+  endIncarnation(instance: WorkerInstance, wasPlanned: boolean): void {
     const life = this.lives.get(instance);
     if (!life) return;
     this.lives.delete(instance);
@@ -156,36 +156,36 @@
   }
 
   /** Lost runs that no leader has answered for yet. */
-  get untold(): readonly LostRun[] {
+  get unreportedLostRuns(): readonly LostRun[] {
     return [...this.lost].map(([key, run]) =>
       this.openOrders.has(key) ? { ...run, isOrderOpen: true } : run,
     );
   }
 
   /** Runs that had ended before their lives did, of which no leader has taken note yet. */
-  get unheardEnds(): readonly RunRef[] {
+  get unreportedEnds(): readonly RunRef[] {
     return [...this.ended].map(([, ref]) => ref);
   }
 
   /** Lost runs that never began, of which no leader has taken note yet. */
-  get neverBegun(): readonly RunRef[] {
+  get unreportedNeverBegun(): readonly RunRef[] {
     return [...this.notBegun].map(([, ref]) => ref);
   }
 
   /** A leader has taken note of them; of those with an open order the rest is to come. */
-  noteTold(told: readonly LostRun[]): void {
+  markLostRunsReported(told: readonly LostRun[]): void {
     for (const run of told) {
       if (!run.isOrderOpen) this.lost.delete(runKeyOf(run));
     }
   }
 
   /** A leader has taken note of them. */
-  noteEndsTold(told: readonly RunRef[]): void {
+  markEndsReported(told: readonly RunRef[]): void {
     for (const ref of told) this.ended.delete(runKeyOf(ref));
   }
 
   /** A leader has taken note of them. */
-  noteNeverBegunTold(told: readonly RunRef[]): void {
+  markNeverBegunReported(told: readonly RunRef[]): void {
     for (const ref of told) this.notBegun.delete(runKeyOf(ref));
   }
 
--- a/packages/side/src/jobs/paceFactors.ts
+++ b/packages/side/src/jobs/paceFactors.ts
@@ -13,17 +13,17 @@
 import type { RunningTask } from "@rackspan/ports";
 
 /** Where these come from: docs/CAPACITY.md, "How values were found". */
-export const PACE_LAW = {
+export const PACE_FACTORS = {
   /** Differences to the aim below this change nothing; logarithm. */
   deadband: 0.07,
   /** Tasks use at least this share of what they did after one change. */
-  leastFactor: 0.4,
+  minFactor: 0.4,
   /** They use at most this many times as much. */
-  mostFactor: 2,
+  maxFactor: 2,
   /** A pair below this weight is taken as harmless; logarithm a core. */
-  leastWeight: 0.02,
+  minWeight: 0.02,
   /** A task that adds less than this share of what the worst one adds is not to blame. */
-  leastBlamedShare: 0.1,
+  minBlamedShare: 0.1,
 } as const;
 
 export interface ServingTail {
@@ -47,7 +47,7 @@
 
 export const paceFactors = (options: PaceFactorsOptions): PaceFactors => {
   const factors = new Map<RunningTask, number>();
-  for (const row of options.filling) factors.set(row, PACE_LAW.mostFactor);
+  for (const row of options.filling) factors.set(row, PACE_FACTORS.maxFactor);
   for (const server of options.serving) {
     for (const [row, factor] of factorsBeside(server, options)) {
       factors.set(row, Math.min(factor, factors.get(row) ?? factor));
@@ -67,12 +67,13 @@
   const added = new Map<RunningTask, number>();
   for (const row of filling) {
     const weight = weightOf(server.image, row);
-    if (weight < PACE_LAW.leastWeight) continue;
+    if (weight < PACE_FACTORS.minWeight) continue;
     added.set(row, (weight * row.reading) / MILLI_CORES_PER_CORE);
   }
   const headroom = headroomOf(server, aim);
-  if (headroom < -PACE_LAW.deadband) return slowDown(filling, added, headroom);
-  const isNear = headroom <= PACE_LAW.deadband;
+  if (headroom < -PACE_FACTORS.deadband)
+    return slowDown(filling, added, headroom);
+  const isNear = headroom <= PACE_FACTORS.deadband;
   const factor = isNear ? 1 : speedUpFactor(added, headroom);
   return new Map([...added.keys()].map((row) => [row, factor]));
 };
@@ -85,11 +86,11 @@
   const total = sumOf(added.values());
   if (total <= 0) {
     // No pair is known to disturb: any of the tasks may be the cause.
-    const factor = Math.max(PACE_LAW.leastFactor, Math.exp(headroom));
+    const factor = Math.max(PACE_FACTORS.minFactor, Math.exp(headroom));
     return new Map(filling.map((row) => [row, factor]));
   }
-  const factor = Math.max(PACE_LAW.leastFactor, 1 + headroom / total);
-  const least = PACE_LAW.leastBlamedShare * Math.max(...added.values());
+  const factor = Math.max(PACE_FACTORS.minFactor, 1 + headroom / total);
+  const least = PACE_FACTORS.minBlamedShare * Math.max(...added.values());
   const blamed = [...added].filter(([, share]) => share >= least);
   return new Map(blamed.map(([row]) => [row, factor]));
 };
@@ -99,8 +100,8 @@
   headroom: number,
 ): number => {
   const total = sumOf(added.values());
-  if (total <= 0) return PACE_LAW.mostFactor;
-  return Math.min(PACE_LAW.mostFactor, 1 + headroom / total);
+  if (total <= 0) return PACE_FACTORS.maxFactor;
+  return Math.min(PACE_FACTORS.maxFactor, 1 + headroom / total);
 };
 
 const sumOf = (values: Iterable<number>): number => {
--- a/packages/side/src/jobs/forgetOtherRuns.ts
+++ b/packages/side/src/jobs/retainListedRuns.ts
@@ -3,7 +3,7 @@
 import { runKeyOf, type RunningTask } from "@rackspan/ports";
 
 /** Drops what is kept of runs that are not listed any more. */
-export const forgetOtherRuns = (
+export const retainListedRuns = (
   byRun: Map<string, unknown>,
   running: readonly RunningTask[],
 ): void => {
--- a/packages/side/src/sideHandlers.ts
+++ b/packages/side/src/sideHandlers.ts
@@ -6,16 +6,16 @@
 import { LeavingError, NotReadyError, ReservationGoneError } from "./errors.js";
 import type { RequestFences } from "./RequestFences.js";
 import type { SideSettings } from "./settings.js";
-import type { StatusBoard } from "./StatusBoard.js";
-import type { TaskHolder } from "./TaskHolder.js";
+import type { StatusPublisher } from "./StatusPublisher.js";
+import type { TaskSupervisor } from "./TaskSupervisor.js";
 
 export interface SideHandlersOptions {
   readonly settings: SideSettings;
   readonly incarnation: Incarnation;
-  readonly tasks: TaskHolder;
+  readonly tasks: TaskSupervisor;
   readonly commitments: Commitments;
   readonly fences: RequestFences;
-  readonly board: StatusBoard;
+  readonly statusPublisher: StatusPublisher;
   readonly clock: Clock;
   readonly logger: Logger;
 }
@@ -26,7 +26,7 @@
   tasks,
   commitments,
   fences,
-  board,
+  statusPublisher: board,
   logger,
 }: SideHandlersOptions): Handlers<SideMethods> => ({
   sync: ({ knownIncarnation, knownRevision, waitMs }) =>
@@ -85,7 +85,7 @@
 
   drain: async () => {
     logger.info("host.drain");
-    board.leave();
+    board.startLeaving();
     await tasks.stopAll();
     return {};
   },
--- a/packages/side/tests/buildSide.ts
+++ b/packages/side/tests/buildSide.ts
@@ -8,7 +8,7 @@
 } from "@rackspan/common";
 import type { TaskHost } from "@rackspan/ports";
 import { Pacer, TaskOrders, WorkerRegistry, WorkerWatch } from "@rackspan/side";
-import { beatOf } from "./beatOf.js";
+import { createHeartbeat } from "./createHeartbeat.js";
 
 export interface SideOptions {
   /** How the worker answers. */
@@ -37,7 +37,7 @@
   };
   const pacer = new Pacer({ ...base, tailGraceMs: 4_000, tailAim: 0.9 });
   const registry = new WorkerRegistry(clock, silentLogger);
-  for (const life of heard) registry.noteHeartbeat(beatOf(life));
+  for (const life of heard) registry.recordHeartbeat(createHeartbeat(life));
   const watch = new WorkerWatch({
     ...base,
     registry,
@@ -45,7 +45,7 @@
     unattendedLeaseMs,
     longestLeaseMs,
   });
-  const orders = new TaskOrders({ ...base, registry, watch, pacer });
+  const orders = new TaskOrders({ ...base, registry, poller: watch, pacer });
   /** Ends the watch once its look is over. */
   const stop = async (): Promise<void> => {
     const stopped = watch.stop();
--- a/packages/side/tests/beatOf.ts
+++ b/packages/side/tests/createHeartbeat.ts
@@ -3,7 +3,10 @@
 import { brand, type ServiceName, type WorkerInstance } from "@rackspan/common";
 import type { WorkerHeartbeat } from "@rackspan/side";
 
-export const beatOf = (life: string, sequence = 1): WorkerHeartbeat => ({
+export const createHeartbeat = (
+  life: string,
+  sequence = 1,
+): WorkerHeartbeat => ({
   worker: {
     instance: brand<WorkerInstance>(life),
     service: brand<ServiceName>("kaigi"),
--- a/packages/side/tests/fencedLease.test.ts
+++ b/packages/side/tests/fencedLease.test.ts
@@ -20,9 +20,9 @@
   type TaskHost,
 } from "@rackspan/ports";
 import { FencedTaskHost } from "@rackspan/side";
-import { beatOf } from "./beatOf.js";
+import { createHeartbeat } from "./createHeartbeat.js";
 import { buildSide } from "./buildSide.js";
-import { listOf } from "./listOf.js";
+import { pollResponseOf } from "./pollResponseOf.js";
 import { START_CALL } from "./startCall.js";
 
 const CALL_TIMEOUT_MS = 400;
@@ -52,7 +52,7 @@
       if (worker.isSilent) return fallSilent();
       obey(epoch);
       await sleep(clock, waitMs);
-      return worker.isSilent ? fallSilent() : listOf(at());
+      return worker.isSilent ? fallSilent() : pollResponseOf(at());
     },
     start: (_: WorkerInstance, order: RunStart) => {
       worker.starts.push(order);
@@ -83,7 +83,7 @@
   void orders.start({ ...START_CALL, instance: FIRST, epoch: EPOCH });
   await clock.advance(CALL_TIMEOUT_MS);
   worker.heard = 0;
-  registry.noteHeartbeat(beatOf("w2"));
+  registry.recordHeartbeat(createHeartbeat("w2"));
   await clock.advance(11_000);
   expect(worker.starts.every(({ epoch }) => epoch < worker.heard)).toEqual(
     true,
@@ -92,7 +92,7 @@
   await clock.advance(1_000);
   worker.isSilent = true;
   await clock.advance(2 * CALL_TIMEOUT_MS);
-  const overInMs = watch.boundLease() ?? Infinity;
+  const overInMs = watch.stopRenewingLease() ?? Infinity;
   const mostMs = latestLeaseExpiry(0, UNATTENDED_MS);
   expect(Math.max(overInMs, mostMs)).toEqual(mostMs);
   await stop();
--- a/packages/side/tests/brokenLook.test.ts
+++ b/packages/side/tests/interruptedPoll.test.ts
@@ -18,7 +18,7 @@
   type TaskHost,
 } from "@rackspan/ports";
 import { buildSide } from "./buildSide.js";
-import { listOf } from "./listOf.js";
+import { pollResponseOf } from "./pollResponseOf.js";
 
 const INSTANCE = brand<WorkerInstance>("w1");
 const RUN = { task: "j.0.0.0", run: 3 } as unknown as RunRef;
@@ -60,7 +60,7 @@
       return new Promise((resolve, reject) => {
         breakOff = reject;
         clock.after(waitMs, () => {
-          if (!isDead) resolve(listOf(clock.monotonic(), [RUN]));
+          if (!isDead) resolve(pollResponseOf(clock.monotonic(), [RUN]));
         });
       });
     },
@@ -84,7 +84,7 @@
   breakOff(new WorkerSilentError("the call broke off"));
   await clock.advance(1_000);
   await stop();
-  const told = registry.runs.untold.find(
+  const told = registry.runs.unreportedLostRuns.find(
     (run) => runKeyOf(run) === runKeyOf(RUN),
   );
   return told?.wasAtWork;
--- a/packages/side/tests/lostPaces.test.ts
+++ b/packages/side/tests/lostPaceOrders.test.ts
@@ -42,8 +42,10 @@
     host: worker,
     fillingImages: { heavy: "render" },
   });
-  pacer.learn([{ serving: "web", filling: "render", weight: 0.2 }]);
-  pacer.noteStarted(RUN);
+  pacer.updateDisturbances([
+    { serving: "web", filling: "render", weight: 0.2 },
+  ]);
+  pacer.recordStarting(RUN);
   const look = async (tailMs: number) => {
     pacer.adjust(INSTANCE, EPOCH, [row("server", tailMs), row("heavy", 2_000)]);
     await clock.advance(LOOK_MS);
@@ -73,7 +75,7 @@
   const { clock, worker, pacer, look } = setUp();
   worker.answers = false;
   const first = { instance: INSTANCE, epoch: EPOCH, firstPercent: 30 };
-  pacer.paceFirst({ ...RUN, ...first });
+  pacer.orderFirstPace({ ...RUN, ...first });
   await clock.advance(10);
   worker.answers = true;
   await look(9);
--- a/packages/side/tests/orderedFromSilentWorker.test.ts
+++ b/packages/side/tests/orderedFromSilentWorker.test.ts
@@ -9,7 +9,7 @@
   type WorkerInstance,
 } from "@rackspan/common";
 import { WorkerSilentError, type RunRef, type TaskHost } from "@rackspan/ports";
-import { beatOf } from "./beatOf.js";
+import { createHeartbeat } from "./createHeartbeat.js";
 import { buildSide } from "./buildSide.js";
 
 const INSTANCE = brand<WorkerInstance>("w1");
@@ -24,14 +24,16 @@
     host,
     heard: [INSTANCE],
   });
-  registry.runs.noteOrdered(INSTANCE, BEFORE);
+  registry.runs.recordOrdered(INSTANCE, BEFORE);
   watch.raiseEpoch(1 as unknown as Epoch);
   watch.start();
   await clock.advance(350);
-  registry.runs.noteOrdered(INSTANCE, AFTER);
-  registry.noteHeartbeat(beatOf("w2"));
-  registry.noteAnswered(brand<WorkerInstance>("w2"));
-  const told = registry.runs.untold.map(({ orderedMs = 0 }) => orderedMs < 0);
+  registry.runs.recordOrdered(INSTANCE, AFTER);
+  registry.recordHeartbeat(createHeartbeat("w2"));
+  registry.confirmCurrent(brand<WorkerInstance>("w2"));
+  const told = registry.runs.unreportedLostRuns.map(
+    ({ orderedMs = 0 }) => orderedMs < 0,
+  );
   expect(told).toEqual([false, true]);
   await stop();
 });
--- a/packages/side/tests/pacer.test.ts
+++ b/packages/side/tests/pacer.test.ts
@@ -31,7 +31,7 @@
     host,
     fillingImages: { heavy: "render", light: "index" },
   });
-  const startOf = (task: string) => pacer.noteStarted(runOf(task));
+  const startOf = (task: string) => pacer.recordStarting(runOf(task));
   startOf("heavy");
   startOf("light");
   const lookAt = (tailMs: number, used: number) =>
@@ -62,7 +62,9 @@
 
 test("only the image that is known to disturb is slowed", () => {
   const { pacer, look, paceOf } = setUp();
-  pacer.learn([{ serving: "web", filling: "render", weight: 0.2 }]);
+  pacer.updateDisturbances([
+    { serving: "web", filling: "render", weight: 0.2 },
+  ]);
   look(2);
   look(HOT_MS);
   // Two cores add 0.4 to the logarithm, which must shrink by 0.15.
@@ -71,7 +73,9 @@
 
 test("the same reading, looked at again, does not slow a task twice", () => {
   const { pacer, look, paceOf, orders } = setUp();
-  pacer.learn([{ serving: "web", filling: "render", weight: 0.2 }]);
+  pacer.updateDisturbances([
+    { serving: "web", filling: "render", weight: 0.2 },
+  ]);
   look(2);
   look(HOT_MS);
   look(HOT_MS);
@@ -80,7 +84,9 @@
 
 test("a slowed task speeds up again only while the tail has slack", () => {
   const { pacer, look, paceOf } = setUp();
-  pacer.learn([{ serving: "web", filling: "render", weight: 0.2 }]);
+  pacer.updateDisturbances([
+    { serving: "web", filling: "render", weight: 0.2 },
+  ]);
   look(2);
   look(HOT_MS);
   look(9);
@@ -91,7 +97,9 @@
 
 test("a task speeds up by what is left to the aim, then by a few points a look", () => {
   const { pacer, look, paceOf } = setUp();
-  pacer.learn([{ serving: "web", filling: "render", weight: 0.4 }]);
+  pacer.updateDisturbances([
+    { serving: "web", filling: "render", weight: 0.4 },
+  ]);
   look(2);
   look(HOT_MS);
   expect(paceOf("heavy")).toEqual(40);
@@ -113,7 +121,9 @@
 
 test("a new task begins at the pace that the tails allow", () => {
   const { pacer, paceOf, startOf } = setUp();
-  pacer.learn([{ serving: "web", filling: "render", weight: 0.3 }]);
+  pacer.updateDisturbances([
+    { serving: "web", filling: "render", weight: 0.3 },
+  ]);
   startOf("heavy");
   pacer.adjust(INSTANCE, EPOCH, [row("server", 4), row("heavy", 0)]);
   // A tail of 0.4 may grow by 0.81, of the 1.2 that the whole task would add:
@@ -131,7 +141,9 @@
     tailTargetMs: 0,
     milliCores: 4_000,
   });
-  pacer.learn([{ serving: "web", filling: "render", weight: 0.3 }]);
+  pacer.updateDisturbances([
+    { serving: "web", filling: "render", weight: 0.3 },
+  ]);
   startOf("heavy2");
   pacer.adjust(INSTANCE, EPOCH, [
     row("server", 9),
@@ -144,7 +156,9 @@
 
 test("every filling task is slowed, then stands still, while a tail stays over its target", async () => {
   const { pacer, look, lookFor, paceOf } = setUp();
-  pacer.learn([{ serving: "web", filling: "render", weight: 0.2 }]);
+  pacer.updateDisturbances([
+    { serving: "web", filling: "render", weight: 0.2 },
+  ]);
   look(2);
   await lookFor(11, 1_000);
   expect(paceOf("light")).toEqual(undefined);
@@ -161,7 +175,9 @@
 
 test("a short time over the target does not count against what was learnt", async () => {
   const { pacer, lookFor, paceOf } = setUp();
-  pacer.learn([{ serving: "web", filling: "render", weight: 0.2 }]);
+  pacer.updateDisturbances([
+    { serving: "web", filling: "render", weight: 0.2 },
+  ]);
   for (let turn = 0; turn < 5; turn += 1) {
     await lookFor(11, 750);
     await lookFor(9.5, 250);
@@ -171,7 +187,9 @@
 
 test("a run that an earlier process started is given a pace by what it uses", () => {
   const { pacer, paceOf, orders } = setUp();
-  pacer.learn([{ serving: "web", filling: "render", weight: 0.2 }]);
+  pacer.updateDisturbances([
+    { serving: "web", filling: "render", weight: 0.2 },
+  ]);
   pacer.adjust(INSTANCE, EPOCH, [
     row("server", 9),
     { ...row("heavy", 1_000), run: brand<RunNumber>(2) },
@@ -195,9 +213,11 @@
 test("a task's first pace is ordered at once, and speeds up while the tail has slack", () => {
   const { pacer, look, paceOf, orders } = setUp();
   const ref = runOf("heavy");
-  pacer.learn([{ serving: "web", filling: "render", weight: 0.2 }]);
+  pacer.updateDisturbances([
+    { serving: "web", filling: "render", weight: 0.2 },
+  ]);
   const first = { instance: INSTANCE, epoch: EPOCH, firstPercent: 30 };
-  pacer.paceFirst({ ...ref, ...first });
+  pacer.orderFirstPace({ ...ref, ...first });
   expect([paceOf("heavy"), orders.length]).toEqual([30, 1]);
   look(9);
   expect(paceOf("heavy")).toEqual(30);
@@ -210,6 +230,6 @@
   look(2);
   const ref = runOf("heavy");
   const first = { instance: INSTANCE, epoch: EPOCH, firstPercent: 30 };
-  pacer.paceFirst({ ...ref, ...first });
+  pacer.orderFirstPace({ ...ref, ...first });
   expect([paceOf("heavy"), orders.length]).toEqual([undefined, 0]);
 });
--- a/packages/side/tests/listOf.ts
+++ b/packages/side/tests/pollResponseOf.ts
@@ -3,7 +3,7 @@
 import type { WorkerTime } from "@rackspan/common";
 import type { PollResponse, RunRef } from "@rackspan/ports";
 
-export const listOf = (
+export const pollResponseOf = (
   at: number,
   running: readonly RunRef[] = [],
 ): PollResponse => ({
--- a/packages/side/tests/formerStarts.test.ts
+++ b/packages/side/tests/previousStarts.test.ts
@@ -20,9 +20,9 @@
   type TaskHost,
 } from "@rackspan/ports";
 import type { StartTaskCall } from "@rackspan/protocol";
-import { beatOf } from "./beatOf.js";
+import { createHeartbeat } from "./createHeartbeat.js";
 import { buildSide } from "./buildSide.js";
-import { listOf } from "./listOf.js";
+import { pollResponseOf } from "./pollResponseOf.js";
 import { START_CALL } from "./startCall.js";
 
 const CALL_TIMEOUT_MS = 400;
@@ -66,7 +66,7 @@
       reach(instance);
       await sleep(clock, waitMs);
       reach(instance);
-      return listOf(at());
+      return pollResponseOf(at());
     },
     start: async (instance: WorkerInstance) => {
       reach(instance);
@@ -92,7 +92,7 @@
     void orders.start(orderOf(worker.life, run));
   const replace = (life: string): void => {
     worker.life = life;
-    registry.noteHeartbeat(beatOf(life));
+    registry.recordHeartbeat(createHeartbeat(life));
   };
   return { clock, watch, worker, registry, order, replace, stop };
 };
@@ -104,7 +104,7 @@
   replace("w2");
   await clock.advance(SOON_MS);
   expect(worker.bars).toEqual([7]);
-  expect(watch.sighting?.instance).toEqual(brand<WorkerInstance>("w2"));
+  expect(watch.currentStatus?.instance).toEqual(brand<WorkerInstance>("w2"));
   await stop();
 });
 
@@ -116,7 +116,7 @@
   replace("w2");
   await clock.advance(SOON_MS);
   expect(worker.bars).toEqual([]);
-  expect(watch.sighting?.instance).toEqual(brand<WorkerInstance>("w2"));
+  expect(watch.currentStatus?.instance).toEqual(brand<WorkerInstance>("w2"));
   await stop();
 });
 
@@ -138,10 +138,10 @@
   worker.silentBars.add(8);
   replace("w2");
   await clock.advance(CALL_TIMEOUT_MS + SOON_MS);
-  expect(watch.sighting).toEqual(undefined);
+  expect(watch.currentStatus).toEqual(undefined);
   worker.silentBars.clear();
   await clock.advance(CALL_TIMEOUT_MS + SOON_MS);
-  expect(watch.sighting?.instance).toEqual(brand<WorkerInstance>("w2"));
+  expect(watch.currentStatus?.instance).toEqual(brand<WorkerInstance>("w2"));
   expect(worker.bars.filter((run) => run !== 8).sort()).toEqual([7, 9]);
   await stop();
 });
@@ -156,7 +156,7 @@
   worker.silentBars.clear();
   await clock.advance(CALL_TIMEOUT_MS / 4);
   expect(worker.bars).toEqual([7, 7]);
-  expect(watch.sighting?.instance).toEqual(brand<WorkerInstance>("w2"));
+  expect(watch.currentStatus?.instance).toEqual(brand<WorkerInstance>("w2"));
   await stop();
 });
 
@@ -181,11 +181,11 @@
   await clock.advance(CALL_TIMEOUT_MS);
   replace("w2");
   await clock.advance(SOON_MS);
-  expect(watch.sighting?.instance).toEqual(brand<WorkerInstance>("w2"));
+  expect(watch.currentStatus?.instance).toEqual(brand<WorkerInstance>("w2"));
   worker.life = "none";
-  expect((watch.boundLease() ?? 0) >= LONGEST_LEASE_MS).toEqual(true);
+  expect((watch.stopRenewingLease() ?? 0) >= LONGEST_LEASE_MS).toEqual(true);
   await clock.advance(LATEST_MS + 2 * LONGEST_LEASE_MS);
-  expect(watch.boundLease()).toEqual(0);
+  expect(watch.stopRenewingLease()).toEqual(0);
   await stop();
 });
 
@@ -198,12 +198,12 @@
   ];
   order(7);
   await clock.advance(CALL_TIMEOUT_MS);
-  expect(registry.unanswered.mayReachForMs(former)).toEqual(0);
+  expect(registry.unansweredStarts.mayArriveForMs(former)).toEqual(0);
   replace("w2");
   await clock.advance(SOON_MS);
-  expect(registry.unanswered.openAt(next)).toEqual([]);
-  expect(registry.unanswered.mayReachForMs(next) > 12_000).toEqual(true);
+  expect(registry.unansweredStarts.unfencedAt(next)).toEqual([]);
+  expect(registry.unansweredStarts.mayArriveForMs(next) > 12_000).toEqual(true);
   await clock.advance(LATEST_MS);
-  expect(registry.unanswered.mayReachForMs(next)).toEqual(0);
+  expect(registry.unansweredStarts.mayArriveForMs(next)).toEqual(0);
   await stop();
 });
--- a/packages/side/tests/toldToReplacedLeader.test.ts
+++ b/packages/side/tests/reportToReplacedLeader.test.ts
@@ -11,7 +11,7 @@
   type WorkerInstance,
 } from "@rackspan/common";
 import { SilenceReporter, WorkerRegistry } from "@rackspan/side";
-import { beatOf } from "./beatOf.js";
+import { createHeartbeat } from "./createHeartbeat.js";
 
 const FIRST = brand<WorkerInstance>("w1");
 const RUN = { task: brand<JobTaskId>("j.0.0.0"), run: brand<RunNumber>(7) };
@@ -19,20 +19,24 @@
 test("a run that never began is told to the next leader when the one that heard of it grants nothing", async () => {
   const clock = new ManualClock();
   const registry = new WorkerRegistry(clock, silentLogger);
-  registry.noteHeartbeat(beatOf("w1"));
-  registry.runs.noteOrdered(FIRST, RUN);
-  registry.noteHeartbeat(beatOf("w2"));
-  registry.noteAnswered(brand<WorkerInstance>("w2"));
-  registry.runs.noteRefused(FIRST, RUN);
+  registry.recordHeartbeat(createHeartbeat("w1"));
+  registry.runs.recordOrdered(FIRST, RUN);
+  registry.recordHeartbeat(createHeartbeat("w2"));
+  registry.confirmCurrent(brand<WorkerInstance>("w2"));
+  registry.runs.recordRefused(FIRST, RUN);
   const silence = new SilenceReporter({
     connection: { call: () => Promise.resolve({ grants: false }) },
     attachedAt: clock.monotonic(),
     registry,
-    watch: { boundLease: () => 0, isAnswered: false, currentEpoch: 1 },
+    poller: {
+      stopRenewingLease: () => 0,
+      isResponding: false,
+      currentEpoch: 1,
+    },
     clock,
     logger: silentLogger,
     callTimeoutMs: 1_000,
   } as unknown as ConstructorParameters<typeof SilenceReporter>[0]);
-  await silence.tell();
-  expect(registry.runs.neverBegun).toEqual([RUN]);
+  await silence.report();
+  expect(registry.runs.unreportedNeverBegun).toEqual([RUN]);
 });
--- a/packages/side/tests/sentLease.test.ts
+++ b/packages/side/tests/sentLeaseTracker.test.ts
@@ -26,7 +26,7 @@
 const create = (longestLeaseMs = LONGEST_MS) => {
   const clock = new ManualClock();
   const sent = new SentLease({ clock, longestLeaseMs });
-  sent.begin();
+  sent.start();
   return { clock, sent };
 };
 
@@ -35,22 +35,22 @@
   const { clock, sent } = create();
   await clock.advance(2 * LONGEST_MS);
   expect(sent.overInMs).toEqual(0);
-  sent.noteReading(LIFE, at(0));
+  sent.recordClockReading(LIFE, at(0));
   return { clock, sent };
 };
 
 test("a side that has started anew counts the longest lease of the process before", async () => {
   const { clock, sent } = create();
   expect(sent.overInMs).toEqual(lasts(LONGEST_MS));
-  sent.noteReading(LIFE, at(0));
-  sent.noteSent(LIFE, at(1_000));
+  sent.recordClockReading(LIFE, at(0));
+  sent.recordSent(LIFE, at(1_000));
   await clock.advance(3_000);
   expect(sent.overInMs).toEqual(lasts(LONGEST_MS) - 3_000);
 });
 
 test("a lease that was sent counts with the drift of the worker's clock, answered or not", async () => {
   const { clock, sent } = await createLater();
-  sent.noteSent(LIFE, at(6_000));
+  sent.recordSent(LIFE, at(6_000));
   expect(sent.overInMs).toEqual(lasts(6_000));
   await clock.advance(2_000);
   expect(sent.overInMs).toEqual(lasts(6_000) - 2_000);
@@ -58,35 +58,35 @@
 
 test("a shorter lease that is sent later does not shorten one before", async () => {
   const { sent } = await createLater();
-  sent.noteSent(LIFE, at(6_000));
-  sent.noteSent(LIFE, at(2_500));
+  sent.recordSent(LIFE, at(6_000));
+  sent.recordSent(LIFE, at(2_500));
   expect(sent.overInMs).toEqual(lasts(6_000));
 });
 
 test("a lease counts from the newest reading, however late it is sent", async () => {
   const { clock, sent } = await createLater();
   await clock.advance(4_000);
-  sent.noteSent(LIFE, at(6_000));
+  sent.recordSent(LIFE, at(6_000));
   expect(sent.overInMs).toEqual(lasts(6_000) - 4_000);
 });
 
 test("a lease to a life whose clock is not known counts as the longest from now", async () => {
   const { sent } = await createLater();
-  sent.noteSent(NEXT_LIFE, at(100));
+  sent.recordSent(NEXT_LIFE, at(100));
   expect(sent.overInMs).toEqual(lasts(LONGEST_MS));
 });
 
 test("a lease of a former life still counts once the next one has answered", async () => {
   const { sent } = await createLater();
-  sent.noteSent(LIFE, at(6_000));
-  sent.noteReading(NEXT_LIFE, 5 as unknown as WorkerTime);
-  sent.noteSent(NEXT_LIFE, 1_005 as unknown as WorkerTime);
+  sent.recordSent(LIFE, at(6_000));
+  sent.recordClockReading(NEXT_LIFE, 5 as unknown as WorkerTime);
+  sent.recordSent(NEXT_LIFE, 1_005 as unknown as WorkerTime);
   expect(sent.overInMs).toEqual(lasts(6_000));
 });
 
 test("a suspended machine makes no lease end sooner", async () => {
   const { clock, sent } = await createLater();
-  sent.noteSent(LIFE, at(6_000));
+  sent.recordSent(LIFE, at(6_000));
   clock.suspend(5_000);
   expect(sent.overInMs).toEqual(lasts(6_000));
 });
--- a/packages/side/tests/silentWorker.test.ts
+++ b/packages/side/tests/silentWorker.test.ts
@@ -18,7 +18,7 @@
   type TaskHost,
 } from "@rackspan/ports";
 import { buildSide } from "./buildSide.js";
-import { listOf } from "./listOf.js";
+import { pollResponseOf } from "./pollResponseOf.js";
 import { START_CALL } from "./startCall.js";
 
 const INSTANCE = brand<WorkerInstance>("w1");
@@ -52,7 +52,7 @@
       const takesMs = isAnswered ? waitMs : TIMEOUT_MS;
       await new Promise<void>((resolve) => clock.after(takesMs, resolve));
       if (!isAnswered) throw new WorkerSilentError("no answer");
-      return listOf(workerTime());
+      return pollResponseOf(workerTime());
     },
     start: async (): Promise<never> => {
       throw new WorkerSilentError("no answer");
@@ -103,14 +103,16 @@
   worker.answers = false;
   await clock.advance(SEVERAL_LOOKS_MS);
   lead(2);
-  const overInMs = watch.boundLease() ?? 0;
+  const overInMs = watch.stopRenewingLease() ?? 0;
   const overBy = clock.monotonic() + overInMs;
   const now = clock.monotonic();
   const lastMs = Math.max(...leasesOf(looks)) - now;
   expect(overInMs >= lastMs * (1 + LEASE.workerClockDrift)).toEqual(true);
   expect(overInMs <= UNATTENDED_MS * 1.1).toEqual(true);
   await clock.advance(SEVERAL_LOOKS_MS);
-  expect(clock.monotonic() + (watch.boundLease() ?? 0) <= overBy).toEqual(true);
+  expect(
+    clock.monotonic() + (watch.stopRenewingLease() ?? 0) <= overBy,
+  ).toEqual(true);
   await stop();
 });
 
@@ -125,7 +127,7 @@
   worker.answers = false;
   await clock.advance(SEVERAL_LOOKS_MS);
   if (changesLeader) lead(2);
-  watch.boundLease();
+  watch.stopRenewingLease();
   const told = looks.length;
   worker.answers = true;
   await clock.advance(SEVERAL_LOOKS_MS);
@@ -165,7 +167,7 @@
     leaseUntil,
   });
   lead(2);
-  expect((watch.boundLease() ?? 0) >= LONGEST_MS).toEqual(true);
+  expect((watch.stopRenewingLease() ?? 0) >= LONGEST_MS).toEqual(true);
   await stop();
   await ordered;
 });
@@ -174,6 +176,6 @@
   const { clock, watch, worker, stop } = await watchWorker();
   worker.fences = true;
   await clock.advance(SEVERAL_LOOKS_MS);
-  expect((watch.boundLease() ?? 0) >= LONGEST_MS).toEqual(true);
+  expect((watch.stopRenewingLease() ?? 0) >= LONGEST_MS).toEqual(true);
   await stop();
 });
--- a/packages/side/tests/taskOrders.test.ts
+++ b/packages/side/tests/taskOrderHandler.test.ts
@@ -52,9 +52,9 @@
   const { instance } = START_CALL;
   const result = orders.start(START_CALL);
   await clock.advance(500);
-  registry.noteGone(instance, "another life answers");
+  registry.recordGone(instance, "another life answers");
   const isOpen = () =>
-    registry.runs.untold.map(({ isOrderOpen }) => isOrderOpen);
+    registry.runs.unreportedLostRuns.map(({ isOrderOpen }) => isOrderOpen);
   expect(isOpen()).toEqual([true]);
   await clock.advance(2_000);
   expect(await result).toEqual({ kind: "silent" });
--- a/packages/side/tests/unattendedLease.test.ts
+++ b/packages/side/tests/unattendedLease.test.ts
@@ -11,7 +11,7 @@
 } from "@rackspan/common";
 import type { PollResponse, PollRequest, TaskHost } from "@rackspan/ports";
 import { buildSide } from "./buildSide.js";
-import { listOf } from "./listOf.js";
+import { pollResponseOf } from "./pollResponseOf.js";
 
 const UNATTENDED_MS = 3_000;
 /** The worker's clock is ahead of the side's by this, milliseconds. */
@@ -36,7 +36,7 @@
     ): Promise<PollResponse> => {
       renewals.push({ at: workerTime(), leaseUntil });
       await new Promise<void>((resolve) => clock.after(waitMs, resolve));
-      return listOf(workerTime());
+      return pollResponseOf(workerTime());
     },
   } as unknown as TaskHost;
   const { watch, stop } = buildSide({
--- a/packages/side/tests/runsOfLives.test.ts
+++ b/packages/side/tests/workerRunTracker.test.ts
@@ -14,8 +14,8 @@
 import type { PollResponse, RunRef } from "@rackspan/ports";
 import type { LostRun } from "@rackspan/protocol";
 import { WorkerRegistry } from "@rackspan/side";
-import { beatOf } from "./beatOf.js";
-import { listOf } from "./listOf.js";
+import { createHeartbeat } from "./createHeartbeat.js";
+import { pollResponseOf } from "./pollResponseOf.js";
 
 const FIRST = brand<WorkerInstance>("w1");
 const RUN: RunRef = {
@@ -27,84 +27,84 @@
 const setUp = () => {
   const clock = new ManualClock();
   const registry = new WorkerRegistry(clock, silentLogger);
-  registry.noteHeartbeat(beatOf("w1"));
-  registry.runs.noteOrdered(FIRST, RUN);
+  registry.recordHeartbeat(createHeartbeat("w1"));
+  registry.runs.recordOrdered(FIRST, RUN);
   const crash = (): void => {
-    registry.noteHeartbeat(beatOf("w2"));
-    registry.noteAnswered(brand<WorkerInstance>("w2"));
+    registry.recordHeartbeat(createHeartbeat("w2"));
+    registry.confirmCurrent(brand<WorkerInstance>("w2"));
   };
   /** @returns how long before the broken look each lost run was ordered */
   const crashAfterNextOrder = () => {
-    registry.runs.noteOrdered(FIRST, { ...RUN, run: brand<RunNumber>(8) });
+    registry.runs.recordOrdered(FIRST, { ...RUN, run: brand<RunNumber>(8) });
     crash();
-    return registry.runs.untold.map(({ orderedMs }) => orderedMs);
+    return registry.runs.unreportedLostRuns.map(({ orderedMs }) => orderedMs);
   };
   return { clock, registry, crash, crashAfterNextOrder };
 };
 
 test("a run that was ordered in a life that crashed is told", () => {
   const { registry, crash } = setUp();
-  expect(registry.runs.untold).toEqual([]);
+  expect(registry.runs.unreportedLostRuns).toEqual([]);
   crash();
-  expect(registry.runs.untold).toEqual([
+  expect(registry.runs.unreportedLostRuns).toEqual([
     { ...RUN, workedMs: undefined, wasAtWork: false },
   ]);
 });
 
 test("it is told how long the worker had shown the run", () => {
   const { registry, crash } = setUp();
-  registry.runs.noteStarted(FIRST, RUN, timeOf(1_000));
-  registry.runs.noteListed(FIRST, listOf(1_400, [RUN]), 0);
+  registry.runs.recordStarted(FIRST, RUN, timeOf(1_000));
+  registry.runs.recordListed(FIRST, pollResponseOf(1_400, [RUN]), 0);
   crash();
-  expect(registry.runs.untold).toEqual([
+  expect(registry.runs.unreportedLostRuns).toEqual([
     { ...RUN, workedMs: 400, wasAtWork: false },
   ]);
 });
 
 test("lists that were on their way when the run started do not end it", () => {
   const { registry, crash } = setUp();
-  registry.runs.noteStarted(FIRST, RUN, timeOf(1_000));
-  registry.runs.noteListed(FIRST, listOf(990, []), 0);
+  registry.runs.recordStarted(FIRST, RUN, timeOf(1_000));
+  registry.runs.recordListed(FIRST, pollResponseOf(990, []), 0);
   crash();
-  expect(registry.runs.untold.length).toEqual(1);
+  expect(registry.runs.unreportedLostRuns.length).toEqual(1);
 });
 
 test("a run that has ended, or was refused, or lapsed is not told", async () => {
   const ended = setUp();
-  ended.registry.runs.noteStarted(FIRST, RUN, timeOf(1_000));
-  ended.registry.runs.noteListed(FIRST, listOf(1_500, []), 0);
+  ended.registry.runs.recordStarted(FIRST, RUN, timeOf(1_000));
+  ended.registry.runs.recordListed(FIRST, pollResponseOf(1_500, []), 0);
   ended.crash();
-  expect(ended.registry.runs.untold).toEqual([]);
+  expect(ended.registry.runs.unreportedLostRuns).toEqual([]);
   const refused = setUp();
-  refused.registry.runs.noteRefused(FIRST, RUN);
+  refused.registry.runs.recordRefused(FIRST, RUN);
   refused.crash();
-  expect(refused.registry.runs.untold).toEqual([]);
+  expect(refused.registry.runs.unreportedLostRuns).toEqual([]);
   const lapsed = setUp();
   await lapsed.clock.advance(10_000);
-  lapsed.registry.runs.noteListed(FIRST, listOf(10_000, []), 10_000);
+  lapsed.registry.runs.recordListed(FIRST, pollResponseOf(10_000, []), 10_000);
   lapsed.crash();
-  expect(lapsed.registry.runs.untold).toEqual([]);
+  expect(lapsed.registry.runs.unreportedLostRuns).toEqual([]);
 });
 
 test("a run that is refused after its life has ended is not told", () => {
   const { registry, crash } = setUp();
   crash();
-  registry.runs.noteRefused(FIRST, RUN);
-  expect(registry.runs.untold).toEqual([]);
+  registry.runs.recordRefused(FIRST, RUN);
+  expect(registry.runs.unreportedLostRuns).toEqual([]);
 });
 
 test("it is told that a run was ordered after its worker had stopped answering", async () => {
   const { clock, registry, crash } = setUp();
   const shown: RunRef = { ...RUN, run: brand<RunNumber>(9) };
-  registry.runs.noteOrdered(FIRST, shown);
-  registry.runs.noteStarted(FIRST, shown, timeOf(1_000));
-  registry.runs.noteSilent(FIRST);
+  registry.runs.recordOrdered(FIRST, shown);
+  registry.runs.recordStarted(FIRST, shown, timeOf(1_000));
+  registry.runs.recordSilent(FIRST);
   await clock.advance(40);
-  registry.runs.noteSilent(FIRST);
+  registry.runs.recordSilent(FIRST);
   const late: RunRef = { ...RUN, run: brand<RunNumber>(8) };
-  registry.runs.noteOrdered(FIRST, late);
+  registry.runs.recordOrdered(FIRST, late);
   crash();
-  expect(registry.runs.untold).toEqual([
+  expect(registry.runs.unreportedLostRuns).toEqual([
     { ...RUN, workedMs: undefined, wasAtWork: false },
     { ...shown, workedMs: 0, wasAtWork: false },
     { ...late, wasAtWork: false, orderedMs: -40 },
@@ -113,132 +113,136 @@
 
 test("a worker that answers a start may carry out the next one", async () => {
   const { clock, registry, crashAfterNextOrder } = setUp();
-  registry.runs.noteSilent(FIRST);
+  registry.runs.recordSilent(FIRST);
   await clock.advance(40);
-  registry.runs.noteStarted(FIRST, RUN, timeOf(1_000));
+  registry.runs.recordStarted(FIRST, RUN, timeOf(1_000));
   await clock.advance(40);
   expect(crashAfterNextOrder()).toEqual([undefined, undefined]);
 });
 
 test("a worker that answers again may carry out what is ordered then", async () => {
   const { clock, registry, crashAfterNextOrder } = setUp();
-  registry.runs.noteSilent(FIRST);
+  registry.runs.recordSilent(FIRST);
   await clock.advance(40);
-  registry.runs.noteListed(FIRST, listOf(1_000, []), 0);
+  registry.runs.recordListed(FIRST, pollResponseOf(1_000, []), 0);
   expect(crashAfterNextOrder()).toEqual([undefined, undefined]);
 });
 
 test("runs of a worker that leaves as it had said are not told", () => {
   const { registry } = setUp();
-  const leaving = beatOf("w1", 2);
-  registry.noteHeartbeat({
+  const leaving = createHeartbeat("w1", 2);
+  registry.recordHeartbeat({
     ...leaving,
     worker: { ...leaving.worker, draining: true },
   });
-  registry.noteGone(FIRST, "it said that it leaves");
-  expect(registry.runs.untold).toEqual([]);
+  registry.recordGone(FIRST, "it said that it leaves");
+  expect(registry.runs.unreportedLostRuns).toEqual([]);
 });
 
 test("what a leader has answered is told no more", () => {
   const { registry, crash } = setUp();
   crash();
-  registry.runs.noteTold(registry.runs.untold);
-  expect(registry.runs.untold).toEqual([]);
+  registry.runs.markLostRunsReported(registry.runs.unreportedLostRuns);
+  expect(registry.runs.unreportedLostRuns).toEqual([]);
 });
 
 test("a lost run whose order is open is told again once the order is over", () => {
   const { registry, crash } = setUp();
   const { runs } = registry;
-  runs.noteOrderOpen(RUN);
+  runs.recordOrderOpen(RUN);
   crash();
   const lost = { ...RUN, workedMs: undefined, wasAtWork: false };
-  expect(runs.untold).toEqual([{ ...lost, isOrderOpen: true }]);
-  runs.noteTold(runs.untold);
-  expect(runs.untold).toEqual([{ ...lost, isOrderOpen: true }]);
-  const told = runs.untold;
-  runs.noteOrderOver(RUN);
+  expect(runs.unreportedLostRuns).toEqual([{ ...lost, isOrderOpen: true }]);
+  runs.markLostRunsReported(runs.unreportedLostRuns);
+  expect(runs.unreportedLostRuns).toEqual([{ ...lost, isOrderOpen: true }]);
+  const told = runs.unreportedLostRuns;
+  runs.recordOrderClosed(RUN);
   // The leader's answer is to what was told before.
-  runs.noteTold(told);
-  expect(runs.untold).toEqual([lost]);
-  runs.noteTold(runs.untold);
-  expect(runs.untold).toEqual([]);
+  runs.markLostRunsReported(told);
+  expect(runs.unreportedLostRuns).toEqual([lost]);
+  runs.markLostRunsReported(runs.unreportedLostRuns);
+  expect(runs.unreportedLostRuns).toEqual([]);
 });
 
 test("a run that was told as lost and never began is told as such until a leader answers", () => {
   const { registry, crash } = setUp();
   const { runs } = registry;
-  runs.noteOrderOpen(RUN);
+  runs.recordOrderOpen(RUN);
   crash();
-  runs.noteTold(runs.untold);
-  runs.noteRefused(FIRST, RUN);
-  runs.noteOrderOver(RUN);
-  expect(runs.untold).toEqual([]);
-  expect(runs.neverBegun).toEqual([RUN]);
-  runs.noteNeverBegunTold(runs.neverBegun);
-  expect(runs.neverBegun).toEqual([]);
+  runs.markLostRunsReported(runs.unreportedLostRuns);
+  runs.recordRefused(FIRST, RUN);
+  runs.recordOrderClosed(RUN);
+  expect(runs.unreportedLostRuns).toEqual([]);
+  expect(runs.unreportedNeverBegun).toEqual([RUN]);
+  runs.markNeverBegunReported(runs.unreportedNeverBegun);
+  expect(runs.unreportedNeverBegun).toEqual([]);
 });
 
 test("a run that is refused while its life stands is told in no way", () => {
   const { registry, crash } = setUp();
-  registry.runs.noteRefused(FIRST, RUN);
+  registry.runs.recordRefused(FIRST, RUN);
   crash();
-  expect(registry.runs.neverBegun).toEqual([]);
+  expect(registry.runs.unreportedNeverBegun).toEqual([]);
 });
 
 const listOfEnd = (at: number): PollResponse => ({
-  ...listOf(at, []),
+  ...pollResponseOf(at, []),
   ended: [{ ...RUN, number: 1, outcome: "done", checkpoint: "" }],
 });
 
 test("a run whose end was listed before its life ended is told as ended until a leader answers", () => {
   const { registry, crash } = setUp();
   const { runs } = registry;
-  runs.noteStarted(FIRST, RUN, timeOf(1_000));
-  runs.noteListed(FIRST, listOfEnd(1_500), 0);
-  expect(runs.unheardEnds).toEqual([]);
+  runs.recordStarted(FIRST, RUN, timeOf(1_000));
+  runs.recordListed(FIRST, listOfEnd(1_500), 0);
+  expect(runs.unreportedEnds).toEqual([]);
   crash();
-  expect(runs.untold).toEqual([]);
-  expect(runs.unheardEnds).toEqual([RUN]);
-  runs.noteEndsTold(runs.unheardEnds);
-  expect(runs.unheardEnds).toEqual([]);
+  expect(runs.unreportedLostRuns).toEqual([]);
+  expect(runs.unreportedEnds).toEqual([RUN]);
+  runs.markEndsReported(runs.unreportedEnds);
+  expect(runs.unreportedEnds).toEqual([]);
 });
 
 test("an end that a leader has acknowledged is told no more once its life has ended", () => {
   const { registry, crash } = setUp();
   const { runs } = registry;
-  runs.noteStarted(FIRST, RUN, timeOf(1_000));
-  runs.noteListed(FIRST, listOfEnd(1_500), 0);
-  runs.noteListed(FIRST, listOf(1_600, []), 0);
+  runs.recordStarted(FIRST, RUN, timeOf(1_000));
+  runs.recordListed(FIRST, listOfEnd(1_500), 0);
+  runs.recordListed(FIRST, pollResponseOf(1_600, []), 0);
   crash();
-  expect(runs.unheardEnds).toEqual([]);
+  expect(runs.unreportedEnds).toEqual([]);
 });
 
 test("a run is told as one at work only if the last look broke off while it would have told of an end", () => {
   const broken = setUp();
-  broken.registry.runs.noteStarted(FIRST, RUN, timeOf(1_000));
-  broken.registry.runs.noteLookBroken(FIRST);
+  broken.registry.runs.recordStarted(FIRST, RUN, timeOf(1_000));
+  broken.registry.runs.recordPollInterrupted(FIRST);
   broken.crash();
-  expect(broken.registry.runs.untold.map(wasAtWork)).toEqual([true]);
+  expect(broken.registry.runs.unreportedLostRuns.map(wasAtWork)).toEqual([
+    true,
+  ]);
   const goesOn = setUp();
-  goesOn.registry.runs.noteLookBroken(FIRST);
+  goesOn.registry.runs.recordPollInterrupted(FIRST);
   // Only the connection was reset: the run may end unheard of later.
-  goesOn.registry.runs.noteListed(FIRST, listOf(1_200, [RUN]), 0);
+  goesOn.registry.runs.recordListed(FIRST, pollResponseOf(1_200, [RUN]), 0);
   goesOn.crash();
-  expect(goesOn.registry.runs.untold.map(wasAtWork)).toEqual([false]);
+  expect(goesOn.registry.runs.unreportedLostRuns.map(wasAtWork)).toEqual([
+    false,
+  ]);
 });
 
 // A look or its answer may be held up on its way for as long as the run takes to end.
 test("it is told how long a run can have worked when the look broke off", async () => {
   const { clock, registry, crash } = setUp();
   await clock.advance(30);
-  registry.runs.noteStarted(FIRST, RUN, timeOf(1_000));
-  registry.runs.noteListed(FIRST, listOf(1_090, [RUN]), 0);
+  registry.runs.recordStarted(FIRST, RUN, timeOf(1_000));
+  registry.runs.recordListed(FIRST, pollResponseOf(1_090, [RUN]), 0);
   await clock.advance(605);
-  registry.runs.noteLookBroken(FIRST);
+  registry.runs.recordPollInterrupted(FIRST);
   // The next life is heard of later.
   await clock.advance(2_000);
   crash();
-  expect(registry.runs.untold).toEqual([
+  expect(registry.runs.unreportedLostRuns).toEqual([
     { ...RUN, workedMs: 90, wasAtWork: true, orderedMs: 635 },
   ]);
 });
@@ -246,11 +250,13 @@
 test("a run that a former process of the side ordered may have worked for any time", async () => {
   const { clock, registry, crash } = setUp();
   const former: RunRef = { ...RUN, run: brand<RunNumber>(8) };
-  registry.runs.noteListed(FIRST, listOf(1_000, [former]), 0);
+  registry.runs.recordListed(FIRST, pollResponseOf(1_000, [former]), 0);
   await clock.advance(20);
-  registry.runs.noteLookBroken(FIRST);
+  registry.runs.recordPollInterrupted(FIRST);
   crash();
-  const told = registry.runs.untold.find(({ run }) => run === former.run);
+  const told = registry.runs.unreportedLostRuns.find(
+    ({ run }) => run === former.run,
+  );
   expect(told?.orderedMs).toEqual(Number.MAX_SAFE_INTEGER);
 });
 
