--- a/packages/cli/src/OperatorClient.ts
+++ b/packages/cli/src/OperatorClient.ts
@@ -1,4 +1,4 @@
-/** Calls entries on an operator's behalf: the first that answers will do. */
+/** Calls entries on behalf of an operator; the first reachable entry is used. */
 
 import { RackspanError } from "@rackspan/common";
 import { OPERATOR_METHODS, type OperatorMethods } from "@rackspan/entry";
@@ -14,7 +14,7 @@
   constructor(addresses: readonly string[], cause: unknown) {
     super({
       what: `no entry answers at ${addresses.join(", ") || "(no address)"}`,
-      remedy: "give --entry IP:PORT of a running entry's control address",
+      remedy: "set --entry to the control address (IP:PORT) of a running entry",
       cause,
     });
   }
@@ -26,8 +26,8 @@
   constructor(private readonly addresses: readonly string[]) {}
 
   /**
-   * Tries the next entry only when nothing was sent to the one before.
-   * @throws NoEntryError when none could be reached
+   * Tries the next entry only if nothing was sent to the previous one.
+   * @throws NoEntryError if no entry could be reached
    */
   async call<M extends keyof OperatorMethods & string>(
     method: M,
--- a/packages/cli/src/Output.ts
+++ b/packages/cli/src/Output.ts
@@ -1,8 +1,8 @@
-/** Where commands write; a test passes its own. */
+/** Where commands write; tests pass their own implementation. */
 export interface Output {
-  /** A line for standard output: results. */
+  /** Writes a line of results to standard output. */
   line(text: string): void;
-  /** A line for standard error: what went wrong. */
+  /** Writes a line about a failure to standard error. */
   error(text: string): void;
 }
 
@@ -11,7 +11,7 @@
   error: (text) => void process.stderr.write(`${text}\n`),
 };
 
-/** Rows as columns of equal width; the first row is the head. */
+/** Formats rows as aligned columns; the first row is the header. */
 export const formatTable = (rows: readonly (readonly string[])[]): string => {
   const widths: number[] = [];
   for (const row of rows) {
--- a/packages/cli/src/addSettingsOptions.ts
+++ b/packages/cli/src/addSettingsOptions.ts
@@ -1,4 +1,4 @@
-/** The options by which both binaries find their settings. */
+/** The command-line options for settings, shared by both binaries. */
 
 import type { Command } from "commander";
 
@@ -18,7 +18,7 @@
     .requiredOption("--config <file>", "settings, JSON with comments")
     .option(
       "--set <path=value>",
-      "override a setting; goes before the environment, which goes before the file",
+      "override a setting; takes precedence over the environment, which takes precedence over the file",
       collect,
       [] as readonly string[],
     );
--- a/packages/cli/src/commands/apply.ts
+++ b/packages/cli/src/commands/apply.ts
@@ -16,7 +16,7 @@
 
 const POLL_MS = 100;
 
-/** In force at every entry that the host list shows as live. */
+/** Waits until the version is in force at every entry that is live in the host list. */
 const waitUntilInForce = async (
   { client, output }: CommandContext,
   version: number,
@@ -55,9 +55,9 @@
       )
       .option(
         "--dry-run",
-        "show what would change, and exit with 10 if anything would",
+        "show what would change, and exit with code 10 if there are changes",
       )
-      .option("--prune", "remove what is in force and not declared")
+      .option("--prune", "remove what is in force but not declared")
       .option("--wait", "wait until the change is in force at every entry")
       .option("--timeout-ms <ms>", "longest wait", "10000");
   },
@@ -80,7 +80,7 @@
     });
     if (!verdict.accepted) {
       output.error(
-        `not accepted: ${verdict.reason}: ${verdict.detail}; look at the other change, then apply again`,
+        `not accepted: ${verdict.reason}: ${verdict.detail}; check the conflicting change, then apply again`,
       );
       return EXIT_CODE.REFUSED;
     }
--- a/packages/cli/src/commands/check.ts
+++ b/packages/cli/src/commands/check.ts
@@ -13,7 +13,7 @@
 import { readDeclarations } from "../readDeclarations.js";
 import { registerCommand } from "./registry.js";
 
-/** Declarations name a kind; settings name where they listen. */
+/** Settings contain a listen address; declarations do not. */
 const isSettings = (value: unknown): boolean =>
   typeof value === "object" && value !== null && "listen" in value;
 
--- a/packages/cli/src/commands/get.ts
+++ b/packages/cli/src/commands/get.ts
@@ -1,4 +1,4 @@
-/** `rackspan get`: declarations in force, or the state of units. */
+/** `rackspan get`: shows declarations in force, or the state of units. */
 
 import { EXIT_CODE } from "../exitCodes.js";
 import { formatTable } from "../Output.js";
@@ -19,9 +19,9 @@
       .argument("<what>", "config or units")
       .argument(
         "[prefix]",
-        "only units whose id starts so, as job/ or service/roll-call",
+        "only units whose id has this prefix, for example job/ or service/roll-call",
       )
-      .option("--json", "for programs");
+      .option("--json", "print JSON");
   },
   perform: async ({ client, output }, [what, prefix], { json }) => {
     if (what === "config") {
--- a/packages/cli/src/commands/hosts.ts
+++ b/packages/cli/src/commands/hosts.ts
@@ -1,4 +1,4 @@
-/** `rackspan drain` and `rackspan fence`. */
+/** `rackspan drain` and `rackspan fence`: commands for hosts. */
 
 import { hostId } from "@rackspan/common";
 import { EXIT_CODE } from "../exitCodes.js";
@@ -13,7 +13,7 @@
   name: "drain",
   summary: "take a host out of service; its work moves to other hosts",
   define: (command) => {
-    command.argument("<host>", "a host's name, as rackspan status shows it");
+    command.argument("<host>", "host name as shown by rackspan status");
   },
   perform: async ({ client, output }, [host]) => {
     const verdict = await client.call("drain", {
@@ -26,19 +26,19 @@
 registerCommand<FenceOptions>({
   name: "fence",
   summary:
-    "certify that nothing runs on a host any more, so that its work can go on elsewhere",
+    "certify that nothing runs on a host any more, so that its work can run elsewhere",
   define: (command) => {
     command
-      .argument("<host>", "a host's name")
+      .argument("<host>", "host name")
       .option(
         "--i-have-checked-that-it-is-down",
-        "the host is off or wiped; work would run twice if not",
+        "confirm that the host is off or wiped; otherwise its work would run twice",
       );
   },
   perform: async ({ client, output }, [host], options) => {
     if (!options.iHaveCheckedThatItIsDown) {
       output.error(
-        "fencing a host that still runs lets its work run twice; make sure that it is down, then give --i-have-checked-that-it-is-down",
+        "fencing a host that is still running lets its work run twice; make sure that it is down, then pass --i-have-checked-that-it-is-down",
       );
       return EXIT_CODE.BAD_INPUT;
     }
--- a/packages/cli/src/commands/registry.ts
+++ b/packages/cli/src/commands/registry.ts
@@ -1,4 +1,4 @@
-/** Commands register themselves here; each stands in a file of its own. */
+/** Registry of commands; each command registers itself from its own file. */
 
 import { Command } from "commander";
 import type { ExitCode } from "../exitCodes.js";
@@ -8,7 +8,7 @@
 export interface CommandContext {
   readonly output: Output;
   readonly client: OperatorClient;
-  /** Lets a long-running command take note of SIGTERM and SIGINT. */
+  /** Aborted on SIGTERM and SIGINT, so that long-running commands can stop. */
   readonly stop: AbortSignal;
 }
 
--- a/packages/cli/src/commands/status.ts
+++ b/packages/cli/src/commands/status.ts
@@ -1,4 +1,4 @@
-/** `rackspan status`: hosts, zones, configuration in force, queues and refusals. */
+/** `rackspan status`: shows entries, hosts, units and refusals. */
 
 import { sleep, SystemClock } from "@rackspan/common";
 import type { OperatorStatus } from "@rackspan/entry";
@@ -51,7 +51,7 @@
   );
 };
 
-/** Tables for people. */
+/** Formats the status as tables. */
 export const formatStatus = (status: OperatorStatus): string => {
   const { open, claimed, finished } = status.units;
   const parts = [
@@ -90,8 +90,8 @@
   summary: "show entries, hosts, units and refusals",
   define: (command) => {
     command
-      .option("--json", "for programs")
-      .option("--watch", "show it again each second");
+      .option("--json", "print JSON")
+      .option("--watch", "refresh every second");
   },
   perform: async ({ client, output, stop }, _args, { json, watch }) => {
     const clock = new SystemClock({ keepsProcessAlive: true });
--- a/packages/cli/src/commands/units.ts
+++ b/packages/cli/src/commands/units.ts
@@ -1,4 +1,4 @@
-/** `rackspan submit` and `rackspan cancel`. */
+/** `rackspan submit`, `rackspan cancel` and `rackspan throttle`: commands for units. */
 
 import { unitId } from "@rackspan/common";
 import { EXIT_CODE, type ExitCode } from "../exitCodes.js";
@@ -17,7 +17,7 @@
     for (const declaration of readDeclarations(paths)) {
       if (declaration.kind !== "job") {
         output.error(
-          `${declaration.kind}/${declaration.name} is no job; publish it with rackspan apply`,
+          `${declaration.kind}/${declaration.name} is not a job; publish it with rackspan apply`,
         );
         worst = EXIT_CODE.BAD_INPUT;
         continue;
@@ -32,12 +32,9 @@
 
 registerCommand({
   name: "cancel",
-  summary: "cancel units, as job/minutes-0412",
+  summary: "cancel units, for example job/minutes-0412",
   define: (command) => {
-    command.argument(
-      "<unit...>",
-      "ids of units, as rackspan get units shows them",
-    );
+    command.argument("<unit...>", "unit ids as shown by rackspan get units");
   },
   perform: async ({ client, output }, units) => {
     let worst: ExitCode = EXIT_CODE.OK;
@@ -59,16 +56,13 @@
   summary: "limit the running attempt of a unit to a share of its processors",
   define: (command) => {
     command
-      .argument("<unit>", "a unit's id, as rackspan get units shows it")
-      .requiredOption(
-        "--share <share>",
-        "from 0.01 to 1; 1 takes the limit away",
-      );
+      .argument("<unit>", "unit id as shown by rackspan get units")
+      .requiredOption("--share <share>", "from 0.01 to 1; 1 removes the limit");
   },
   perform: async ({ client, output }, [unit], { share }) => {
     const limit = Number(share);
     if (!(limit >= 0.01 && limit <= 1)) {
-      output.error(`--share ${share} is not from 0.01 to 1`);
+      output.error(`--share ${share} is not in the range 0.01 to 1`);
       return EXIT_CODE.BAD_INPUT;
     }
     const { host } = await client.call("throttle", {
--- a/packages/cli/src/diffDeclarations.ts
+++ b/packages/cli/src/diffDeclarations.ts
@@ -1,4 +1,4 @@
-/** What has to change so that the configuration in force becomes the declared one. */
+/** Computes the changes that turn the configuration in force into the declared one. */
 
 import { isDeepStrictEqual } from "node:util";
 import { declarationKey, type Change, type Declaration } from "@rackspan/state";
@@ -12,7 +12,7 @@
 export interface DiffOptions {
   readonly current: readonly Declaration[];
   readonly declared: readonly Declaration[];
-  /** Whether what is not declared is removed. */
+  /** Whether to remove what is in force but not declared. */
   readonly prune: boolean;
 }
 
@@ -47,6 +47,6 @@
 
 const SIGNS = { add: "+", change: "~", remove: "-" } as const;
 
-/** One line for each change, as `+ service/roll-call`. */
+/** Formats one line for each change, for example `+ service/roll-call`. */
 export const formatDiff = (entries: readonly DiffEntry[]): string =>
   entries.map(({ key, action }) => `${SIGNS[action]} ${key}`).join("\n");
--- a/packages/cli/src/exitCodes.ts
+++ b/packages/cli/src/exitCodes.ts
@@ -2,13 +2,13 @@
 export const EXIT_CODE = {
   OK: 0,
   FAILED: 1,
-  /** Wrong arguments, or faults in settings or declarations. */
+  /** Invalid arguments, settings or declarations. */
   BAD_INPUT: 2,
-  /** A conflict, or a refusal by the system. */
+  /** A conflict, or the request was refused. */
   REFUSED: 3,
   /** No entry could be reached. */
   UNREACHABLE: 4,
-  /** A wait ended before what was waited for came about. */
+  /** A wait timed out. */
   TIMED_OUT: 5,
   /** `apply --dry-run` found changes. */
   CHANGES: 10,
--- a/packages/cli/src/handleFailure.ts
+++ b/packages/cli/src/handleFailure.ts
@@ -1,4 +1,4 @@
-/** Turns a failure of a command into a message and an exit code. */
+/** Maps a failure of a command to a message and an exit code. */
 
 import { CommanderError } from "commander";
 import { RackspanError } from "@rackspan/common";
@@ -9,7 +9,7 @@
 
 export const handleFailure = (err: unknown, output: Output): ExitCode => {
   if (err instanceof CommanderError) {
-    // Commander has written its own message already.
+    // Commander has already written its own message.
     return err.exitCode === 0 ? EXIT_CODE.OK : EXIT_CODE.BAD_INPUT;
   }
   if (err instanceof SettingsError) {
--- a/packages/cli/src/jobPrograms.ts
+++ b/packages/cli/src/jobPrograms.ts
@@ -1,4 +1,4 @@
-/** The two programs that run jobs: `entry`, and `run` beside each worker. */
+/** The two programs for jobs: `rackspan entry`, and `rackspan-side run` beside each worker. */
 
 import { Command } from "commander";
 import type { z } from "zod";
@@ -15,7 +15,7 @@
 import { runProgram, type RunOptions } from "./runProgram.js";
 import type { SettingsOptions } from "./addSettingsOptions.js";
 
-/** Names the settings file when `--config` does not. */
+/** Names the settings file if `--config` is not given. */
 const CONFIG_VARIABLE = "RACKSPAN_CONFIG";
 
 interface JobProcess extends StoppableProcess {
@@ -39,7 +39,7 @@
     )
     .option(
       "--set <path=value>",
-      "override a setting; goes before the environment, which goes before the file",
+      "override a setting; takes precedence over the environment, which takes precedence over the file",
       (value: string, before: readonly string[]) => [...before, value],
       [] as readonly string[],
     );
@@ -59,8 +59,8 @@
   });
 
 /**
- * Checks the settings again on SIGHUP, so that a fault shows before the next
- * start needs them. What they say takes effect at that start.
+ * Validates the settings again on SIGHUP, so that faults are found before the next start.
+ * Changed settings take effect only at the next start.
  */
 const checkOnSignal = (read: () => unknown, logger: Logger): void => {
   process.on("SIGHUP", () => {
@@ -102,7 +102,7 @@
   runJobProgram(options, {
     name: "rackspan",
     command: "entry",
-    summary: "take jobs of callers, and schedule them when it leads",
+    summary: "accept jobs from callers, and schedule them while leading",
     schema: jobEntrySettingsSchema,
     create: (settings) => new JobEntryProcess({ settings }),
   });
@@ -111,7 +111,7 @@
   runJobProgram(options, {
     name: "rackspan-side",
     command: "run",
-    summary: "run tasks of jobs at the worker of this host",
+    summary: "run tasks of jobs on the worker of this host",
     schema: jobSideSettingsSchema,
     create: (settings) => new JobSideProcess({ settings }),
   });
--- a/packages/cli/src/readDeclarations.ts
+++ b/packages/cli/src/readDeclarations.ts
@@ -1,4 +1,4 @@
-/** Reads declarations from files and folders, and reports every fault at once. */
+/** Reads declarations from files and folders, and reports all faults together. */
 
 import { readdirSync, statSync } from "node:fs";
 import { join } from "node:path";
@@ -21,7 +21,7 @@
 
 const FILE_PATTERN = /\.jsonc?$/;
 
-/** One declaration, or a list of them. */
+/** A file contains one declaration or a list of them. */
 const fileSchema = z.union([
   z.array(z.unknown()),
   z.record(z.string(), z.unknown()),
@@ -48,7 +48,7 @@
   return declarations;
 };
 
-/** What is wrong with a policy's program; nothing for other declarations. */
+/** Faults in the program of a policy; empty for other declarations. */
 const policyFaults = (
   document: SourceDocument,
   declaration: Declaration,
@@ -78,7 +78,7 @@
         file: paths.join(", "),
         line: 1,
         path: key,
-        what: "the declaration stands twice",
+        what: "duplicate declaration",
         remedy: "remove one of them",
       });
     }
--- a/packages/cli/src/runProcess.ts
+++ b/packages/cli/src/runProcess.ts
@@ -1,4 +1,4 @@
-/** Runs a process until a signal asks for a planned stop. */
+/** Runs a process until a signal requests a planned stop. */
 
 import { EXIT_CODE, type ExitCode } from "./exitCodes.js";
 
@@ -7,7 +7,7 @@
   shutDown(): Promise<void>;
 }
 
-/** Settles once the process has stopped by itself after `stop`. */
+/** Resolves once the process has shut down after `stop` was aborted. */
 export const runProcess = async (
   process: StoppableProcess,
   stop: AbortSignal,
@@ -15,7 +15,7 @@
   await process.start();
   if (!stop.aborted) {
     await new Promise<void>((resolve) => {
-      // Keeps the process alive: all of its own timers are unreferenced.
+      // Keeps the process alive, because all of its own timers are unreferenced.
       const alive = setInterval(() => undefined, 60_000);
       stop.addEventListener("abort", () => {
         clearInterval(alive);
--- a/packages/cli/src/runProgram.ts
+++ b/packages/cli/src/runProgram.ts
@@ -1,4 +1,4 @@
-/** Runs a program built with commander, and turns its end into an exit code. */
+/** Runs a commander program, and maps its result to an exit code. */
 
 import type { Command } from "commander";
 import { EXIT_CODE, type ExitCode } from "./exitCodes.js";
@@ -6,15 +6,15 @@
 import type { Output } from "./Output.js";
 
 export interface RunOptions {
-  /** Arguments after the program's name. */
+  /** Arguments after the program name. */
   readonly args: readonly string[];
   readonly env: Readonly<Record<string, string | undefined>>;
   readonly output: Output;
-  /** Aborted when a planned stop is asked for. */
+  /** Aborted when a planned stop is requested. */
   readonly stop: AbortSignal;
 }
 
-/** Commands call `finish` with their exit code; without a call it is OK. */
+/** Defines the commands; a command calls `finish` with its exit code, the default is OK. */
 export type DefineProgram = (finish: (code: ExitCode) => void) => Command;
 
 export const runProgram = async (
--- a/packages/common/src/ChangeSignal.ts
+++ b/packages/common/src/ChangeSignal.ts
@@ -1,4 +1,4 @@
-/** Lets tasks wait until a condition may have changed. */
+/** Lets async tasks wait until a condition may have changed. */
 
 import type { Clock } from "./clock.js";
 
--- a/packages/common/src/ManualClock.ts
+++ b/packages/common/src/ManualClock.ts
@@ -1,4 +1,4 @@
-/** A clock that moves only by calls; for tests and decision benchmarks. */
+/** A clock that advances only by method calls; for tests and decision benchmarks. */
 
 import type { Clock, Instant, Monotonic, Timer } from "./clock.js";
 
@@ -38,7 +38,7 @@
     return { cancel: () => void this.timers.delete(timer) };
   }
 
-  /** Runs every timer due within `ms` in order, letting promises settle between. */
+  /** Runs all timers due within `ms` in order, and lets promises settle in between. */
   async advance(ms: number): Promise<void> {
     const end = this.time + ms;
     await settle();
@@ -51,12 +51,15 @@
     this.time = end;
   }
 
-  /** Time passes while the process stands still: timers run at the next advance. */
+  /** Simulates a stalled process: time passes, but timers run only at the next advance. */
   freeze(ms: number): void {
     this.time += ms;
   }
 
-  /** The machine is suspended: only the time of day goes on, and timers wait. */
+  /**
+   * Simulates a suspended machine: only `now` and `leaseTime` advance, while `monotonic`
+   * and timers stop.
+   */
   suspend(ms: number): void {
     this.suspendedMs += ms;
   }
--- a/packages/common/src/Registry.ts
+++ b/packages/common/src/Registry.ts
@@ -1,4 +1,4 @@
-/** Plug-in points: a package offers a point, plug-ins register themselves by name. */
+/** Plug-in points: a package defines a point, and plug-ins register themselves by name. */
 
 import { RackspanError } from "./errors.js";
 
@@ -21,7 +21,7 @@
   readonly kind = "duplicate-plugin";
   constructor(point: string, name: string) {
     super({
-      what: `a ${point} named "${name}" is registered already`,
+      what: `a ${point} named "${name}" is already registered`,
       remedy: "give the plug-in another name",
     });
   }
--- a/packages/common/src/SuspensionAwareClock.ts
+++ b/packages/common/src/SuspensionAwareClock.ts
@@ -1,16 +1,16 @@
 /**
- * Adds to a steady clock the time for which the machine was suspended. The steady
- * clock stands still then, and the time of day goes on, so a leap of the one ahead
- * of the other is taken for a suspension. It may also be the time of day that was
- * set: then this reading runs ahead. It falls behind only by a suspension during
- * which the time of day was set back.
+ * A monotonic clock that also counts the time for which the machine was suspended. The
+ * steady clock stops during a suspension while the time of day advances, so a jump of the
+ * time of day relative to the steady clock counts as a suspension. If the time of day was
+ * set forward instead, this clock runs ahead. It falls behind only if the time of day was
+ * set back during a suspension.
  */
 
 import type { Monotonic } from "./clock.js";
 
 /**
- * A smaller leap between two readings is taken for clocks that are steered,
- * milliseconds: those change by some 0.5 ms a second.
+ * Smaller jumps between two readings are attributed to clock slewing, milliseconds;
+ * slewing changes the time of day by some 0.5 ms a second.
  */
 const LEAST_LEAP_MS = 50;
 
@@ -19,7 +19,10 @@
   private wallBefore: number;
   private skippedMs = 0;
 
-  /** @param wall the time of day; both in milliseconds */
+  /**
+   * @param steady reads the steady clock
+   * @param wall reads the time of day; both in milliseconds
+   */
   constructor(
     private readonly steady: () => number,
     private readonly wall: () => number,
@@ -28,7 +31,7 @@
     this.wallBefore = wall();
   }
 
-  /** Only differences mean anything; never steps back. */
+  /** Never goes back; only differences between readings are meaningful. */
   read(): Monotonic {
     const steady = this.steady();
     const wall = this.wall();
--- a/packages/common/src/assertNever.ts
+++ b/packages/common/src/assertNever.ts
@@ -1,4 +1,4 @@
-/** Ends a switch that must name every case; the compiler rejects a missing one. */
+/** For the default of an exhaustive switch; the compiler reports a missing case. */
 export const assertNever = (value: never): never => {
   throw new Error(`unhandled case: ${JSON.stringify(value)}`);
 };
--- a/packages/common/src/brandedSchemas.ts
+++ b/packages/common/src/brandedSchemas.ts
@@ -1,11 +1,11 @@
-/** Schemas for branded values, so that parsed messages carry branded ids. */
+/** Schemas for branded values, so that parsed messages contain branded ids. */
 
 import { z } from "zod";
 import type { Brand } from "./brand.js";
 
 const MAX_ID_LENGTH = 256;
 
-/** A short non-empty text that is branded on parse. */
+/** A short non-empty string that is branded on parse. */
 export const idSchema = <B extends Brand<string, string>>() =>
   z
     .string()
--- a/packages/common/src/clock.ts
+++ b/packages/common/src/clock.ts
@@ -1,11 +1,11 @@
-/** The clock as an interface, so that tests decide what time it is. */
+/** The clock as an interface, so that tests control the time. */
 
 import { AbortedError } from "./errors.js";
 import { SuspensionAwareClock } from "./SuspensionAwareClock.js";
 
-/** Milliseconds since the Unix epoch; for people and records, never for lapses. */
+/** Milliseconds since the Unix epoch; for display and records, not for measuring durations. */
 export type Instant = number;
-/** Milliseconds on a clock that never steps back; only differences mean anything. */
+/** Milliseconds on a clock that never goes back; only differences are meaningful. */
 export type Monotonic = number;
 
 export interface Timer {
@@ -16,17 +16,18 @@
   now(): Instant;
   monotonic(): Monotonic;
   /**
-   * As `monotonic`, and counts the time for which the machine was suspended. It may
-   * run ahead when the time of day is set, so it tells how long this process may go
-   * on with what it was granted, and never that the lease of another is over.
+   * Like `monotonic`, but also counts the time for which the machine was suspended. It
+   * may run ahead when the time of day is set. So it may be used to decide how long this
+   * process may use its own lease, but never to decide that the lease of another process
+   * has expired.
    */
   leaseTime(): Monotonic;
-  /** Calls back once after `ms`. */
+  /** Calls `callback` once after `ms`. */
   after(ms: number, callback: () => void): Timer;
 }
 
 export interface SystemClockOptions {
-  /** Whether a pending timer keeps the process alive; servers are kept by their sockets. */
+  /** Whether a pending timer keeps the process alive; servers stay alive by their sockets. */
   readonly keepsProcessAlive: boolean;
 }
 
@@ -60,8 +61,8 @@
 }
 
 /**
- * Waits on the given clock.
- * @throws AbortedError when the signal ends the wait
+ * Waits for `ms` on the given clock.
+ * @throws AbortedError if the signal ends the wait
  */
 export const sleep = (
   clock: Clock,
@@ -84,7 +85,7 @@
     signal?.addEventListener("abort", onAbort, { once: true });
   });
 
-/** Waits on the given clock, or until the signal ends the wait. */
+/** Like `sleep`, but resolves if the signal ends the wait. */
 export const pause = (
   clock: Clock,
   ms: number,
--- a/packages/common/src/errors.ts
+++ b/packages/common/src/errors.ts
@@ -1,7 +1,7 @@
-/** Base of all typed errors: a kind for programs, a remedy for people. */
+/** Base of all typed errors: a kind for programs, a remedy for the reader. */
 
 export interface ErrorDetails {
-  /** What happened, with the values at fault. */
+  /** What happened, including the values that caused it. */
   readonly what: string;
   /** What the reader can do about it. */
   readonly remedy: string;
@@ -9,7 +9,7 @@
 }
 
 export abstract class RackspanError extends Error {
-  /** Stable kebab-case name, used as metric label and in problem bodies. */
+  /** Stable kebab-case name; used as a metric label and in problem bodies. */
   abstract readonly kind: string;
   readonly what: string;
   readonly remedy: string;
@@ -22,7 +22,7 @@
   }
 }
 
-/** The wait was ended by its own signal, not by a failure. */
+/** A wait was ended by its abort signal, not by a failure. */
 export class AbortedError extends RackspanError {
   readonly kind = "aborted";
   constructor(what = "the wait was cancelled") {
@@ -30,6 +30,6 @@
   }
 }
 
-/** One line that names an error, whatever was thrown. */
+/** Formats any thrown value as one line. */
 export const describeError = (err: unknown): string =>
   err instanceof Error ? `${err.name}: ${err.message}` : String(err);
--- a/packages/common/src/groupBy.ts
+++ b/packages/common/src/groupBy.ts
@@ -1,6 +1,4 @@
-/** Groups items by a key that each of them has. */
-
-/** Groups stand in the order in which their keys came first, as do their items. */
+/** Groups items by key. Groups and the items in them keep the order of the input. */
 export const groupBy = <T, K>(
   items: Iterable<T>,
   keyOf: (item: T) => K,
--- a/packages/common/src/log.ts
+++ b/packages/common/src/log.ts
@@ -1,4 +1,4 @@
-/** Structured logs: one line of key=value pairs for each event, by consola. */
+/** Structured logs through consola: one line of key=value pairs for each event. */
 
 import { createConsola, LogLevels, type LogObject } from "consola";
 
@@ -11,7 +11,7 @@
   warn(event: string, fields?: LogFields): void;
   info(event: string, fields?: LogFields): void;
   debug(event: string, fields?: LogFields): void;
-  /** A logger that adds the given fields to every line. */
+  /** Returns a logger that adds the given fields to every line. */
   with(fields: LogFields): Logger;
 }
 
@@ -22,7 +22,7 @@
   return PLAIN_VALUE.test(text) ? text : JSON.stringify(text);
 };
 
-/** `event=claim.lost job=settle-0412 attempt=2`; undefined fields are left out. */
+/** `event=claim.lost job=settle-0412 attempt=2`; undefined fields are omitted. */
 export const formatLogLine = (event: string, fields: LogFields): string =>
   [`event=${formatValue(event)}`]
     .concat(
@@ -51,7 +51,7 @@
   }
 
   debug(event: string, fields: LogFields = {}): void {
-    // Debug lines stand on hot paths: none is formatted that is not written.
+    // Debug calls are on hot paths, so a line that is not written is not formatted.
     if (this.sink.level < LogLevels.debug) return;
     this.sink.debug(formatLogLine(event, { ...this.fields, ...fields }));
   }
@@ -63,7 +63,7 @@
 
 export interface LoggerOptions {
   readonly level: LogLevel | "silent";
-  /** Receives each finished line, without a line break; standard error if absent. */
+  /** Receives each line, without a line break; defaults to standard error. */
   readonly write?: (line: string) => void;
 }
 
@@ -87,15 +87,15 @@
 export const silentLogger: Logger = createLogger({ level: "silent" });
 
 const OUTPUT = {
-  /** Lines are left out while more than this waits to be written, bytes. */
+  /** Lines are dropped while more bytes than this are buffered. */
   maxWaitingBytes: 256 * 1024,
 } as const;
 
 let leftOut = 0;
 
 /**
- * Writes a line to standard output without ever waiting for its reader. Lines
- * that would have to wait are left out; the next one tells how many.
+ * Writes a line to standard output without waiting for its reader. Lines are dropped while
+ * the buffer is full, and the next line that is written reports how many.
  */
 export const writeToStandardOutput = (line: string): void => {
   const { stdout } = process;
--- a/packages/common/src/metrics.ts
+++ b/packages/common/src/metrics.ts
@@ -1,4 +1,4 @@
-/** Counters, gauges and latency histograms of one process, in Prometheus text. */
+/** Counters, gauges and latency histograms of a process, in the Prometheus text format. */
 
 import { Counter, Gauge, Registry } from "prom-client";
 import { build, type Histogram } from "hdr-histogram-js";
@@ -9,7 +9,7 @@
 
 export type Labels = Readonly<Record<string, string>>;
 
-/** Latency of one kind of operation, kept in microseconds. */
+/** Latencies of one kind of operation, stored in microseconds. */
 export class LatencyRecorder {
   private readonly histogram: Histogram = build({
     lowestDiscernibleValue: 1,
@@ -38,14 +38,14 @@
   }
 }
 
-/** All metrics of one process; each process makes its own. */
+/** All metrics of one process; each process creates its own instance. */
 export class Metrics {
   private readonly registry = new Registry();
   private readonly counters = new Map<string, Counter>();
   private readonly gauges = new Map<string, Gauge>();
   private readonly latencies = new Map<string, LatencyRecorder>();
 
-  /** Adds to a counter, made at first use; `labels` must have the same names each time. */
+  /** Adds to a counter, created at first use; `labels` must have the same names each time. */
   count(name: string, labels: Labels = {}, by = 1): void {
     let counter = this.counters.get(name);
     if (!counter) {
@@ -83,7 +83,7 @@
     return recorder;
   }
 
-  /** Sum over all label sets of one counter; 0 when it was never counted. */
+  /** Sum over all label sets of a counter; 0 if it has never been incremented. */
   async total(name: string): Promise<number> {
     const counter = this.counters.get(name);
     if (!counter) return 0;
@@ -91,7 +91,7 @@
     return values.reduce((sum, { value }) => sum + value, 0);
   }
 
-  /** Every value of one counter with its labels. */
+  /** All values of a counter with their labels. */
   async values(name: string): Promise<readonly CounterValue[]> {
     const counter = this.counters.get(name);
     if (!counter) return [];
@@ -102,7 +102,7 @@
     }));
   }
 
-  /** Prometheus text exposition of everything. */
+  /** All metrics in the Prometheus text format. */
   async render(): Promise<string> {
     const parts = [await this.registry.metrics()];
     for (const [name, recorder] of this.latencies) {
--- a/packages/common/src/processLoopbackAddress.ts
+++ b/packages/common/src/processLoopbackAddress.ts
@@ -1,13 +1,16 @@
-/** Loopback addresses for listeners of tests and of local sites. */
+/** Loopback addresses for listeners in tests and on local sites. */
 
-/** The part of 127.0.0.0/8 that is dealt out; connections to it come from 127.0.0.1. */
+/**
+ * Each of the two middle octets takes this many values. Connections to these addresses of
+ * 127.0.0.0/8 come from 127.0.0.1.
+ */
 const NETWORKS_OF_OCTET = 250;
 
 /**
- * An address on which no other process listens, so that a port which is picked first
- * and listened on later, or again, cannot be taken meanwhile.
+ * A loopback address derived from the process id, on which no other process listens. So a
+ * port that is chosen first and bound later, or bound again, cannot be taken in between.
  *
- * @param host from 1 to 254, to tell the process's own listeners apart
+ * @param host from 1 to 254, distinguishes the listeners of this process
  */
 export const processLoopbackAddress = (host: number): string => {
   const network = process.pid % NETWORKS_OF_OCTET ** 2;
--- a/packages/common/src/random.ts
+++ b/packages/common/src/random.ts
@@ -1,4 +1,4 @@
-/** Randomness as an interface, seeded where results must repeat. */
+/** Random numbers as an interface; seeded where results must be reproducible. */
 
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import { uniformFloat64 } from "pure-rand/distribution/uniformFloat64";
@@ -8,7 +8,7 @@
   next(): number;
 }
 
-/** A generator that gives the same numbers for the same seed. */
+/** A generator that produces the same numbers for the same seed. */
 export class SeededRandom implements Random {
   private readonly generator;
 
@@ -25,6 +25,6 @@
 export const pickIndex = (random: Random, bound: number): number =>
   Math.floor(random.next() * bound);
 
-/** Half of `ms` fixed, half random: spreads retries without making any instant. */
+/** Half of `ms` plus a random half: spreads retries, and none of them is immediate. */
 export const jitter = (random: Random, ms: number): number =>
   ms / 2 + (random.next() * ms) / 2;
--- a/packages/common/src/resources.ts
+++ b/packages/common/src/resources.ts
@@ -1,16 +1,16 @@
-/** Amounts of what a host has and a task asks for. */
+/** Amounts of resources that hosts have and tasks request. */
 
 import { z } from "zod";
 
 const STEPS = 1_000;
 
 /**
- * Rounds to thousandths, so that sums come out the same in any order; folds
- * that were restored from a snapshot add in another order than the others.
+ * Rounds to thousandths, so that sums do not depend on the order of addition: folds that
+ * were restored from a snapshot add in a different order than other folds.
  */
 const toStep = (amount: number): number => Math.round(amount * STEPS) / STEPS;
 
-/** Processors in cores (fractions allowed), memory in MiB, accelerators in whole devices. */
+/** Processors in cores (fractions allowed), memory in MiB, accelerators as whole devices. */
 export const resourcesSchema = z.strictObject({
   processors: z.number().min(0).max(100_000).transform(toStep),
   memoryMiB: z.number().min(0).max(1e9).transform(toStep),
@@ -40,7 +40,7 @@
   accelerators: a.accelerators - b.accelerators,
 });
 
-/** Names the first amount that `asked` has more of than `free`; none when it fits. */
+/** The first resource of which `asked` exceeds `free`; undefined if the request fits. */
 export const firstShortage = (
   asked: Resources,
   free: Resources,
--- a/packages/common/tests/suspensionAwareClock.test.ts
+++ b/packages/common/tests/suspensionAwareClock.test.ts
@@ -1,4 +1,4 @@
-/** What counts as a suspension of the machine. */
+/** Which clock jumps count as a suspension of the machine. */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -19,20 +19,20 @@
   return { pass };
 };
 
-test("time for which the steady clock stood still is counted", () => {
+test("time during which the steady clock stopped is counted", () => {
   const { pass } = meterOf();
   expect(pass(100, 100)).toEqual(100);
   expect(pass(10, 5_010)).toEqual(5_110);
   expect(pass(100, 100)).toEqual(5_210);
 });
 
-test("a time of day that is set back takes nothing away", () => {
+test("setting the time of day back subtracts nothing", () => {
   const { pass } = meterOf();
   expect(pass(100, -3_000)).toEqual(100);
   expect(pass(100, 100)).toEqual(200);
 });
 
-test("clocks that drift apart slowly are no suspension", () => {
+test("slow drift between the clocks does not count as a suspension", () => {
   const { pass } = meterOf();
   let passed = 0;
   for (let second = 0; second < 100; second += 1) passed = pass(1_000, 1_001);
--- a/packages/entry/src/AttemptLoop.ts
+++ b/packages/entry/src/AttemptLoop.ts
@@ -1,6 +1,7 @@
 /**
- * Finds an endpoint that answers: picks, sends, and tries again where that is
- * allowed. A request that may run once only moves on after a confirmed not-run.
+ * Sends a request to endpoints until one responds: picks an endpoint, sends an attempt,
+ * and retries if allowed. A request that may run only once is retried only after it is
+ * confirmed that the last attempt did not run.
  */
 
 import type { IncomingMessage } from "node:http";
@@ -36,19 +37,19 @@
 import { agentFor, sideHeaders } from "./sideRequest.js";
 import type { SidePeer } from "./SidePeer.js";
 
-/** An attempt that is under way. */
+/** An attempt in flight. */
 export interface SentAttempt {
   readonly response: Promise<IncomingMessage>;
   cancel(): void;
 }
 
-/** What the loop needs of a side. */
+/** The part of a side that the loop uses. */
 export type AttemptPeer = Pick<
   SidePeer,
   "record" | "endpoint" | "fenceRequest"
 >;
 
-/** The sides that may be sent requests. */
+/** The sides that requests can be sent to. */
 export interface AttemptSides {
   serving(service: ServiceName): readonly AttemptPeer[];
   get(host: HostId): AttemptPeer | undefined;
@@ -56,7 +57,7 @@
 
 export interface AttemptLoopOptions {
   readonly sides: AttemptSides;
-  /** Sends one attempt; over HTTP if absent. */
+  /** Sends one attempt; defaults to HTTP. */
   readonly sendAttempt?: (options: AttemptOptions) => SentAttempt;
   readonly picker: EndpointPicker;
   readonly ejector: OutlierEjector;
@@ -73,7 +74,7 @@
   head: Buffer,
 ) => void;
 
-/** A request on its way to some endpoint. */
+/** A request that is to be sent to some endpoint. */
 export interface OutgoingRequest {
   readonly id: RequestId;
   readonly service: ServiceName;
@@ -82,13 +83,13 @@
   readonly method: string;
   readonly path: string;
   readonly rawHeaders: readonly string[];
-  /** A stream can be sent once, a buffer any number of times. */
+  /** A stream can be sent only once, a buffer any number of times. */
   readonly body: Buffer | BodyStream | undefined;
   readonly deadline: Monotonic;
   readonly onUpgrade?: UpgradeListener;
 }
 
-/** Lets the caller's side end the attempt that is in progress. */
+/** Cancels the attempt in flight when the caller disconnects or the deadline passes. */
 export class Cancellation {
   reason: "caller-gone" | "deadline" | undefined;
   private attempt: SentAttempt | undefined;
@@ -103,7 +104,7 @@
   }
 }
 
-/** An endpoint's own answer; `release` must be called when it is over. */
+/** A response of an endpoint; `release` must be called when it has ended. */
 export interface Answered {
   readonly kind: "answered";
   readonly answer: IncomingMessage;
@@ -118,14 +119,14 @@
 
 export type LoopResult = Answered | Refused;
 
-/** One attempt that brought no endpoint's answer. */
+/** An attempt without a response of an endpoint. */
 interface Failure {
   readonly outcome: Outcome;
   readonly reason: Reason;
   readonly status: number;
 }
 
-/** When an attempt was sent, and to which run of the side. */
+/** When an attempt was sent, and to which incarnation of the side. */
 interface Sending {
   readonly startedAt: Monotonic;
   readonly incarnation: Incarnation;
@@ -306,8 +307,9 @@
   }
 
   /**
-   * Asks the side whether a request that may run once only has started there.
-   * Names the run of the side that it was sent to: a later one knows nothing of it.
+   * Asks the side whether a request that may run only once has started there. The call
+   * names the incarnation that the attempt was sent to, because a later incarnation has
+   * no record of the attempt.
    */
   private async settle(
     request: OutgoingRequest,
@@ -342,7 +344,7 @@
   if (Number.isInteger(busy)) endpoint.recordBusySlots(busy, at);
 };
 
-// The side drops this header from endpoints' answers, so here it is the side's own.
+// The side removes this header from responses of endpoints, so the side has set it itself.
 const readRefusal = (answer: IncomingMessage): Failure => {
   answer.resume();
   const outcome =
--- a/packages/entry/src/CallerRequestHandler.ts
+++ b/packages/entry/src/CallerRequestHandler.ts
@@ -1,4 +1,4 @@
-/** One caller's request from its arrival to the end of its answer. */
+/** Handles one request of a caller, from its arrival to the end of the response. */
 
 import type { IncomingMessage, ServerResponse } from "node:http";
 import {
@@ -96,7 +96,7 @@
     }
   }
 
-  /** The admission policy that does not let this request in. */
+  /** The admission policy that refuses this request, if any. */
   private refusedByPolicy(): string | undefined {
     const { policies, queues } = this.options;
     if (!policies.has("admission")) return undefined;
@@ -120,12 +120,12 @@
   private onDeadline(): void {
     this.cancellation.cancel("deadline");
     if (!this.readingBody) return;
-    // A body that never comes to its end would hold the request for ever.
+    // A body that never ends would keep the request open forever.
     this.res.on("finish", () => this.req.destroy());
     this.refuse(bodyIncomplete);
   }
 
-  /** A claimed request goes on without its caller, who can ask again by its key. */
+  /** A request with a claimed key continues, because the caller can repeat it by its key. */
   private onCallerGone(): void {
     this.callerGone = true;
     if (!this.keyed) this.cancellation.cancel("caller-gone");
@@ -144,7 +144,7 @@
     );
   }
 
-  /** The whole body when it is kept; nothing when there is none or it is streamed. */
+  /** Reads a body that must be buffered; undefined if there is no body or it is streamed. */
   private async readKeptBody(): Promise<Buffer | undefined | "refused"> {
     if (!this.request.hasBody || this.bodyIsStreamed()) return undefined;
     this.readingBody = true;
@@ -248,7 +248,7 @@
     const readToEnd = this.keyed !== undefined;
     const end = await relayResponse(answer, this.res, { readToEnd });
     result.release(end !== "broken");
-    // The endpoint's answer counts even when the caller has gone away meanwhile.
+    // The endpoint's response is recorded even if the caller has disconnected meanwhile.
     if (recorder && this.keyed && answer.complete) {
       this.options.keys.recordAnswer(this.keyed, recorder.recorded());
     }
@@ -259,7 +259,7 @@
       .record(clock.monotonic() - this.arrivedAt);
   }
 
-  /** Follows the events of a watch through planned stops and breaks of endpoints. */
+  /** Relays the events of a watch, and reconnects when an endpoint stops or fails. */
   private async watch(
     outgoing: OutgoingRequest,
     first: Answered,
@@ -309,7 +309,7 @@
   }
 }
 
-/** Collects an answer as it passes, up to a size. */
+/** Records a response while it is relayed, up to a size limit. */
 class AnswerRecorder {
   private chunks: Buffer[] | undefined = [];
   private bytes = 0;
@@ -337,7 +337,7 @@
   status: 413,
   reason: REASON.BODY_TOO_LARGE,
   outcome: "not-run",
-  detail: "the body is larger than the route takes",
+  detail: "the body exceeds the limit of the route",
   remedy: "send a smaller body",
 };
 
@@ -345,16 +345,16 @@
   status: 408,
   reason: REASON.SLOW_SENDER,
   outcome: "not-run",
-  detail: "the body did not arrive whole in time",
-  remedy: "send the whole body, or allow more time",
+  detail: "the body did not arrive completely in time",
+  remedy: "send the complete body, or allow more time",
 };
 
 const notAdmitted = (policy: string): Problem => ({
   status: 503,
   reason: REASON.POLICY,
   outcome: "not-run",
-  detail: `the policy ${policy} does not let this request in now`,
-  remedy: "retry after the time given; operators see rackspan get config",
+  detail: `the admission policy ${policy} refuses this request at present`,
+  remedy: "retry after the time given; operators: see rackspan get config",
   retryAfterS: 1,
 });
 
@@ -364,8 +364,8 @@
   outcome: "not-run",
   detail:
     why === "full"
-      ? "too many requests of this class wait already"
-      : "the request's time ran out before it could be sent",
+      ? "too many requests of this class are queued"
+      : "the deadline of the request passed before it could be sent",
   remedy: "it was not run: retry after the time given",
   retryAfterS: 1,
 });
--- a/packages/entry/src/ControlServer.ts
+++ b/packages/entry/src/ControlServer.ts
@@ -1,4 +1,4 @@
-/** The listener for operators, other entries and probes of this process. */
+/** The HTTP listener for operators, other entries and health probes. */
 
 import {
   createServer,
@@ -25,7 +25,7 @@
   readonly fold: Fold;
   readonly follower: LogFollower;
   readonly metrics: Metrics;
-  /** Nothing when ready, else why not. */
+  /** Why this entry is not ready; undefined if it is. */
   readonly notReadyReason: () => string | undefined;
   readonly publishGauges: () => void;
 }
@@ -46,7 +46,7 @@
     return listenOn(this.server, on);
   }
 
-  /** `IP:PORT`, as the host list names it. */
+  /** `IP:PORT`, as in the host list. */
   get address(): string {
     return addressOf(this.server);
   }
--- a/packages/entry/src/EndpointState.ts
+++ b/packages/entry/src/EndpointState.ts
@@ -1,4 +1,4 @@
-/** The load and latency of one side as this entry measures them; changes in place. */
+/** Load and latency of one side as this entry measures them; updated in place. */
 
 import type {
   AvailabilityZone,
@@ -9,7 +9,7 @@
 import type { SideStatus, SocketAddress } from "@rackspan/protocol";
 import type { EndpointView } from "@rackspan/routing";
 
-/** Weight of a new latency in the smoothed one. */
+/** Weight of a new latency in the moving average. */
 const LATENCY_WEIGHT = 0.1;
 
 export class EndpointState implements EndpointView {
--- a/packages/entry/src/EntryProcess.ts
+++ b/packages/entry/src/EntryProcess.ts
@@ -1,4 +1,4 @@
-/** The entry process: wires its parts and their life cycle. */
+/** The entry process: creates its parts, and starts and stops them in order. */
 
 import {
   brand,
@@ -189,27 +189,27 @@
     return this.lifecycle.start();
   }
 
-  /** A planned stop: nothing in progress is cut. */
+  /** Planned stop: requests in progress are completed. */
   shutDown(): Promise<void> {
     return this.lifecycle.shutDown();
   }
 
-  /** Stops at once, as a kill would. */
+  /** Stops at once, like a kill. */
   kill(): Promise<void> {
     return this.lifecycle.kill();
   }
 
-  /** Where callers come in. */
+  /** URL for callers. */
   get url(): string {
     return this.requests.url;
   }
 
-  /** `IP:PORT` where operators and other entries come in. */
+  /** `IP:PORT` for operators and other entries. */
   get controlAddress(): string {
     return this.control.address;
   }
 
-  /** Why this entry is not ready; nothing when it is. */
+  /** Why this entry is not ready; undefined if it is. */
   notReadyReason(): string | undefined {
     const { fault, caughtUp } = this.follower;
     if (fault) return describeError(fault);
@@ -298,7 +298,7 @@
     metrics.gauge("open_watches", requests.openWatches);
   }
 
-  /** In the order of their start; drained in this order, stopped in the reverse. */
+  /** The parts in start order; they are drained in this order and stopped in reverse order. */
   private parts(): LifecyclePart[] {
     const { listen, control, drain } = this.settings;
     const { signal } = this.stopped;
@@ -337,7 +337,7 @@
         name: "requests",
         start: () => this.requests.listen(listen),
         drain: async () => {
-          // The balancer has to see first that this entry is not ready any more.
+          // The load balancer must first detect that this entry is no longer ready.
           await sleep(this.clock, drain.noticeMs);
           await this.requests.drain(drain.limitMs);
         },
--- a/packages/entry/src/HostListWatcher.ts
+++ b/packages/entry/src/HostListWatcher.ts
@@ -1,4 +1,4 @@
-/** Reads the host list again and again; what it last showed is kept through outages. */
+/** Polls the host list, and keeps the last result while the list is unavailable. */
 
 import {
   AbortedError,
@@ -21,7 +21,7 @@
 }
 
 export class HostListWatcher {
-  /** Emits each successful read. */
+  /** Emits the result of each successful read. */
   readonly updated = new Emitter<readonly HostRecord[]>();
   private records: readonly HostRecord[] = [];
 
@@ -31,7 +31,7 @@
     return this.records;
   }
 
-  /** Entries that the list shows as live. */
+  /** The entries that are live according to the list. */
   liveEntries(): readonly HostRecord[] {
     return this.records.filter(
       ({ role, state }) => role === "entry" && state === "live",
--- a/packages/entry/src/HttpPeerSnapshots.ts
+++ b/packages/entry/src/HttpPeerSnapshots.ts
@@ -1,4 +1,4 @@
-/** Fetches the state of the other entries, for when the log cannot help. */
+/** Fetches snapshots from other entries, for use when the log no longer contains the history. */
 
 import { get } from "node:http";
 import { describeError, type HostId, type Logger } from "@rackspan/common";
@@ -54,7 +54,7 @@
   }
 }
 
-/** Nothing when the peer has no state of its own yet. */
+/** @returns undefined if the peer has not caught up with the log yet */
 const download = (url: string): Promise<Buffer | undefined> =>
   new Promise((resolve, reject) => {
     const req = get(url, { timeout: TIMEOUT_MS }, (res) => {
--- a/packages/entry/src/KeyedRequests.ts
+++ b/packages/entry/src/KeyedRequests.ts
@@ -1,6 +1,7 @@
 /**
- * Requests that may run once only, by their keys: claimed on the log before
- * anything is sent; a repeat at any entry gets the recorded outcome.
+ * Requests that may run only once, identified by idempotency keys. A key is claimed on
+ * the log before the request is sent, and a repeat at any entry gets the recorded
+ * outcome.
  */
 
 import { createHash } from "node:crypto";
@@ -43,7 +44,7 @@
 
 const RECORD_TRIES = 5;
 
-/** Names the request for which a key stands. */
+/** Hash of the request that a key was used for. */
 export const digestRequest = (
   method: string,
   path: string,
@@ -55,14 +56,14 @@
     .digest("base64");
 
 export class KeyedRequests {
-  /** Claims that were given up on and may still come to stand on the log. */
+  /** Claims whose append timed out and that may still reach the log. */
   private readonly abandoned = new Map<RequestId, KeyedRequest>();
 
   constructor(private readonly options: KeyedRequestsOptions) {
     options.fold.applied.on((applied) => this.onApplied(applied));
   }
 
-  /** Decides whether the request may be sent by this entry. */
+  /** Claims the key, and decides whether this entry may send the request. */
   async begin(request: KeyedRequest, timeoutMs: number): Promise<KeyDecision> {
     const { fold, appender, metrics } = this.options;
     const holder = fold.requests.get(request);
@@ -97,7 +98,7 @@
     return winner ? this.decideByHolder(request, winner) : inProgress(request);
   }
 
-  /** Keeps the whole answer for repeats; without a body when it was too large. */
+  /** Records the response for repeats, without its body if that was too large. */
   recordAnswer(request: KeyedRequest, answer: RecordedResponse): void {
     const { id, service, key } = request;
     const { status, contentType, body } = answer;
@@ -105,7 +106,7 @@
     void this.keepTrying({ type: "requestOutcome", ...outcome });
   }
 
-  /** The request was confirmed as never run: its key may be used again. */
+  /** Releases the key of a request that is confirmed not to have run. */
   release({ id, service, key }: KeyedRequest): void {
     void this.keepTrying({ type: "requestRelease", service, key, request: id });
   }
--- a/packages/entry/src/LimitedBody.ts
+++ b/packages/entry/src/LimitedBody.ts
@@ -1,11 +1,11 @@
-/** Passes a caller's body on up to a limit, past which it breaks off. */
+/** Forwards a caller's body, and fails when the body exceeds a limit. */
 
 import type { IncomingMessage } from "node:http";
 import { Transform, type TransformCallback } from "node:stream";
 import { BodyTooLargeError, type BodyStream } from "@rackspan/protocol";
 
 export class LimitedBody extends Transform implements BodyStream {
-  /** Set once the limit was passed. */
+  /** Whether the body has exceeded the limit. */
   exceeded = false;
   readonly stream = this;
   private bytes = 0;
--- a/packages/entry/src/PolicyPlacer.ts
+++ b/packages/entry/src/PolicyPlacer.ts
@@ -1,4 +1,4 @@
-/** Lets the operators' score policies re-order what a placer found fitting. */
+/** Reorders the hosts that a placer ranked by the operators' score policies. */
 
 import type { HostView, Placer } from "@rackspan/jobs";
 import type { PolicyEvaluator, VariablesOf } from "@rackspan/policies";
@@ -31,7 +31,7 @@
     private readonly policies: PolicyEvaluator,
   ) {}
 
-  /** Hosts of equal penalty keep the order of the placer. */
+  /** Hosts with equal penalty keep the order of the placer. */
   rank(unit: Unit, hosts: readonly HostView[]): readonly HostView[] {
     const ranked = this.base.rank(unit, hosts);
     if (!this.policies.has("score")) return ranked;
--- a/packages/entry/src/ReconcileLoop.ts
+++ b/packages/entry/src/ReconcileLoop.ts
@@ -1,6 +1,6 @@
 /**
- * Runs the control of units whenever something it depends on has changed, and
- * at the latest after a fixed time.
+ * Runs the steps that control units (drain, claim, place) whenever an input has changed,
+ * and at least once in each fixed interval.
  */
 
 import { ChangeSignal, sleep, type Clock, type Logger } from "@rackspan/common";
@@ -28,7 +28,7 @@
   readonly everyMs: number;
 }
 
-/** Changes that come close together are handled in one sweep. */
+/** Changes within this time are handled together. */
 const GATHER_MS = 5;
 
 export class ReconcileLoop {
@@ -52,7 +52,7 @@
       if (!this.isDirty) await this.changed.wait(clock, everyMs);
       await sleep(clock, GATHER_MS);
       this.isDirty = false;
-      // A fold that is behind would act on what is long over.
+      // While the fold lags behind the log, it would act on outdated state.
       if (!follower.caughtUp || follower.fault || signal.aborted) continue;
       drainer.sweep(hostList.latest);
       keeper.sweep();
--- a/packages/entry/src/RequestServer.ts
+++ b/packages/entry/src/RequestServer.ts
@@ -1,4 +1,4 @@
-/** The listener for callers: parses, admits and runs their requests. */
+/** The HTTP listener for callers: parses, admits and handles their requests. */
 
 import {
   createServer,
@@ -32,7 +32,7 @@
   "closingWatches"
 > {
   readonly fold: Fold;
-  /** Whether the configuration is known; before that no route is. */
+  /** Whether the configuration, and so the routes, have been read. */
   readonly isReady: () => boolean;
   readonly maxHeaderBytes: number;
   readonly headersTimeoutMs: number;
@@ -61,7 +61,7 @@
       {
         maxHeaderSize: maxHeaderBytes,
         headersTimeout: headersTimeoutMs,
-        // Bodies are bounded by each request's own deadline.
+        // The time to receive a body is limited by the request's own deadline.
         requestTimeout: 0,
         connectionsCheckingInterval: Math.min(
           CONNECTION_CHECK_MS,
@@ -96,7 +96,7 @@
     return this.watches.size;
   }
 
-  /** Refuses what is new, lets what is in progress end, ends watches between events. */
+  /** Refuses new requests, completes those in progress, and ends watches between events. */
   async drain(limitMs: number): Promise<void> {
     const { clock } = this.options;
     this.refusing = true;
@@ -209,14 +209,14 @@
       });
   }
 
-  /** Bytes that are no HTTP, or a head that is too large or too slow. */
+  /** Answers bytes that are not HTTP, or a request head that is too large or too slow. */
   private onClientError(err: NodeJS.ErrnoException, socket: Duplex): void {
     const problem = problemOf(err);
     this.options.metrics.count("refused", {
       reason: problem.reason,
       outcome: problem.outcome,
     });
-    // Once an answer has begun, a second one would corrupt it.
+    // If a response has been started, a second one would corrupt it.
     const begun = (socket as Socket).bytesWritten > 0;
     if (err.code === "ECONNRESET" || !socket.writable || begun) {
       socket.destroy();
@@ -232,7 +232,7 @@
       status: 431,
       reason: REASON.HEADERS_TOO_LARGE,
       outcome: "not-run",
-      detail: "the headers are larger than this entry takes",
+      detail: "the headers exceed the limit of this entry",
       remedy: "send fewer or shorter headers",
     };
   }
@@ -241,8 +241,8 @@
       status: 408,
       reason: REASON.SLOW_SENDER,
       outcome: "not-run",
-      detail: "the head of the request did not arrive in time",
-      remedy: "send the head at once",
+      detail: "the request headers did not arrive in time",
+      remedy: "send the request headers at once",
     };
   }
   return {
@@ -259,7 +259,8 @@
   reason: REASON.LEAVING,
   outcome: "not-run",
   detail: "this entry is stopping",
-  remedy: "send the request again: the balancer knows other entries",
+  remedy:
+    "send the request again; the load balancer routes it to another entry",
   retryAfterS: 0,
 };
 
@@ -267,7 +268,7 @@
   status: 503,
   reason: REASON.NOT_READY,
   outcome: "not-run",
-  detail: "this entry does not know the configuration yet",
+  detail: "this entry has not read the configuration yet",
   remedy: "retry after the time given",
   retryAfterS: 1,
 };
@@ -276,7 +277,7 @@
   status: 400,
   reason: REASON.UPGRADE_REFUSED,
   outcome: "not-run",
-  detail: "only routes of class watch take upgraded connections",
+  detail: "only routes of class watch accept upgraded connections",
   remedy: "use a watch route, or send a plain request",
 };
 
@@ -284,6 +285,6 @@
   status: 500,
   reason: REASON.INTERNAL,
   outcome: "unknown",
-  detail: "this entry failed while it served the request",
-  remedy: "report it with the entry's log",
+  detail: "internal error of this entry while it handled the request",
+  remedy: "report it together with the entry's log",
 };
--- a/packages/entry/src/RouteTable.ts
+++ b/packages/entry/src/RouteTable.ts
@@ -8,7 +8,7 @@
   readonly route: Route;
 }
 
-/** `/checks/a?b` starts with `/checks` and `/checks/`, and not with `/check`. */
+/** `/checks/a?b` has the prefixes `/checks` and `/checks/`, but not `/check`. */
 const hasPrefix = (path: string, prefix: string): boolean => {
   if (!path.startsWith(prefix)) return false;
   if (prefix.endsWith("/") || path.length === prefix.length) return true;
@@ -16,12 +16,12 @@
   return next === "/" || next === "?";
 };
 
-/** `/checks/a` and `/checks?a` begin with the segment `checks`. */
+/** The first segment of `/checks/a` and `/checks?a` is `checks`. */
 const firstSegment = (path: string): string =>
   /^\/([^/?]*)/.exec(path)?.[1] ?? "";
 
 export class RouteTable {
-  /** The longest prefix first within each first segment. */
+  /** Matches by first path segment, longest prefix first. */
   private readonly bySegment = new Map<string, RouteMatch[]>();
 
   constructor(services: readonly ServiceDeclaration[]) {
@@ -48,7 +48,7 @@
   }
 }
 
-/** Equal prefixes go by service name, so that all entries agree. */
+/** Equal prefixes are ordered by service name, so that all entries choose the same route. */
 const byLength = (a: RouteMatch, b: RouteMatch): number =>
   b.route.prefix.length - a.route.prefix.length ||
   (a.service < b.service ? -1 : 1);
--- a/packages/entry/src/SideDirectory.ts
+++ b/packages/entry/src/SideDirectory.ts
@@ -1,4 +1,4 @@
-/** All side processes that the host list names, each followed by one task. */
+/** All side processes in the host list; each is followed by its own task. */
 
 import {
   Emitter,
@@ -22,25 +22,25 @@
   readonly metrics: Metrics;
   readonly logger: Logger;
   readonly syncMs: number;
-  /** Services with up to this many endpoints are used whole by each entry. */
+  /** Each entry uses all endpoints of a service that has up to this many. */
   readonly subsetLeast: number;
 }
 
 export class SideDirectory implements HostDirectory {
-  /** Emits each change of any side. */
+  /** Emits on each change of any side. */
   readonly changed = new Emitter<void>();
   private readonly peers = new Map<HostId, SidePeer>();
-  /** Dropped when a host comes or goes. */
+  /** Cached names; cleared when a host is added or removed. */
   private hostNames: readonly HostId[] | undefined;
   private entries: readonly HostId[] = [];
-  /** Sides by service; dropped at each change and built when asked for. */
+  /** Cached sides by service; cleared on each change. */
   private readonly byService = new Map<ServiceName, readonly SidePeer[]>();
 
   constructor(private readonly options: SideDirectoryOptions) {
     this.changed.on(() => this.byService.clear());
   }
 
-  /** Brings the peers in line with the host list. */
+  /** Updates the set of peers from the host list. */
   update(records: readonly HostRecord[]): void {
     const listed = new Map(
       records
@@ -68,7 +68,7 @@
     return [...this.peers.values()];
   }
 
-  /** Sides that may be sent new requests of the service. */
+  /** Sides to which new requests of the service may be sent. */
   serving(service: ServiceName): readonly SidePeer[] {
     let peers = this.byService.get(service);
     if (!peers) {
@@ -78,7 +78,7 @@
     return peers;
   }
 
-  /** Entries came or went: each uses another part of the large services. */
+  /** Sets the live entries; they determine which subset of a large service this entry uses. */
   setEntries(entries: readonly HostId[]): void {
     const names = [...entries].sort();
     if (names.join() === this.entries.join()) return;
--- a/packages/entry/src/SidePeer.ts
+++ b/packages/entry/src/SidePeer.ts
@@ -1,4 +1,4 @@
-/** One side process as this entry knows it: its status, kept fresh by one task. */
+/** The connection of this entry to one side process; a task keeps its status up to date. */
 
 import {
   AbortedError,
@@ -51,9 +51,9 @@
 const MAX_RETRY_MS = 2_000;
 const CONTROL_TIMEOUT_MS = 3_000;
 const START_TIMEOUT_MS = 10_000;
-/** A placement that did not show by then has come to nothing. */
+/** A placement that does not appear in the status within this time counts as failed. */
 const PLACING_KEPT_MS = 15_000;
-/** Failed calls in a row after which requests go elsewhere. */
+/** Consecutive failed calls after which requests are sent to other sides. */
 const FAILURES_TO_AVOID = 2;
 
 export class SidePeer implements HostControl {
@@ -65,9 +65,9 @@
   private tasks: readonly TaskStatus[] = [];
   private services: ReadonlySet<ServiceName> = new Set();
   private endpointState: EndpointState | undefined;
-  /** Reserved since the last status. */
+  /** Resources that were reserved since the last status. */
   private reserved: Resources = NO_RESOURCES;
-  /** Units that this entry is placing there and the status does not show yet. */
+  /** Units that this entry is placing on the host and that are not in the status yet. */
   private readonly placing = new Map<UnitId, Monotonic>();
   private failures = 0;
   private readonly ended = new AbortController();
@@ -77,12 +77,12 @@
     this.rpc = new RpcClient(SIDE_METHODS, `http://${options.record.address}`);
   }
 
-  /** What is known for routing; nothing before the first status. */
+  /** Load and latency for routing; undefined before the first status. */
   get endpoint(): EndpointState | undefined {
     return this.endpointState;
   }
 
-  /** Whether new requests of the service may be sent there. */
+  /** Whether new requests of the service may be sent to the side. */
   serves(service: ServiceName): boolean {
     const usable = this.status?.ready === true && !this.status.leaving;
     return (
@@ -131,7 +131,7 @@
 
   async reserve(unit: Unit): Promise<HostReservation> {
     const { id, attempt, spec } = unit;
-    // Counted before the answer, so that placements at the same time see it.
+    // Counted before the response arrives, so that concurrent placements take it into account.
     this.reserved = addResources(this.reserved, spec.resources);
     this.placing.set(id, this.options.clock.monotonic());
     try {
@@ -189,7 +189,7 @@
     await this.rpc.call("drain", {}, { timeoutMs: START_TIMEOUT_MS });
   }
 
-  /** Whether the attempt started at that run of the side; if not, it never will. */
+  /** Whether the attempt started at that incarnation of the side; if not, it never will. */
   async fenceRequest(
     params: ParamsOf<SideMethods, "fenceRequest">,
     timeoutMs: number,
--- a/packages/entry/src/WatchRelay.ts
+++ b/packages/entry/src/WatchRelay.ts
@@ -1,4 +1,4 @@
-/** A watch from its first event to its end, on whatever endpoints it lives meanwhile. */
+/** Relays a watch from its first event to its end, across changes of the endpoint. */
 
 import type { ServerResponse } from "node:http";
 import { sleep, type Clock } from "@rackspan/common";
@@ -19,16 +19,16 @@
   readonly loop: AttemptLoop;
   readonly sides: SideDirectory;
   readonly clock: Clock;
-  /** How long a broken watch looks for another endpoint. */
+  /** How long to search for another endpoint after the connection of a watch broke. */
   readonly watchResumeMs: number;
-  /** True once this entry wants its watches to end. */
+  /** Whether this entry is closing its watches. */
   readonly closingWatches: () => boolean;
 }
 
 /** One caller's watch. */
 export interface WatchedRequest {
   readonly outgoing: OutgoingRequest;
-  /** Its head has been written. */
+  /** The response to the caller; its headers have been sent. */
   readonly res: ServerResponse;
   readonly cancellation: Cancellation;
 }
@@ -49,7 +49,7 @@
     private readonly request: WatchedRequest,
   ) {}
 
-  /** @param onEnd told of the end of each connection to an endpoint */
+  /** @param onEnd called at the end of each connection to an endpoint */
   async follow(
     first: Answered,
     onEnd: (end: EventsEnd) => void,
@@ -85,7 +85,7 @@
     return end;
   }
 
-  /** Connects to another endpoint, from after the last event that was passed on. */
+  /** Connects to another endpoint, and continues after the last relayed event. */
   private async resume(): Promise<Answered | undefined> {
     const { clock, loop, watchResumeMs } = this.options;
     const { outgoing, cancellation } = this.request;
--- a/packages/entry/src/callerRequest.ts
+++ b/packages/entry/src/callerRequest.ts
@@ -1,4 +1,4 @@
-/** Reads and checks what a caller's request asks for. */
+/** Parses and validates the head of a caller's request. */
 
 import type { IncomingMessage } from "node:http";
 import { freshId, type RequestId } from "@rackspan/common";
@@ -14,10 +14,10 @@
   readonly id: RequestId;
   readonly match: RouteMatch;
   readonly timeoutMs: number;
-  /** The caller's key for a request that may run once only. */
+  /** The caller's idempotency key for a request that may run only once. */
   readonly key: string | undefined;
   readonly hasBody: boolean;
-  /** Declared size, when the caller gave one. */
+  /** Declared size of the body, if any. */
   readonly contentLength: number | undefined;
 }
 
@@ -40,7 +40,7 @@
   return Array.isArray(value) ? value.join(",") : value;
 };
 
-/** Checks everything that can be told from the head alone. */
+/** Checks everything that can be checked without the body. */
 export const parseCallerRequest = (
   req: IncomingMessage,
   routes: RouteTable,
@@ -58,7 +58,12 @@
   const timeout = headerText(req, HEADER.TIMEOUT);
   if (timeout !== undefined && !WHOLE_NUMBER.test(timeout)) {
     const detail = `${HEADER.TIMEOUT} is not a whole number of milliseconds`;
-    return refuse(400, REASON.BAD_REQUEST, detail, "send for example 500");
+    return refuse(
+      400,
+      REASON.BAD_REQUEST,
+      detail,
+      "send a number, for example 500",
+    );
   }
   if (timeout !== undefined && Number(timeout) === 0) {
     return refuse(
@@ -78,13 +83,13 @@
       400,
       REASON.BAD_REQUEST,
       detail,
-      "send a random key, as a UUID",
+      "send a random key, for example a UUID",
     );
   }
   const declared = headerText(req, "content-length");
   const contentLength = declared === undefined ? undefined : Number(declared);
   if (contentLength !== undefined && contentLength > match.route.maxBodyBytes) {
-    const detail = `the body has ${contentLength} bytes, the route takes ${match.route.maxBodyBytes}`;
+    const detail = `the body has ${contentLength} bytes, the route accepts ${match.route.maxBodyBytes}`;
     return refuse(413, REASON.BODY_TOO_LARGE, detail, "send a smaller body");
   }
   return {
--- a/packages/entry/src/jobs/JobEntryProcess.ts
+++ b/packages/entry/src/jobs/JobEntryProcess.ts
@@ -1,4 +1,4 @@
-/** The entry process for jobs: serves callers, and leads when it is its turn. */
+/** The entry process for jobs: serves callers, and schedules jobs while it is the leader. */
 
 import {
   createLogger,
@@ -18,7 +18,7 @@
   type JobEntryParts,
 } from "./createJobEntryParts.js";
 
-/** Of the time for a planned stop, this much is left for the end itself. */
+/** Share of the grace period that is reserved for closing listeners and followers. */
 const STOP_MARGIN_MS = 700;
 
 export interface JobEntryProcessOptions {
@@ -68,7 +68,7 @@
     this.logger.info("entry.started", { entry, incarnation, pid: process.pid });
   }
 
-  /** A planned stop: leadership is handed over, open requests are answered. */
+  /** Planned stop: gives up leadership and answers open requests. */
   async shutDown(): Promise<void> {
     const { entry, graceSeconds } = this.settings;
     const {
--- a/packages/entry/src/jobs/JobService.ts
+++ b/packages/entry/src/jobs/JobService.ts
@@ -1,7 +1,7 @@
 /**
- * What callers may ask of their jobs, apart from any wire format: hand one in,
- * ask how it stands, cancel it, count what waits. Every entry answers from its
- * own view of the store.
+ * The requests of callers, independent of the wire format: submit a job, query its
+ * state, cancel it, count the pending jobs of a queue. Every entry answers from its own
+ * view of the store.
  */
 
 import {
@@ -39,17 +39,20 @@
 import type { StoreReachability } from "./StoreReachability.js";
 
 export const JOB_SERVICE = {
-  /** A refused caller is asked to come back after this. */
+  /** Retry delay that a refused caller is given. */
   retryAfterMs: 1_000,
   /** A view older than this does not prove that a job does not exist. */
   maxViewAgeMs: 2_600,
-  /** Longest wait for a fresh view; the store answers in some milliseconds when it is well. */
+  /** Longest wait for a fresh view; a healthy store answers within some milliseconds. */
   viewRefreshTimeoutMs: 400,
-  /** An answer is sent this long before the caller stops waiting for it. */
+  /** The response is sent this long before the caller stops waiting for it. */
   responseMarginMs: 120,
 } as const;
 
-/** `unknown` callers may repeat at once; `refused` was not and never will be run. */
+/**
+ * Result of a submit or a cancel. After `unknown` the caller may repeat the request at
+ * once; a `refused` request was not carried out and never will be.
+ */
 export type JobRequestOutcome =
   | { readonly kind: "accepted" }
   | {
@@ -88,7 +91,7 @@
     retryAfterMs: JOB_SERVICE.retryAfterMs,
   }) as const;
 
-/** What of the queue must hold for the job even when the queue is dropped. */
+/** The queue's settings that apply to the job even after the queue has been removed. */
 const termsOf = ({
   service,
   priority,
@@ -108,13 +111,13 @@
 export class JobService {
   constructor(private readonly options: JobServiceOptions) {}
 
-  /** Whether callers can be served at all. */
+  /** Whether the configuration and the jobs have been read, so that callers can be served. */
   get isReady(): boolean {
     const { config, jobsFollower } = this.options;
     return config.current !== undefined && jobsFollower.loaded;
   }
 
-  /** Whether jobs can be kept now; callers are better off elsewhere while not. */
+  /** Whether jobs can be persisted now; if not, callers should use another entry. */
   get isStoreReachable(): boolean {
     return this.options.storeReachability.isReachable;
   }
@@ -127,7 +130,7 @@
     return this.options.config.current?.maxBodyBytes;
   }
 
-  /** @param deadline when the caller stops waiting, on the clock's steady time */
+  /** @param deadline when the caller stops waiting, in monotonic time */
   async submit(
     queue: QueueSpec,
     spec: JobSpec,
@@ -140,7 +143,7 @@
       const isSame = known.accepted.spec.queue === spec.queue;
       const outcome = isSame
         ? ({ kind: "accepted" } as const)
-        : refused("the id belongs to a job of another queue");
+        : refused("the job id is used by a job of another queue");
       return this.note("submit", spec.id, outcome, began);
     }
     const terms = termsOf(queue);
@@ -156,10 +159,10 @@
   }
 
   /**
-   * How the job stands. A job that this entry does not know is looked for in the
-   * store first: another entry may have accepted it a moment ago.
+   * The state of a job. If the view does not contain the job, it is refreshed from the
+   * store first, because another entry may have accepted the job a moment ago.
    *
-   * @param deadline when the caller stops waiting, on the clock's steady time
+   * @param deadline when the caller stops waiting, in monotonic time
    */
   async state(
     queue: QueueKey,
@@ -173,9 +176,10 @@
   }
 
   /**
-   * How a job stands that is to be cancelled. It is denied only when the store
-   * was asked since the cancel came: a caller who is told that no such job exists
-   * takes it as cancelled, while another entry may have accepted it since.
+   * The state of a job that is to be cancelled. `no-such-job` is returned only if the
+   * view was read from the store after the cancel arrived: a caller that receives it
+   * considers the job cancelled, while another entry may have accepted the job since
+   * the last read.
    */
   private async stateToCancel(
     queue: QueueKey,
@@ -188,7 +192,7 @@
     if (found.kind !== "no-such-job") return found;
     const viewedAt = clock.monotonic() - jobsFollower.ageMs;
     if (viewedAt >= began) return found;
-    return refused("the store could not be asked whether the job exists");
+    return refused("the store did not confirm whether the job exists");
   }
 
   private knownState(queue: QueueKey, id: JobId): JobStateOutcome | undefined {
@@ -199,7 +203,7 @@
     return { kind: "known", state };
   }
 
-  /** Waits until the view is fresh, or until the caller must be answered. */
+  /** Waits until the view is fresh, or until the response to the caller is due. */
   private async refreshJobs(deadline: Monotonic): Promise<void> {
     const { clock, jobsFollower, storeReachability: reach } = this.options;
     if (!reach.isReachable) return;
@@ -221,7 +225,7 @@
     const viewAge = Math.round(jobsFollower.ageMs);
     if (viewAge > JOB_SERVICE.maxViewAgeMs) {
       logger.info("job.state-unsure", { job: id, viewAge });
-      return refused("the view of the store is too old to tell");
+      return refused("the view of the store is too old to find the job");
     }
     logger.info("job.not-found", { job: id, viewAge });
     return { kind: "no-such-job" };
@@ -239,8 +243,8 @@
   }
 
   /**
-   * A job that does not exist may still come: a caller that got no answer to it
-   * may cancel it before its record is kept. The cancel waits for it in the store.
+   * The cancel of a job that does not exist is persisted, too: a caller that received no
+   * response to its submit may cancel the job before the record of the job is persisted.
    */
   private async cancelFound(
     found: JobStateOutcome,
@@ -255,7 +259,7 @@
         return this.keepCancel(id, deadline);
       case "no-such-job": {
         const { view } = this.options;
-        // One of another queue is not the caller's to cancel by this one.
+        // A job of another queue cannot be cancelled through this queue.
         if (view.get(id) || view.isCancelled(id)) return found;
         const outcome = await this.keepCancel(id, deadline);
         return outcome.kind === "accepted" ? found : outcome;
@@ -279,7 +283,7 @@
     return this.options.view.countUnstartedJobs(queue);
   }
 
-  /** Writes the record, again for a while where the store turns it away. */
+  /** Writes the record, and retries for a while if the store refuses it. */
   private async keep(
     writer: TopicWriter,
     record: KeyedRecord,
@@ -291,7 +295,7 @@
       retryDeadline(clock.monotonic(), deadline) - STORE_RETRY.retryMs;
     for (let tries = 1; ; tries += 1) {
       const outcome = await this.settle(writer.write(record), deadline, onKept);
-      // A refused record was not kept and never will be: it may be written anew.
+      // A refused record was not persisted and never will be, so it may be written again.
       if (outcome.kind !== "refused") return outcome;
       if (clock.monotonic() > lastTryAt) {
         const { retryAfterMs } = tries > 1 ? STORE_RETRY : JOB_SERVICE;
@@ -301,7 +305,7 @@
     }
   }
 
-  /** Waits for a write, and gives it up when the caller does. */
+  /** Waits for a write until it is persisted, refused, or the caller's response is due. */
   private async settle(
     write: PendingWrite,
     deadline: Monotonic,
--- a/packages/entry/src/jobs/Leadership.ts
+++ b/packages/entry/src/jobs/Leadership.ts
@@ -1,6 +1,7 @@
 /**
- * What this entry does while it leads: fences former leaders off, rebuilds the
- * view of all jobs, then runs the job engine until leadership is lost.
+ * Runs the terms in which this entry leads. A term fences the previous leaders, reads
+ * the state of all jobs from the store, then runs the job engine until leadership is
+ * lost.
  */
 
 import {
@@ -32,7 +33,7 @@
 
 const LEADERSHIP = {
   producer: "leader",
-  /** How often jobs that ended long ago are looked for. */
+  /** How often expired jobs are searched for and removed. */
   sweepEveryMs: 5_000,
 } as const;
 
@@ -41,9 +42,9 @@
   readonly view: JobView;
   readonly config: ConfigHolder;
   readonly zones: EvacuatedZones;
-  /** Of all that decisions rest on: jobs, what became of them, hosts, the operator's records. */
+  /** Followers of all topics that decisions depend on: jobs, progress, hosts, operator records. */
   readonly followers: readonly TopicFollower[];
-  /** The entry's own writers of jobs and cancels; used to drop old ones. */
+  /** The entry's own writers of jobs and cancels; used to remove expired records. */
   readonly jobsWriter: TopicWriter;
   readonly cancelsWriter: TopicWriter;
   readonly clock: Clock;
@@ -52,16 +53,16 @@
   readonly leadershipTtlMs: number;
   readonly leaseMs: number;
   readonly stopMs: number;
-  /** Jobs that ended are kept this long. */
+  /** How long ended jobs are retained. */
   readonly endedJobRetentionMs: number;
   readonly progressBatchWindowMs: number;
   readonly order: string;
   readonly placer: string;
   readonly policy: SchedulingPolicy;
-  /** Undefined where the platform has no such service. */
+  /** Undefined if the platform has no permit service. */
   readonly permits: PermitService | undefined;
   readonly mayDecide: () => boolean;
-  /** Called when the writes of this leader are refused for good. */
+  /** Called when the current term has failed, for example because its writes are fenced. */
   readonly onTermFailed: (reason: string) => void;
 }
 
@@ -75,7 +76,7 @@
 
   constructor(private readonly options: LeadershipOptions) {}
 
-  /** Undefined while this entry does not lead, or has not read its view yet. */
+  /** Undefined while this entry does not lead, or has not yet read the state of all jobs. */
   get activeTerm(): ActiveTerm | undefined {
     const { term } = this;
     if (!term?.engine) return undefined;
@@ -87,7 +88,7 @@
     const term = new Term(this.options, epoch);
     this.term = term;
     term.run().catch((err: unknown) => {
-      // A term that was ended fails late, and says nothing of the next one.
+      // A term that has been ended may fail later; that does not concern the next term.
       if (this.term !== term) return;
       const error = describeError(err);
       this.options.logger.warn("leader.term-failed", { epoch, error });
@@ -101,7 +102,7 @@
   }
 }
 
-/** One time of leading, under one epoch. */
+/** One term of leadership, under one epoch. */
 class Term {
   engine: JobEngine | undefined;
   private readonly abort = new AbortController();
@@ -154,7 +155,7 @@
     await this.restoreLearnt(this.engine);
   }
 
-  /** Not waited for before the first starts: to know less only costs some worth. */
+  /** The first starts do not wait for this: missing estimates only cost some utility. */
   private async restoreLearnt(engine: JobEngine): Promise<void> {
     const { store, logger } = this.options;
     try {
@@ -187,7 +188,7 @@
     this.learntWriter
       .write({ key, value: encodeLearned(record) })
       .persisted.catch((err: unknown) => {
-        // Written again while more is learnt; the next leader misses little.
+        // The record is written again with the next update, so the next leader misses little.
         logger.info("learnt.not-kept", { key, error: describeError(err) });
       });
   }
@@ -196,7 +197,7 @@
     this.abort.abort();
     for (const unsubscribe of this.unsubscribes) unsubscribe();
     this.engine?.stop();
-    const reason = new Error("this entry leads no more");
+    const reason = new Error("this entry is no longer the leader");
     for (const writer of [...this.writers, this.learntWriter]) {
       writer.close(reason);
     }
@@ -248,7 +249,7 @@
         }
         const { id } = change.job.spec;
         engine.addJob(change.job, undefined);
-        // The two topics are read apart: the cancel may have come first.
+        // The two topics are read independently, so the cancel may have arrived first.
         if (view.get(id)?.cancelled) engine.cancelJob(id);
       }),
       config.changes.on(() => engine.handleOperatorChange()),
@@ -259,7 +260,10 @@
     return engine;
   }
 
-  /** Reads the view once more when no former leader decides: later jobs are new. */
+  /**
+   * Reads the topics once more after the authority of the previous leader has expired.
+   * Jobs that arrive after that read cannot have been started by a previous leader.
+   */
   private tellNewJobsLater(gate: TakeoverGate): void {
     const { clock, followers, logger } = this.options;
     const { signal } = this.abort;
@@ -268,9 +272,9 @@
       if (signal.aborted) return;
       Promise.all(followers.map((follower) => follower.catchUp(signal))).then(
         () => gate.markViewCurrent(clock.monotonic()),
-        // The term is over; until then the gate treats all jobs as old ones.
+        // The term has ended. Without this read the gate treats all jobs as old.
         (err: unknown) =>
-          logger.info("leader.view-not-read", {
+          logger.info("leader.view-refresh-failed", {
             epoch: this.epoch,
             error: describeError(err),
           }),
@@ -286,7 +290,7 @@
     });
   }
 
-  /** Drops what the store need not keep of jobs that ended long ago. */
+  /** Removes the records of jobs whose retention time is over from the store. */
   private sweep(): void {
     const { engine } = this;
     if (!engine) return;
@@ -306,7 +310,10 @@
       .persisted;
   }
 
-  /** The job goes before its progress: without that it would be run again. */
+  /**
+   * Deletes the job record before its progress record: a job without a progress record
+   * would be run again.
+   */
   private async dropJob(id: JobId): Promise<void> {
     const { jobsWriter, logger } = this.options;
     const tombstone = { key: id, value: undefined };
@@ -317,7 +324,7 @@
   }
 
   private noteNotDropped(err: unknown): void {
-    // The next leader finds it again and drops it then.
+    // The next leader finds the job again and deletes it then.
     this.options.logger.warn("job.not-dropped", { error: describeError(err) });
   }
 }
--- a/packages/entry/src/jobs/SideServer.ts
+++ b/packages/entry/src/jobs/SideServer.ts
@@ -1,4 +1,4 @@
-/** Takes the connections of sides; only the entry that leads lets them attach. */
+/** Accepts connections of sides; only the leading entry lets them attach. */
 
 import { createServer, type Server, type Socket } from "node:net";
 import {
@@ -26,10 +26,10 @@
 import type { ActiveTerm } from "./Leadership.js";
 
 const SERVER = {
-  /** Sides report at least twice a second; longer silence ends the connection. */
+  /** Silence after which a connection is closed; sides report at least twice a second. */
   silenceMs: 4_000,
   maxConnections: 2_000,
-  /** Time for the store to keep that a worker is over; its side says it again then. */
+  /** How long to wait until the store persists a worker's end; the side retries after that. */
   noteMs: 700,
 } as const;
 
@@ -43,13 +43,16 @@
   }
 }
 
-/** The end of a worker that a next leader may still wait for. */
+/**
+ * The end of a worker is not persisted yet, so the next leader could still wait for the
+ * worker's leases.
+ */
 export class WorkerEndNotPersistedError extends RackspanError {
   readonly kind = "not-noted";
   constructor(instance: WorkerInstance) {
     super({
-      what: `the store does not keep yet that worker ${instance} is over`,
-      remedy: "say it again after a pause, to the entry that leads then",
+      what: `the end of worker ${instance} is not persisted in the store yet`,
+      remedy: "report it again after a pause, to the entry that leads then",
     });
   }
 }
@@ -69,7 +72,7 @@
 export class SideServer {
   private readonly server: Server;
   private readonly peers = new Set<SideSession>();
-  /** The connection of each host that attached last. */
+  /** The most recently attached session of each host. */
   private readonly byHost = new Map<HostId, SideSession>();
 
   constructor(private readonly options: SideServerOptions) {
@@ -79,14 +82,14 @@
 
   start(): Promise<void> {
     const { logger } = this.options;
-    // Such as too many open files; later connections may work again.
+    // For example too many open files; later connections may succeed.
     this.server.on("error", (err) =>
       logger.error("sides.listener-failed", { error: describeError(err) }),
     );
     return listenOn(this.server, this.options.listen);
   }
 
-  /** Closes all connections, so that sides look for the next leader at once. */
+  /** Closes all connections, so that sides search for the next leader at once. */
   disconnectAll(reason: string): void {
     for (const peer of this.peers) peer.close(reason);
   }
@@ -106,14 +109,15 @@
   }
 
   /**
-   * Ends the host's connection before: what comes late over one that its side has
-   * given up may concern a former life of the worker. When requests to attach
-   * came out of order, this ends the one in use, and its side attaches anew.
+   * Closes the host's previous connection: late messages over a connection that its side
+   * has abandoned may concern a previous incarnation of the worker. If attach requests
+   * arrived out of order, this closes the connection in use, and its side attaches again.
    */
   private replaceFormer(host: HostId, peer: SideSession): void {
     const former = this.byHost.get(host);
     this.byHost.set(host, peer);
-    if (former !== peer) former?.close("the host attached anew");
+    if (former !== peer)
+      former?.close("the host attached over another connection");
   }
 
   private drop(peer: SideSession): void {
@@ -126,7 +130,7 @@
 }
 
 interface SideSessionOptions extends SideServerOptions {
-  /** Called when the connection is the host's from now on. */
+  /** Called when the host has attached over this connection. */
   readonly onAttach: (host: HostId) => void;
 }
 
@@ -180,7 +184,7 @@
     this.closed = this.connection.closed.then((reason) => this.detach(reason));
   }
 
-  /** The host that has attached over this connection, if one has. */
+  /** The host that has attached over this connection, if any. */
   get host(): HostId | undefined {
     return this.attached?.host;
   }
@@ -219,8 +223,8 @@
   }
 
   /**
-   * @throws NotLeadingError when the entry leads no more, or under another epoch,
-   *   or when the connection was ended while the call was on its way here
+   * @throws NotLeadingError if the entry no longer leads, leads under another epoch, or
+   *   if the connection was closed while the call was in flight
    */
   private current(): Attached {
     const { attached } = this;
--- a/packages/entry/src/jobs/StoreReachability.ts
+++ b/packages/entry/src/jobs/StoreReachability.ts
@@ -1,7 +1,6 @@
 /**
- * Tells whether this entry reaches the store. One that is cut off can keep no
- * job: callers are better served by another entry, and the platform sends them
- * there while this one does not say that it is ready.
+ * Detects that this entry is cut off from the store. Such an entry cannot persist jobs.
+ * It reports that it is not ready, so that the platform sends callers to other entries.
  */
 
 import type { Clock } from "@rackspan/common";
@@ -9,14 +8,15 @@
 
 const REACH = {
   /**
-   * A write without an answer for this long, while nothing else is heard of the
-   * store, shows a cut; a store that is merely slow answers other calls.
-   * Milliseconds: twice the time of a writer's first try.
+   * An entry counts as cut off when a write is unanswered for this long and the store
+   * has answered nothing else meanwhile; a store that is only slow answers other calls.
+   * Milliseconds: twice the timeout of a writer's first attempt.
    */
   silentWriteMs: 600,
   /**
-   * Nothing heard at all for this long shows one too, milliseconds: a poll
-   * that has no news is answered after 1.5 s, and may be late by as much.
+   * An entry also counts as cut off when the store has answered nothing at all for this
+   * long, milliseconds: a poll without new records is answered after 1.5 s, and the
+   * answer may be late by the same time.
    */
   silentMs: 3_000,
 } as const;
@@ -25,7 +25,7 @@
   readonly followers: readonly TopicFollower[];
   readonly writers: readonly TopicWriter[];
   readonly clock: Clock;
-  /** Whether a cut is looked for at all. */
+  /** Whether reachability is checked; if not, the store always counts as reachable. */
   readonly enabled: boolean;
 }
 
--- a/packages/entry/src/jobs/StoredRoster.ts
+++ b/packages/entry/src/jobs/StoredRoster.ts
@@ -1,4 +1,7 @@
-/** Keeps in the store which workers may hold leases, so that a next leader waits for them. */
+/**
+ * Persists which workers may hold leases, so that the next leader waits until those
+ * leases have expired.
+ */
 
 import {
   describeError,
@@ -11,9 +14,9 @@
 
 export class StoredRoster implements HostRoster {
   private readonly kept: Map<HostId, WorkerInstance | undefined>;
-  /** What this leader wrote last of a host; undefined once it removed it. */
+  /** The last value that this leader wrote for a host; undefined for a removal. */
   private readonly written = new Map<HostId, WorkerInstance | undefined>();
-  /** By host: whether the store keeps its last removal. */
+  /** By host: whether its last removal has been persisted. */
   private readonly removals = new Map<HostId, Promise<boolean>>();
 
   constructor(
@@ -33,7 +36,7 @@
     this.removals.delete(host);
     await this.writer.write({ key: host, value: encodeHost(instance) })
       .persisted;
-    // Removed or replaced while it was on its way: the store ends with that.
+    // If the host was removed or replaced during the write, the later write wins.
     if (this.written.get(host) === instance) this.kept.set(host, instance);
   }
 
@@ -52,7 +55,7 @@
       await this.writer.write({ key: host, value: undefined }).persisted;
       return true;
     } catch (err) {
-      // A host that stays listed only delays a next leader's first starts.
+      // A host that stays listed only delays the first starts of the next leader.
       const error = describeError(err);
       this.logger.warn("roster.not-removed", { host, error });
       return false;
--- a/packages/entry/src/jobs/callerFronts.ts
+++ b/packages/entry/src/jobs/callerFronts.ts
@@ -1,4 +1,4 @@
-/** Plug-in point for the listener at which callers hand in jobs. */
+/** Plug-in point for the listener that accepts the requests of callers. */
 
 import {
   Registry,
@@ -11,14 +11,14 @@
 
 export interface CallerFront {
   start(): Promise<void>;
-  /** Takes no new connections, and resolves once open requests are answered. */
+  /** Stops accepting connections, and resolves once open requests are answered. */
   drain(graceMs: number): Promise<void>;
   stop(): Promise<void>;
 }
 
 export interface CallerFrontOptions {
   readonly listen: ListenAddress;
-  /** Where the platform asks whether this entry takes callers. */
+  /** Address of the readiness probe, which says whether this entry accepts callers. */
   readonly readiness: ListenAddress;
   readonly isReady: () => boolean;
   readonly jobService: JobService;
--- a/packages/entry/src/jobs/createJobEntryParts.ts
+++ b/packages/entry/src/jobs/createJobEntryParts.ts
@@ -1,4 +1,4 @@
-/** Builds the parts of an entry process for jobs and ties them together. */
+/** Creates and connects the parts of an entry process for jobs. */
 
 import {
   MS_PER_SECOND,
@@ -34,10 +34,10 @@
 import { StoreReachability } from "./StoreReachability.js";
 import { SideServer } from "./SideServer.js";
 
-/** Hosts join and leave rarely: their topic is polled less often. */
+/** Hosts rarely join or leave, so their topic is polled less often. */
 const HOSTS_POLL_FLOOR_MS = 250;
 
-/** Each life of an entry writes under a producer's name of its own, and so its first epoch. */
+/** Each incarnation of an entry writes under its own producer name, so its epoch starts at 1. */
 const FIRST_EPOCH = 1;
 
 export interface JobEntryContext {
@@ -49,7 +49,7 @@
 }
 
 export interface JobEntryPartsOptions extends JobEntryContext {
-  /** Whether the entry takes callers. */
+  /** Whether the entry accepts callers. */
   readonly isReady: () => boolean;
 }
 
@@ -63,14 +63,14 @@
   readonly callerFront: CallerFront;
 }
 
-/** What the entry knows of the store's records, and how it adds to them. */
+/** The entry's views of the store's records, their followers, and the writers of records. */
 interface StoreParts {
   readonly store: StoreClient;
   readonly view: JobView;
   readonly config: ConfigHolder;
   readonly zones: EvacuatedZones;
   readonly jobsFollower: TopicFollower;
-  /** Followers of all topics; a leader must have read them. */
+  /** Followers of all topics; a leader must have read each of them to its end. */
   readonly followers: readonly TopicFollower[];
   readonly jobsWriter: TopicWriter;
   readonly cancelsWriter: TopicWriter;
@@ -120,8 +120,8 @@
   };
 };
 
-/** Whether this entry leads now; it follows topics more closely then. */
 interface StoreWiring extends JobEntryContext {
+  /** Whether this entry leads now; a leader polls topics more often. */
   readonly leads: () => boolean;
 }
 
@@ -200,7 +200,7 @@
     ? undefined
     : permitServices.create(platform.client, { address: platform.permits });
 
-/** The election, and what it begins and ends. */
+/** The election, and the leadership terms and side connections that it starts and ends. */
 const buildLeading = (
   base: JobEntryContext,
   storeParts: StoreParts,
--- a/packages/entry/src/jobs/settings.ts
+++ b/packages/entry/src/jobs/settings.ts
@@ -1,4 +1,4 @@
-/** Settings of an entry process that takes jobs. */
+/** Settings of an entry process for jobs. */
 
 import { z } from "zod";
 import {
@@ -49,58 +49,59 @@
     client: z.string().min(1),
     /** `IP:PORT` of the store. */
     store: endpointSchema,
-    /** `IP:PORT` of the service that says which hosts may run a step, where there is one. */
+    /** `IP:PORT` of the optional service that permits hosts to run a step. */
     permits: endpointSchema.optional(),
   }),
-  /** Where callers hand in jobs. */
+  /** Address on which callers submit jobs. */
   callers: listenAddressSchema,
-  /** Where the platform asks whether this entry takes callers. */
+  /** Address of the readiness probe, which says whether this entry accepts callers. */
   readiness: listenAddressSchema,
   /**
    * Whether an entry that cannot reach the store reports that it is not ready, so
    * that callers go to other entries.
    */
   readyFollowsStore: z.boolean().default(true),
-  /** Where sides connect to the leader. */
+  /** Address on which sides connect to the leader. */
   sides: listenAddressSchema,
   metrics: listenAddressSchema.optional(),
   leases: z.strictObject({
     /**
-     * Silence after which the store gives leadership to another entry. Shorter:
-     * a dead leader is replaced sooner; longer: a leader outlasts longer outages.
+     * Silence after which the store gives leadership to another entry. A shorter time
+     * replaces a dead leader sooner; a longer one lets a leader survive longer outages.
      */
     leadershipTtlMs: millisecondsSchema.default(2_500),
-    /** The least that the store takes; a lower `leadershipTtlMs` is raised to it. */
+    /** Minimum that the store accepts; a lower `leadershipTtlMs` is raised to it. */
     leastLeadershipTtlMs: millisecondsSchema.default(1),
     /** Longest lease that workers grant. */
     workerLeaseMs: millisecondsSchema,
-    /** Time that a worker may take to stop a task. */
+    /** Time limit for a worker to stop a task. */
     stopMs: millisecondsSchema.default(500),
   }),
-  /** What this process may use of a processor; a whole one when left out. */
+  /** Processor time that this process may use; a whole processor by default. */
   processor: z
     .strictObject({
-      /** Share of the time. */
+      /** Share of one processor's time. */
       share: z.number().positive().max(1_024).default(1),
-      /** How fast it is, against the processors that leaders are measured on. */
+      /** Speed relative to the processors on which leaders are benchmarked. */
       speed: z.number().positive().max(1_024).default(1),
     })
     .prefault({}),
-  /** A planned stop is over within this. */
+  /** A planned stop completes within this time. */
   graceSeconds: secondsSchema.default(6),
-  /** The state of a job that ended can be asked for this long. */
+  /** How long the state of an ended job can be queried. */
   keepEndedSeconds: secondsSchema.default(120),
   batching: z
     .strictObject({
-      /** Submissions are gathered this long before they are sent to the store. */
+      /** How long submissions are batched before they are sent to the store. */
       submitMs: z.number().min(0).max(1_000).default(4),
-      /** Changes of progress likewise. */
+      /** How long changes of progress are batched. */
       progressMs: z.number().min(0).max(1_000).default(20),
-      /** Least time between two polls of one topic by the entry that leads. */
+      /** Minimum interval between two polls of one topic by the leading entry. */
       pollFloorMs: z.number().min(0).max(1_000).default(25),
       /**
-       * The same for entries that do not lead: how late they may hear that a job has
-       * ended. Every entry polls for itself, so most calls to the store are theirs.
+       * The same for entries that do not lead. It bounds how late they learn that a job
+       * has ended. Every entry polls on its own, so these entries make most of the calls
+       * to the store.
        */
       followFloorMs: z.number().min(0).max(1_000).default(100),
     })
@@ -125,6 +126,6 @@
 
 export type JobEntrySettings = z.infer<typeof jobEntrySettingsSchema>;
 
-/** What the process may use, in processors of the usual speed. */
+/** Processor capacity of the process, in processors of the reference speed. */
 export const availableProcessors = ({ processor }: JobEntrySettings): number =>
   processor.share * processor.speed;
--- a/packages/entry/src/jobs/storeRetry.ts
+++ b/packages/entry/src/jobs/storeRetry.ts
@@ -1,26 +1,29 @@
 /**
- * How long a job that the store refuses is held for its caller. A caller that is refused
- * at once comes back a second later, three times at most within its time, and most
- * outages of the store end in between: a held job is kept as soon as the store takes it.
+ * How long a write that the store refuses is retried while the caller waits. A caller that
+ * is refused at once returns after a second, at most three times before its deadline, and
+ * most store outages end in between. Retrying here persists the job as soon as the store
+ * accepts writes again.
  */
 
 import type { Monotonic } from "@rackspan/common";
 
 export const STORE_RETRY = {
   /**
-   * Share of the caller's time for which its job is held. The store may refuse this
-   * entry alone, so time is left for other entries.
+   * Share of the caller's time that is spent on retries. The rest is left for other
+   * entries, because the store may refuse only this one.
    */
   callerTimeShare: 1 / 3,
-  /** Between two tries, milliseconds: a store that comes back is noticed within this. */
+  /** Delay between two attempts, milliseconds; a recovered store is detected within it. */
   retryMs: 100,
-  /** The caller has waited here; another entry may be served by the store now. */
+  /** Retry delay of a caller that has waited here: it may try another entry at once. */
   retryAfterMs: 0,
 } as const;
 
 /**
- * @param cameAt when the caller came
- * @param deadline when it stops waiting for this answer
+ * When retries end.
+ *
+ * @param cameAt when the request arrived
+ * @param deadline when the caller stops waiting for the response
  */
 export const retryDeadline = (
   cameAt: Monotonic,
--- a/packages/entry/src/openTunnel.ts
+++ b/packages/entry/src/openTunnel.ts
@@ -1,4 +1,4 @@
-/** Opens an upgraded connection from a caller to an endpoint. */
+/** Opens an upgraded connection between a caller and an endpoint. */
 
 import type { IncomingMessage } from "node:http";
 import type { Duplex } from "node:stream";
@@ -22,7 +22,7 @@
   readonly request: CallerRequest;
 }
 
-/** @returns nothing once the connections are joined, else why they are not */
+/** @returns undefined once the connections are joined, otherwise the problem */
 export const openTunnel = async (
   options: OpenTunnelOptions,
 ): Promise<Problem | undefined> => {
--- a/packages/entry/src/operatorHandlers.ts
+++ b/packages/entry/src/operatorHandlers.ts
@@ -1,4 +1,4 @@
-/** What an entry does for each call of an operator. */
+/** The handlers of operator calls. */
 
 import {
   firstShortage,
@@ -50,8 +50,8 @@
   readonly kind = "unknown-host";
   constructor(host: HostId) {
     super({
-      what: `no host ${host} is known here`,
-      remedy: "see rackspan status for the hosts that are",
+      what: `host ${host} is unknown to this entry`,
+      remedy: "see rackspan status for the known hosts",
     });
   }
 }
@@ -60,18 +60,18 @@
   readonly kind = "not-running";
   constructor(unit: UnitId) {
     super({
-      what: `${unit} does not run now`,
-      remedy: "see rackspan get units for those that do",
+      what: `unit ${unit} is not running`,
+      remedy: "see rackspan get units for the running units",
     });
   }
 }
 
-/** No host that is known could ever hold the job. */
+/** The job requests more of a resource than any known host has. */
 export class NeverFitsError extends RackspanError {
   readonly kind = "never-fits";
   constructor(job: string, amount: string) {
     super({
-      what: `${job} asks for more ${amount} than any host has`,
+      what: `job ${job} requests more ${amount} than any host has`,
       remedy: `lower "${amount}" or split the job`,
     });
   }
@@ -133,7 +133,7 @@
 
 const toVerdict = (verdict: ApplyResult): OperatorVerdict => ({ ...verdict });
 
-/** @throws PolicyError for the first program that may not be published */
+/** @throws PolicyError for the first policy program that does not compile */
 const checkPolicies = (changes: readonly Change[]): void => {
   for (const change of changes) {
     if (change.action !== "put" || change.declaration.kind !== "policy")
@@ -142,7 +142,7 @@
   }
 };
 
-/** @throws NeverFitsError; a job that some host may hold later is let through */
+/** @throws NeverFitsError unless some host has the capacity for the job, even if not free now */
 const checkFitsSomewhere = (
   job: JobDeclaration,
   sides: SideDirectory,
@@ -160,7 +160,7 @@
   }
 };
 
-/** @throws UnknownHostError when nothing is claimed there */
+/** @throws UnknownHostError if no unit is claimed by the host */
 const highestClaimed = (fold: Fold, host: HostId): HostGeneration => {
   const generations = fold.units
     .claimedBy(host)
--- a/packages/entry/src/operatorMethods.ts
+++ b/packages/entry/src/operatorMethods.ts
@@ -1,4 +1,4 @@
-/** Calls of operators, and of entries to each other, at an entry's control address. */
+/** RPC methods at an entry's control address, for operators and other entries. */
 
 import { z } from "zod";
 import {
@@ -45,7 +45,7 @@
 const entryStatusSchema = z.object({
   entry: z.string(),
   ready: z.boolean(),
-  /** Configuration in force at this entry. */
+  /** Version of the configuration that is in force at this entry. */
   configVersion: z.number(),
   logPosition: z.number(),
   logSilentMs: z.number(),
@@ -60,7 +60,7 @@
     claimed: z.number(),
     finished: z.number(),
   }),
-  /** The other entries that the host list shows; those that did not answer have no status. */
+  /** The other entries in the host list; an entry that did not answer has no status. */
   peers: z.array(
     z.object({ host: z.string(), status: entryStatusSchema.optional() }),
   ),
@@ -79,7 +79,7 @@
     }),
     result: verdictSchema,
   },
-  /** The configuration in force here, and its version as the base of changes. */
+  /** The configuration in force at this entry, and its version as the base for changes. */
   get: {
     params: z.strictObject({}),
     result: z.object({
@@ -105,7 +105,7 @@
     params: z.strictObject({ host: idSchema<HostId>() }),
     result: verdictSchema,
   },
-  /** Limits the running attempt of a unit; its next attempt starts unlimited. */
+  /** Limits the processor share of a unit's running attempt; the next attempt is not limited. */
   throttle: {
     params: z.strictObject({
       unit: idSchema<UnitId>(),
--- a/packages/entry/src/relayEvents.ts
+++ b/packages/entry/src/relayEvents.ts
@@ -1,6 +1,6 @@
 /**
- * Passes a stream of server-sent events on, event by event, so that it can go on
- * from another endpoint between two events.
+ * Relays a stream of server-sent events event by event, so that it can continue from
+ * another endpoint between two events.
  * Source: the HTML standard, "Server-sent events".
  */
 
@@ -13,12 +13,12 @@
 const ID_LINE = /^id:[ ]?([^\0\r\n]*)/m;
 const MAX_EVENT_CHARS = 1_048_576;
 
-/** Where a watch stands; lives longer than the connection to one endpoint. */
+/** Position of a watch in its event stream; outlives the connection to one endpoint. */
 export interface WatchPosition {
   lastEventId: string | undefined;
 }
 
-/** Asked between two events. */
+/** Called between two events. */
 export type ShouldMove = () => boolean;
 
 const writeOut = (to: ServerResponse, text: string): Promise<void> =>
@@ -36,7 +36,7 @@
     to.on("close", done);
   });
 
-/** Ends when the sender ends, when the receiver is gone, or when it is to move. */
+/** Ends when the sender ends, when the receiver has disconnected, or when the watch moves. */
 export const relayEvents = async (
   from: IncomingMessage,
   to: ServerResponse,
--- a/packages/entry/src/settings.ts
+++ b/packages/entry/src/settings.ts
@@ -13,14 +13,14 @@
 
 const urlSchema = z.url({ protocol: /^http$/ });
 
-/** The wire format of a service of the platform. */
+/** Name of the plug-in that implements the wire format of a platform service. */
 const clientSchema = (names: readonly string[]) =>
   z.enum(names as [string, ...string[]]).default("http");
 
 const classLimitsSchema = z.strictObject({
-  /** Requests of the class that this entry has in progress at once. */
+  /** Maximum number of requests of the class in progress at this entry. */
   concurrency: z.number().int().min(1).max(100_000),
-  /** Requests of the class that may wait before they are refused. */
+  /** Maximum number of queued requests of the class; further ones are refused. */
   maxQueued: z.number().int().min(0).max(1_000_000),
 });
 
@@ -31,16 +31,16 @@
   /** This host's name in the host list. */
   host: idSchema<HostId>(),
   availabilityZone: idSchema<AvailabilityZone>(),
-  /** Where callers come in. */
+  /** Listen address for callers. */
   listen: listenSchema,
-  /** Where operators and other entries come in. */
+  /** Listen address for operators and other entries. */
   control: listenSchema,
   log: z.strictObject({
     url: urlSchema,
     client: clientSchema(logServices.names()),
-    /** This process's share of the platform's append budget. */
+    /** Share of the platform's append budget that this process may use. */
     appendsPerSecond: z.number().min(0.1).max(1_000).default(15),
-    /** How long the log keeps entries. */
+    /** How long the log retains entries. */
     retentionMs: duration(1_000, 1e10, 86_400_000),
     snapshotEveryEntries: z.number().int().min(1).max(1e7).default(5_000),
   }),
@@ -50,7 +50,7 @@
     everyMs: duration(10, 60_000, 1_000),
   }),
   security: z.strictObject({
-    /** Peers and operators are not authenticated; must be asked for by name. */
+    /** Peers and operators are not authenticated, so this mode must be set explicitly. */
     mode: z.literal("development"),
   }),
   routing: z
@@ -58,19 +58,19 @@
       picker: z
         .enum(endpointPickers.names() as [string, ...string[]])
         .default("pooled"),
-      /** Services with up to this many endpoints are used whole by each entry. */
+      /** Each entry uses all endpoints of a service that has up to this many. */
       subsetLeast: z.number().int().min(1).max(10_000).default(32),
       maxAttempts: z.number().int().min(1).max(20).default(3),
-      /** Retries as a share of requests. */
+      /** Maximum share of retries among requests. */
       retryRatio: z.number().min(0).max(1).default(0.1),
       retryBurst: z.number().min(0).max(10_000).default(20),
-      /** Bodies up to this are kept for a retry; larger ones are streamed once. */
+      /** Bodies up to this size are buffered for retries; larger ones are streamed once. */
       keepBodyBytes: z.number().int().min(0).max(16_777_216).default(65_536),
       failuresToEject: z.number().int().min(1).max(1_000).default(5),
       ejectMs: duration(1, 600_000, 2_000),
       maxEjectMs: duration(1, 3_600_000, 60_000),
       maxEjectedShare: z.number().min(0).max(1).default(0.5),
-      /** How long a broken watch looks for another endpoint. */
+      /** How long to search for another endpoint after the connection of a watch broke. */
       watchResumeMs: duration(0, 600_000, 10_000),
     })
     .prefault({}),
@@ -88,33 +88,33 @@
         .enum(placers.names() as [string, ...string[]])
         .default("spread"),
       takeoverMs: duration(1, 60_000, 1_000),
-      /** Shorter than a reservation at a side lives. */
+      /** Must be shorter than the lifetime of a reservation at a side. */
       claimTimeoutMs: duration(1, 60_000, 4_000),
       notStartedMs: duration(1, 600_000, 8_000),
       appendTimeoutMs: duration(1, 600_000, 10_000),
       concurrency: z.number().int().min(1).max(10_000).default(64),
-      /** The longest lease of any worker, with room for its clock's drift. */
+      /** Longest lease of any worker, plus a margin for the drift of its clock. */
       longestLeaseMs: duration(1, 3_600_000, 65_000),
       sweepMs: duration(1, 60_000, 500),
     })
     .prefault({}),
   sides: z
     .strictObject({
-      /** Longest wait of one status call when nothing changes; a change ends it at once. */
+      /** Longest wait of a status call without a change; a change ends the call at once. */
       syncMs: duration(10, 60_000, 10_000),
     })
     .prefault({}),
   keys: z
     .strictObject({
-      /** Answers up to this are kept for repeats of their key. */
+      /** Responses up to this size are recorded for repeats of their key. */
       keepAnswerBytes: z.number().int().min(0).max(1_048_576).default(16_384),
     })
     .prefault({}),
   drain: z
     .strictObject({
-      /** `/readyz` says no this long before requests are refused. */
+      /** How long `/readyz` reports not ready before requests are refused. */
       noticeMs: duration(0, 60_000, 2_000),
-      /** Watches are cut after this. */
+      /** Watches are closed after this time. */
       limitMs: duration(0, 3_600_000, 30_000),
     })
     .prefault({}),
--- a/packages/entry/src/sideRequest.ts
+++ b/packages/entry/src/sideRequest.ts
@@ -1,4 +1,4 @@
-/** The head of a request from an entry to a side. */
+/** Headers and connection of a request from an entry to a side. */
 
 import { Agent } from "node:http";
 import type { Incarnation, RequestId, ServiceName } from "@rackspan/common";
@@ -32,7 +32,7 @@
   ...INTERNAL_HEADERS,
   ...NEVER_FORWARDED,
 ]);
-/** A kept body gets its length anew. */
+/** The length of a buffered body is set again. */
 const DROPPED_WITH_BODY: ReadonlySet<string> = new Set([
   ...DROPPED,
   "content-length",
@@ -89,9 +89,9 @@
 const sharedAgent = new Agent({ keepAlive: true, keepAliveMsecs: 5_000 });
 
 /**
- * A kept connection may turn out closed just as a request is written to it, and
- * nobody can tell then whether it was read. So requests that may run once only
- * take a fresh one.
+ * The agent for a request. A keep-alive connection may be closed while a request is being
+ * written to it, and then it is unknown whether the request was read. So requests that
+ * may run only once use a new connection.
  */
 export const agentFor = (request: {
   readonly repeatable: boolean;
--- a/packages/entry/tests/attemptLoop.test.ts
+++ b/packages/entry/tests/attemptLoop.test.ts
@@ -1,4 +1,4 @@
-/** What becomes of a request whose attempt brought no answer. */
+/** What happens to a request whose attempt was not answered. */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -36,8 +36,9 @@
     ADDRESS,
   );
 
-// Another process of the side truly denies what was sent to the one before it.
-test("the run of a side that an attempt was sent to is asked whether it started", async () => {
+// A restarted side would correctly deny an attempt that was sent to its previous
+// incarnation, and the request could run twice.
+test("the fence names the incarnation of the side that the attempt was sent to", async () => {
   const clock = new ManualClock();
   const endpoints = new Map(
     HOSTS.map((host) => [host, endpointOf(host, "first run")]),
@@ -47,7 +48,7 @@
     get endpoint() {
       return endpoints.get(host);
     },
-    // As a side answers: it knows its own requests only.
+    // A side has a record of its own requests only.
     fenceRequest: async ({ incarnation }) =>
       incarnation === endpoints.get(host)?.incarnation ? "no" : "unknown",
   });
--- a/packages/entry/tests/createJobService.ts
+++ b/packages/entry/tests/createJobService.ts
@@ -1,4 +1,4 @@
-/** A job desk over the given store, with the parts of its entry that it needs. */
+/** Creates a job service over the given store, with the parts of an entry that it needs. */
 
 import { Metrics, silentLogger, type ManualClock } from "@rackspan/common";
 import { JobService, StoreReachability } from "@rackspan/entry";
@@ -16,13 +16,13 @@
 export interface DeskOptions {
   readonly clock: ManualClock;
   readonly store: MemoryStore;
-  /** Name of the entry as a writer. */
+  /** Producer name of the entry. */
   readonly entry: string;
-  /** Least time between two polls of the entry, milliseconds. */
+  /** Minimum interval between two polls of the entry, milliseconds. */
   readonly floorMs: number;
 }
 
-/** As the settings have it by default: gathers for 4 ms, and tells of refusals. */
+/** A writer with the default settings: batches for 4 ms, and reports refusals. */
 export const createWriter = (
   topic: WrittenTopic,
   { clock, store, entry }: Omit<DeskOptions, "floorMs">,
--- a/packages/entry/tests/jobService.test.ts
+++ b/packages/entry/tests/jobService.test.ts
@@ -1,4 +1,4 @@
-/** What callers are told of jobs that another entry has taken. */
+/** Queries and cancels of jobs that another entry has accepted. */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -9,7 +9,7 @@
 
 const JOB = brand<JobId>("5c0e7a21d94b36f8");
 const NEVER = brand<JobId>("0000000000000000");
-/** So long that nothing is heard by an ordinary poll within a test. */
+/** So long that no regular poll happens within a test. */
 const FLOOR_MS = 60_000;
 
 const setUp = async () => {
@@ -38,7 +38,7 @@
   return { clock, store, desk, job, deadline, stop };
 };
 
-test("a job that another entry took a moment ago is known at once", async () => {
+test("a job that another entry accepted a moment ago is found at once", async () => {
   const { clock, desk, job, deadline, stop } = await setUp();
   const answer = desk.state(job.spec.queue, JOB, deadline());
   await clock.advance(20);
@@ -46,7 +46,7 @@
   await stop();
 });
 
-test("a job that another entry took a moment ago can be cancelled", async () => {
+test("a job that another entry accepted a moment ago can be cancelled", async () => {
   const { clock, store, desk, job, deadline, stop } = await setUp();
   const answer = desk.cancel(job.spec.queue, JOB, deadline());
   await clock.advance(20);
@@ -55,7 +55,7 @@
   await stop();
 });
 
-test("that a job does not exist is said only after a look into the store", async () => {
+test("no-such-job is returned only after the store has been read", async () => {
   const { clock, store, desk, job, deadline, stop } = await setUp();
   const answer = desk.state(job.spec.queue, NEVER, deadline());
   await clock.advance(20);
@@ -68,7 +68,7 @@
   await stop();
 });
 
-test("a cancel is denied only when the store has been asked since it came", async () => {
+test("a cancel returns no-such-job only if the store has been read since it arrived", async () => {
   // A view that is some seconds old does not prove that a job does not exist.
   const { clock, store, desk, job, deadline, stop } = await setUp();
   store.fault = "refuses";
@@ -83,7 +83,7 @@
   await stop();
 });
 
-test("a cancel of a job that the store has been asked for in vain is denied", async () => {
+test("a cancel of a job that is not in the store returns no-such-job", async () => {
   const { clock, desk, job, deadline, stop } = await setUp();
   const cancel = desk.cancel(job.spec.queue, NEVER, deadline());
   await clock.advance(200);
@@ -91,8 +91,8 @@
   await stop();
 });
 
-test("a cancel that comes before its job is kept for it", async () => {
-  // The record of a job may be kept after its cancel has come.
+test("a cancel that arrives before its job is persisted", async () => {
+  // The record of the job may be persisted after its cancel has arrived.
   const { clock, store, desk, job, deadline, stop } = await setUp();
   const cancel = desk.cancel(job.spec.queue, NEVER, deadline());
   await clock.advance(200);
@@ -106,7 +106,7 @@
   await stop();
 });
 
-test("a cancel by another queue than the job's cancels nothing", async () => {
+test("a cancel through a queue other than the job's has no effect", async () => {
   const { clock, store, desk, deadline, stop } = await setUp();
   const other = brand<QueueKey>("calls.example/other/");
   const cancel = desk.cancel(other, JOB, deadline());
--- a/packages/entry/tests/leadership.test.ts
+++ b/packages/entry/tests/leadership.test.ts
@@ -45,7 +45,7 @@
   const store = new MemoryStore(clock);
   const logger = silentLogger;
   const metrics = new Metrics();
-  /** Why the entry was told that it must not lead any more, in order. */
+  /** The reasons for which terms failed, in order. */
   const deposed: string[] = [];
   const view = new JobView({ logger, metrics });
   const zones = new EvacuatedZones({ clock, logger, metrics });
@@ -60,7 +60,7 @@
       batchWindowMs: 0,
       retriesRefusedBatches: false,
     });
-  // One writer a topic: numbers of one producer must not be given twice.
+  // One writer for each topic: a producer must not use a sequence twice.
   const jobsWriter = writerOf(TOPICS.jobs);
   const cancelsWriter = writerOf(TOPICS.cancels);
   const follow = (
@@ -113,7 +113,7 @@
     await clock.advance(2_000);
     await stopped;
   };
-  /** A job, and that it was cancelled, as other entries have kept them. */
+  /** Persists the job as another entry would. */
   const keepJob = async (): Promise<void> => {
     const value = encodeJob(acceptedJob(clock.now()));
     const { persisted: kept } = jobsWriter.write({ key: JOB, value });
@@ -142,7 +142,7 @@
   };
 };
 
-test("a cancel that is read before its job is carried out all the same", async () => {
+test("a cancel that is read before its job takes effect when the job arrives", async () => {
   const { clock, view, jobsWriter, leadership, lastState, stop } = setUp();
   leadership.beginTerm(brand<Epoch>(1));
   await clock.advance(200);
@@ -155,7 +155,7 @@
   await stop();
 });
 
-test("a job that ended long ago is dropped from the store, its progress last", async () => {
+test("a job whose retention time is over is removed from all topics of the store", async () => {
   const { clock, store, view, jobsWriter, leadership, stop } = setUp();
   const value = encodeJob(acceptedJob(clock.now()));
   const kept = jobsWriter.write({ key: JOB, value }).persisted;
@@ -172,7 +172,7 @@
   await stop();
 });
 
-test("a cancel that only another entry has acknowledged reaches the leader at once", async () => {
+test("a cancel that another entry acknowledged reaches the leader at once", async () => {
   const { clock, leadership, lastState, stop, keepJob, keepCancel } = setUp();
   leadership.beginTerm(brand<Epoch>(1));
   await clock.advance(200);
@@ -183,7 +183,7 @@
   await stop();
 });
 
-test("a cancel that was acknowledged while nobody led is carried out by the next leader", async () => {
+test("a cancel that was acknowledged while there was no leader is carried out by the next leader", async () => {
   const { clock, leadership, lastState, stop, keepJob, keepCancel } = setUp();
   await keepJob();
   await keepCancel();
@@ -193,8 +193,8 @@
   await stop();
 });
 
-test("a cancel is kept for a job whose record this version cannot read", async () => {
-  // A job that this version cannot read exists all the same.
+test("a cancel is retained for a job whose record this version cannot read", async () => {
+  // The job exists even though this version cannot decode it.
   const { clock, store, jobsWriter, leadership, stop, keepCancel } = setUp();
   const value = Buffer.from("of another version");
   const { persisted: kept } = jobsWriter.write({ key: JOB, value });
@@ -208,8 +208,8 @@
   await stop();
 });
 
-test("a cancel whose job never came is dropped when ended jobs are", async () => {
-  // Such a cancel has no job with which it could be dropped.
+test("a cancel whose job never arrived is removed after the retention time", async () => {
+  // Cancels are otherwise removed together with their job, which does not exist here.
   const { clock, store, leadership, stop, keepCancel } = setUp();
   leadership.beginTerm(brand<Epoch>(1));
   await clock.advance(200);
@@ -222,7 +222,7 @@
   await stop();
 });
 
-/** The side of a host that takes every order. */
+/** A host session that accepts every order. */
 class WillingHost implements HostSession {
   readonly starts: StartTaskCall[] = [];
 
@@ -258,8 +258,9 @@
   lostRuns: [],
 });
 
-/** A slow take-over must not let tasks run beside what a silent host still runs. */
-test("a take-over that lasts longer than the former term takes no job that it reads for a new one", async () => {
+// If a slow takeover treated the jobs that it reads as new, it could start tasks that a
+// silent host still runs.
+test("a takeover that lasts longer than the previous term treats the jobs that it reads as old", async () => {
   const { clock, store, view, leadership, follow, stop, keepJob } = setUp();
   const silent = brand<HostId>("h1");
   const hosts = follow(TOPICS.hosts, (records) =>
@@ -297,8 +298,8 @@
   await stopped;
 });
 
-// The former term fails because its writers are closed; the next one does not.
-test("a term that fails after the next one has begun deposes nobody", async () => {
+// The earlier term fails because its writers are closed; that must not end the next term.
+test("a term that fails after the next one has started does not end leadership", async () => {
   const { clock, store, leadership, jobs, deposed } = setUp();
   store.fault = "refuses";
   leadership.beginTerm(brand<Epoch>(1));
@@ -316,7 +317,7 @@
   await stopped;
 });
 
-test("a term that fails while it is the present one ends the entry's leadership", async () => {
+test("a term that fails while it is the current one ends the entry's leadership", async () => {
   const { clock, store, leadership, jobs, deposed } = setUp();
   await store.append({
     topic: TOPICS.progress,
--- a/packages/entry/tests/parsers.test.ts
+++ b/packages/entry/tests/parsers.test.ts
@@ -52,7 +52,7 @@
   maxLength: 12,
 });
 
-test("whatever a head says, it is taken or refused as not run with a reason", () => {
+test("every request head is either accepted, or refused as not run with a reason", () => {
   const value = fc.option(
     fc.oneof(fc.string({ maxLength: 300 }), fc.integer().map(String)),
     { nil: undefined },
@@ -111,7 +111,7 @@
   "",
 );
 
-test("forwarded headers keep order and repeats, and lose what is for one hop or ours", () => {
+test("forwarding keeps the order and repeats of headers, and removes hop-by-hop and internal ones", () => {
   fc.assert(
     fc.property(
       fc.array(fc.tuple(headerName, headerValue), { maxLength: 8 }),
@@ -145,7 +145,7 @@
   );
 });
 
-test("an address is read or refused, whatever the text", () => {
+test("every text is either parsed as an address or refused with a TypeError", () => {
   expect(parseAddress("[::1]:80")).toEqual({ host: "::1", port: 80 });
   fc.assert(
     fc.property(
--- a/packages/entry/tests/sideServer.test.ts
+++ b/packages/entry/tests/sideServer.test.ts
@@ -1,4 +1,4 @@
-/** Which of a host's connections the leader listens to, over real sockets. */
+/** Which of a host's connections the leader accepts reports from, over real sockets. */
 
 import { once } from "node:events";
 import { connect, createServer } from "node:net";
@@ -52,7 +52,7 @@
   lostRuns: [],
 });
 
-/** What an engine is told, and through which session it would give orders. */
+/** Records the reports that an engine receives, and the session that it would send orders to. */
 class EngineProbe {
   readonly reported: WorkerInstance[] = [];
   session: HostSession | undefined;
@@ -135,8 +135,9 @@
   }
 };
 
-// It speaks of the worker's former life, and would end the runs of the present one.
-test("a report over a connection that its side has replaced is not taken", async () => {
+// Such a report is about the previous incarnation of the worker, and would end the runs of
+// the current one.
+test("a report over a connection that its side has replaced is refused", async () => {
   await withServer(async (listen, probe) => {
     const old = await openSide(listen);
     await attach(old);
@@ -154,8 +155,8 @@
   });
 });
 
-// Otherwise reports are answered and leases renewed, but no order reaches the host.
-test("a host whose connections attached out of order gets a connection for orders again", async () => {
+// Otherwise reports would be answered and leases renewed, but no order would reach the host.
+test("a host whose connections attached out of order has a session for orders or reattaches", async () => {
   await withServer(async (listen, probe) => {
     const present = await openSide(listen);
     await attach(present);
--- a/packages/entry/tests/storeOutage.test.ts
+++ b/packages/entry/tests/storeOutage.test.ts
@@ -1,4 +1,4 @@
-/** What callers get who hand jobs in while the store turns all writes away. */
+/** Submitting jobs while the store refuses all writes. */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -16,7 +16,7 @@
 interface Told {
   readonly outcome: JobRequestOutcome;
   readonly refusals: number;
-  /** Longest time that one entry held the caller before it refused. */
+  /** Longest time that one entry retried for the caller before it refused. */
   readonly heldMs: number;
 }
 
@@ -47,7 +47,7 @@
   return { clock, store, entries, handIn };
 };
 
-/** What each caller is told who comes while the store is away for so long. */
+/** The results of all callers that arrive during an outage of the given length. */
 const playOutage = async (outageMs: number): Promise<Told[]> => {
   const { clock, store, entries, handIn } = createSite();
   await clock.advance(1_000);
@@ -62,7 +62,7 @@
   const all = await Promise.all(told);
   const kept = new Set(store.recordsOf(TOPICS.jobs).map(({ key }) => key));
   const accepted = all.filter(({ outcome }) => outcome.kind === "accepted");
-  // Each refusal for good was true, and each acceptance.
+  // Exactly the accepted jobs are in the store; no refused job is.
   expect(kept.size).toEqual(accepted.length);
   expect(store.recordsOf(TOPICS.jobs).length).toEqual(kept.size);
   const stopped = entries.map(({ stop }) => stop());
@@ -71,14 +71,14 @@
   return all;
 };
 
-test("of 42 callers who come while the store is away for 4.2 s, 25 are served", async () => {
+test("of 42 callers that arrive during a store outage of 4.2 s, 25 are served", async () => {
   const told = await playOutage(OUTAGE_MS);
   const served = told.filter(({ outcome }) => outcome.kind === "accepted");
-  // Refused at once, with a second to come back in: 20.
+  // With immediate refusals and a retry delay of one second, 20 were served.
   expect(served.length >= 25).toEqual(true);
 });
 
-test("a caller for whom nothing can be kept is sent to another entry within a third of its time", async () => {
+test("a caller whose job cannot be persisted is sent to another entry within a third of its time", async () => {
   const told = await playOutage(OUTAGE_MS);
   const longestMs = Math.max(...told.map(({ heldMs }) => heldMs));
   expect(longestMs <= CALLER.timeMs / 3).toEqual(true);
@@ -87,12 +87,12 @@
   );
 });
 
-test("an outage of half a second refuses nobody", async () => {
+test("an outage of half a second causes no refusals", async () => {
   const told = await playOutage(500);
   expect(told.map(({ refusals }) => refusals)).toEqual(told.map(() => 0));
 });
 
-test("a job that was held and then cancelled by its caller elsewhere stays one job", async () => {
+test("a job that was retried and then cancelled at another entry has one job and one cancel record", async () => {
   const { clock, store, handIn, entries } = createSite();
   await clock.advance(1_000);
   store.fault = "refuses";
--- a/packages/entry/tests/storeReachability.test.ts
+++ b/packages/entry/tests/storeReachability.test.ts
@@ -1,4 +1,4 @@
-/** When an entry takes the store as out of its reach. */
+/** When an entry considers the store unreachable. */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -23,7 +23,7 @@
   return { clock, follower, other, writer, reachOf };
 };
 
-test("an entry whose write stays unanswered, and that hears nothing else, is cut off", async () => {
+test("an entry whose write stays unanswered, and that receives nothing else, is cut off", async () => {
   const { clock, writer, follower, reachOf } = setUp();
   const reach = reachOf(true);
   await clock.advance(10);
@@ -37,7 +37,7 @@
   expect(reach.isReachable).toEqual(true);
 });
 
-test("an entry that hears nothing for long is cut off, also when nobody writes", async () => {
+test("an entry that receives nothing for a long time is cut off, even without writes", async () => {
   const { clock, other, reachOf } = setUp();
   const reach = reachOf(true);
   await clock.advance(2_900);
@@ -48,7 +48,7 @@
   expect(reach.isReachable).toEqual(true);
 });
 
-test("an entry that the store turns away on every topic is out of reach until one answers", () => {
+test("the store is unreachable while it refuses every topic, and reachable once one succeeds", () => {
   const { follower, other, reachOf } = setUp();
   const reach = reachOf(true);
   follower.failing = true;
@@ -59,7 +59,7 @@
   expect(reach.isReachable).toEqual(true);
 });
 
-test("where it is switched off, the store always counts as reached", async () => {
+test("the store always counts as reachable if the check is disabled", async () => {
   const { clock, follower, other, reachOf } = setUp();
   const reach = reachOf(false);
   follower.failing = true;
--- a/packages/entry/tests/storedRoster.test.ts
+++ b/packages/entry/tests/storedRoster.test.ts
@@ -35,7 +35,7 @@
   };
 };
 
-test("a host is listed once the store keeps it", async () => {
+test("a host is listed once it has been persisted", async () => {
   const { clock, roster } = setUp();
   const added = roster.persist(HOST, FIRST);
   expect(roster.recordedInstance(HOST)).toEqual(undefined);
@@ -57,7 +57,7 @@
   expect(roster.recordedInstance(HOST)).toEqual(undefined);
 });
 
-test("the next life of a worker is listed once the store keeps that life", async () => {
+test("the next incarnation of a worker is listed once it has been persisted", async () => {
   const { clock, store, roster } = setUp();
   const first = roster.persist(HOST, FIRST);
   await clock.advance(10);
@@ -71,7 +71,7 @@
   expect(decodeHost("h1", kept)).toEqual(SECOND);
 });
 
-test("a life that is replaced while it is being kept is not listed", async () => {
+test("an incarnation that is replaced while it is being persisted is not listed", async () => {
   const { clock, store, roster } = setUp();
   store.fault = "refuses";
   const first = roster.persist(HOST, FIRST);
--- a/packages/leadership/src/LeaderElection.ts
+++ b/packages/leadership/src/LeaderElection.ts
@@ -1,12 +1,12 @@
 /**
- * Decides whether this entry leads. Leadership is the ownership of a partition
- * in a group of the store. An entry joins only when nobody owns it, so that the
- * store has no reason to assign it to another member.
+ * Elects the leading entry: the one that owns a partition in a group of the store.
+ * An entry joins the group only while the partition has no owner, so that the store
+ * does not reassign it to another member.
  *
- * The leader counts its lease from when it *sent* the last confirmed join, and
- * the store from when that join *arrived*: the leader's ends first, also when its
- * machine was suspended meanwhile (see Clock.leaseTime). The epoch is
- * the group's generation, so that each change of the group begins a new term.
+ * The leader counts its lease from when it *sent* the last confirmed join, the store
+ * from when that join *arrived*. So the leader's lease expires first, even if its
+ * machine was suspended in between (see Clock.leaseTime). The epoch is the group's
+ * generation, so each change of the group starts a new term.
  */
 
 import {
@@ -25,17 +25,17 @@
 
 export const ELECTION = {
   group: "leaders",
-  /** How often a follower looks for an owner. */
+  /** How often a follower polls for the owner of the partition. */
   ownerPollIntervalMs: 500,
-  /** How often the leader renews. */
+  /** How often the leader renews its membership. */
   renewIntervalMs: 500,
-  /** Between joins while the store assigns partitions, and after a failure. */
+  /** Delay between joins while the store assigns partitions, and after a failure. */
   retryMs: 80,
-  /** A call without an answer for this long is made again on a new connection. */
+  /** A call that is not answered within this time is repeated on a new connection. */
   callTimeoutMs: 600,
-  /** The leader stops deciding this long before its lease is over. */
+  /** The leader stops deciding this long before its lease expires. */
   expiryMarginMs: 150,
-  /** Joins in a row that bring no ownership before the entry leaves the group. */
+  /** Consecutive joins without ownership after which the entry leaves the group. */
   maxUnsuccessfulJoins: 4,
 } as const;
 
@@ -46,12 +46,12 @@
   readonly ttlMs: number;
   readonly clock: Clock;
   readonly random: Random;
-  /** Whether entries with more processor time should lead first. */
+  /** Whether this entry lets entries with more processor time lead first. */
   readonly isLowPriority: boolean;
   readonly logger: Logger;
-  /** Called once the entry leads under an epoch that it did not lead under before. */
+  /** Called when the entry starts to lead under a new epoch. */
   readonly onAcquired: (epoch: Epoch) => void;
-  /** Called once the entry must not decide any more under the last epoch. */
+  /** Called when the entry must stop deciding under the last epoch. */
   readonly onLost: (reason: string) => void;
 }
 
@@ -67,14 +67,14 @@
   private sawNoOwner = false;
   private reachable = true;
   private task: Promise<void> | undefined;
-  /** Counts the times that this process left the group. */
+  /** How often this process has left the group. */
   private departures = 0;
 
   constructor(private readonly options: LeaderElectionOptions) {}
 
   /**
-   * A new name after each departure: a call to leave that the store carries out
-   * late must not take away what was joined since.
+   * The member name changes each time the entry leaves the group: a leave call that
+   * the store carries out late must not end a membership that was joined since.
    */
   private get name(): string {
     const { self } = this.options;
@@ -87,13 +87,13 @@
     this.task ??= this.run();
   }
 
-  /** Whether this entry may decide now. */
+  /** Whether this entry holds an unexpired leadership lease. */
   get isLeader(): boolean {
     const now = this.options.clock.leaseTime();
     return this.epoch !== undefined && now < this.validUntil;
   }
 
-  /** Hands leadership over at once; used by planned stops. */
+  /** Gives up leadership at once, so that another entry can take over; for planned stops. */
   async stop(): Promise<void> {
     this.abort.abort();
     this.resign("planned-stop");
@@ -101,7 +101,7 @@
     if (this.joined) await this.leave();
   }
 
-  /** Gives leadership up because something that it rests on has failed. */
+  /** Gives up leadership because something that it depends on has failed. */
   async stepDown(reason: string): Promise<void> {
     this.resign(reason);
     await this.leave();
@@ -133,7 +133,10 @@
     return hasLapsed ? this.resume() : this.renew();
   }
 
-  /** To join again beside a new owner would deal the partition anew. */
+  /**
+   * Renews an expired lease unless another entry owns the partition by now: a join
+   * beside a new owner would make the store reassign the partition.
+   */
   private async resume(): Promise<number> {
     const { membership, topic } = this.options;
     const owner = await membership.owner(ELECTION.group, topic);
@@ -150,13 +153,13 @@
     this.sawNoOwner = false;
     const isFormerSelf = parseMember(owner)?.entry === self.entry;
     if (!isFormerSelf) return ELECTION.ownerPollIntervalMs;
-    // It held the partition under a name that it has given up since.
-    logger.info("leader.former-self", { member: owner });
+    // The owner is an earlier membership of this entry, which has not been ended yet.
+    logger.info("leader.previous-membership", { member: owner });
     await membership.leave(ELECTION.group, owner);
     return this.renew();
   }
 
-  /** Looks once more after its wait: another entry may lead by then. */
+  /** Polls once more after a delay before it joins: another entry may lead by then. */
   private joinSoon(): Promise<number> | number {
     if (this.sawNoOwner) return this.renew();
     this.sawNoOwner = true;
@@ -167,7 +170,7 @@
   private async renew(): Promise<number> {
     const { membership, topic, ttlMs, clock } = this.options;
     const { name } = this;
-    // Stopped while it looked who leads.
+    // The election was stopped while the owner was polled.
     if (this.abort.signal.aborted) return ELECTION.ownerPollIntervalMs;
     this.joined = true;
     const sentAt = clock.leaseTime();
@@ -192,9 +195,9 @@
   }
 
   /**
-   * Whether the membership of that name was given up, or is about to be, while a
-   * call was on its way: its answer must not bring the last epoch back, under
-   * which the numbers of runs and of records would be given out a second time.
+   * Whether the membership of that name has ended, or is about to, while a call was
+   * in flight. Its response must not restore the last epoch, because run numbers and
+   * record sequences would then be assigned twice under that epoch.
    */
   private hasGivenUp(name: string): boolean {
     return this.abort.signal.aborted || name !== this.name;
@@ -203,7 +206,7 @@
   private confirm(sentAt: Monotonic, changed: boolean): number {
     const { ttlMs, onAcquired, logger } = this.options;
     if (this.epoch === undefined || changed) {
-      // A changed group may have had another owner for a moment.
+      // The partition may have had another owner while the group changed.
       this.resign("group-changed");
       this.epoch = this.generation;
       logger.info("leader.acquired", { epoch: this.epoch, member: this.name });
@@ -234,7 +237,7 @@
     try {
       await membership.leave(ELECTION.group, name);
     } catch (err) {
-      // Harmless: the store drops a silent member by itself after its time.
+      // Harmless: the store removes a member that stays silent for the TTL.
       logger.warn("leader.leave-failed", { error: describeError(err) });
     }
   }
--- a/packages/leadership/src/joinDelay.ts
+++ b/packages/leadership/src/joinDelay.ts
@@ -1,26 +1,28 @@
-/** How long an entry that finds no leader waits before it asks to lead. */
+/** How long an entry that finds no leader waits before it joins the leadership group. */
 
 export const JOIN_DELAY = {
   /**
-   * Entries of one standing ask within this. When two ask at once the store moves
-   * leadership from one to the other, and every host attaches twice.
+   * Entries of equal priority join within this window. When two of them join at the
+   * same time, the store moves leadership from one to the other, and every host has to
+   * attach twice.
    */
   windowMs: 250,
-  /** How strongly waits gather at the end of the window; see joinDelayMs. */
+  /** How strongly delays concentrate at the end of the window; see joinDelayMs. */
   skew: 3,
-  /** Added for entries that stand back, so that others notice first that nobody leads. */
+  /** Added for low-priority entries, so that other entries detect a missing leader first. */
   lowPriorityDelayMs: 500,
 } as const;
 
-/** Processors that an entry should have to lead; one with less stands back. */
+/** Processors that an entry should have to lead; an entry with less has low priority. */
 export const MIN_LEADER_PROCESSORS = 0.5;
 
 /**
- * Waits get more frequent towards the end of the window. So however many entries
- * there are, few wait for less long than the one that asks first: even waits leave
- * a gap that shrinks with the number of entries, which is not known.
+ * Draws a delay from a distribution whose density grows exponentially towards the end
+ * of the window, so that few entries join shortly after the first one, however many
+ * entries there are. Uniform delays would leave a gap behind the first entry that
+ * shrinks with the number of entries, which is not known.
  *
- * @param drawn random, from 0 up to 1
+ * @param drawn uniform random number from 0 up to 1
  * @param standsBack whether entries with more processor time should lead first
  */
 export const joinDelayMs = (drawn: number, standsBack: boolean): number => {
--- a/packages/leadership/src/leaseBounds.ts
+++ b/packages/leadership/src/leaseBounds.ts
@@ -1,43 +1,44 @@
 /**
- * Bounds of the leases that rest on each other: leadership, and the lease that
- * a leader grants to a worker on the worker's own clock.
+ * Bounds of worker leases. A leader grants them for as long as its leadership allows,
+ * and they expire by the worker's own clock.
  */
 
 import type { Monotonic } from "@rackspan/common";
 
 export const LEASE = {
-  /** A worker's clock may run this share slow, so its lease may last longer. */
+  /** Share by which a worker's clock may run slow, so that its lease lasts longer. */
   workerClockDrift: 0.02,
-  /** Added to each bound for timers that fire late. */
+  /** Added to each bound because timers may fire late. */
   marginMs: 150,
   /**
-   * From the end of a lease until what ran under it has begun elsewhere, with an order
-   * or two that are refused before, milliseconds.
+   * Time from the end of a lease until its task runs elsewhere, including one or two
+   * orders that are refused first, milliseconds.
    */
   replacementDelayMs: 250,
 } as const;
 
-/** What bounds the lease of a worker whose side is gone; all in milliseconds. */
+/** Bounds of the lease of a worker whose side is gone; all in milliseconds. */
 export interface UnattendedLeaseBounds {
-  /** A shorter one would be lost whenever the side is started anew. */
+  /** Lower bound; a shorter lease would expire whenever the side restarts. */
   readonly minMs: number;
-  /** Silence after which a host is out of touch; undefined where no bound is stated. */
+  /** Silence after which a host counts as out of touch; undefined if there is no bound. */
   readonly outOfTouchMs: number | undefined;
-  /** Time within which the tasks of a cancelled job are to be ordered to stop. */
+  /** Time within which the tasks of a cancelled job must be ordered to stop. */
   readonly cancelMs: number | undefined;
   /** Time that a worker may take to stop a task. */
   readonly stopMs: number | undefined;
-  /** Longest time that a lasting task may be without a run; undefined when nobody says. */
+  /** Longest time that a lasting task may be without a run; undefined if not configured. */
   readonly lastingGapMs: number | undefined;
 }
 
 /**
- * How far ahead a side renews its worker's lease, whatever the leader has granted.
- * A worker whose side was removed for good runs what it has until its lease is over, also
- * what was cancelled since, and the tasks of a silent worker begin elsewhere only then. To
- * grant less instead would lose tasks whenever nobody leads for as long.
+ * How far ahead a side renews its worker's lease at most, even if the leader has granted
+ * more. A worker whose side was removed permanently runs its tasks until the lease
+ * expires, including tasks that were cancelled since, and the tasks of a silent worker
+ * start elsewhere only after that. The leader itself does not grant shorter leases,
+ * because tasks would then be lost whenever there is no leader for that long.
  *
- * @returns Infinity where nothing bounds it
+ * @returns milliseconds, Infinity if nothing bounds the lease
  */
 export const maxUnattendedLeaseMs = ({
   minMs: leastMs,
@@ -59,8 +60,8 @@
 };
 
 /**
- * When a lease of `leaseMs`, counted from a clock reading that was received at
- * `receivedAt`, is over for certain, on the receiver's clock.
+ * The latest time, on the receiver's clock, at which a lease expires. The lease lasts
+ * `leaseMs` from a clock reading of the worker that was received at `receivedAt`.
  */
 export const latestLeaseExpiry = (
   receivedAt: Monotonic,
--- a/packages/leadership/src/memberName.ts
+++ b/packages/leadership/src/memberName.ts
@@ -1,10 +1,10 @@
-/** Names of the members of the leadership group; they carry the leader's address. */
+/** Member names of the leadership group; they contain the address of the entry. */
 
 import type { EntryId, Incarnation } from "@rackspan/common";
 
 export interface Member {
   readonly entry: EntryId;
-  /** A restarted process is another member. */
+  /** Makes a restarted process a different member. */
   readonly incarnation: Incarnation;
   /** `IP:PORT` at which sides reach the entry. */
   readonly address: string;
@@ -15,7 +15,7 @@
 export const formatMember = ({ entry, incarnation, address }: Member): string =>
   [entry, incarnation, address].join(SEPARATOR);
 
-/** @returns undefined for a name that no entry has written */
+/** @returns undefined if the name does not have the form of an entry's member name */
 export const parseMember = (name: string): Member | undefined => {
   const [entry, incarnation, address, ...rest] = name.split(SEPARATOR);
   if (!entry || !incarnation || !address || rest.length > 0) return undefined;
--- a/packages/leadership/tests/joinDelay.test.ts
+++ b/packages/leadership/tests/joinDelay.test.ts
@@ -1,15 +1,15 @@
-/** Entries that lose their leader at once do not ask for leadership at once. */
+/** Join delays: entries that lose their leader at the same time rarely join at the same time. */
 
 import { test } from "node:test";
 import { expect } from "earl";
 import { SeededRandom } from "@rackspan/common";
 import { JOIN_DELAY, joinDelayMs } from "@rackspan/leadership";
 
-/** From asking who leads until the store would name the one who has asked. */
+/** Time from an entry's last poll until other entries can see its join in the store. */
 const CALL_MS = 8;
 const ELECTIONS = 4_000;
 
-/** Share of elections in which a second entry asks before it can see the first. */
+/** Share of elections in which a second entry joins before it can see the first one. */
 const collisions = (
   entries: number,
   delayOf: (drawn: number) => number,
@@ -28,17 +28,17 @@
 const even = (drawn: number): number => drawn * JOIN_DELAY.windowMs;
 const gathered = (drawn: number): number => joinDelayMs(drawn, false);
 
-test("thirty-five entries ask at once less than half as often as with even waits", () => {
+test("thirty-five entries collide less than half as often as with uniform delays", () => {
   const before = collisions(35, even);
   const after = collisions(35, gathered);
   expect(after < before / 2).toEqual(true);
 });
 
-test("three entries ask at once in less than a fifth of elections", () => {
+test("three entries collide in less than a fifth of elections", () => {
   expect(collisions(3, gathered) < 0.2).toEqual(true);
 });
 
-test("waits stay within the window, and those who stand back wait longer than all others", () => {
+test("delays stay within the window, and low-priority entries wait longer than all others", () => {
   expect(joinDelayMs(0, false)).toEqual(0);
   expect(joinDelayMs(1, false)).toBeCloseTo(JOIN_DELAY.windowMs, 0.001);
   expect(joinDelayMs(0, true) > joinDelayMs(1, false)).toEqual(true);
--- a/packages/leadership/tests/leaderElection.test.ts
+++ b/packages/leadership/tests/leaderElection.test.ts
@@ -51,7 +51,7 @@
   return { clock, store, terms, entry };
 };
 
-test("one entry leads, and another takes over within its next look after a planned stop", async () => {
+test("one entry leads, and another takes over at its next poll after a planned stop", async () => {
   const { clock, terms, entry } = setUp();
   const a = entry("a");
   await clock.advance(100);
@@ -76,7 +76,7 @@
   expect(a.isLeader).toEqual(false);
 });
 
-test("leadership that lapsed goes on under the same epoch if the group did not change", async () => {
+test("expired leadership resumes under the same epoch if the group did not change", async () => {
   const { clock, store, terms, entry } = setUp();
   store.timesWait = true;
   const a = entry("a");
@@ -90,7 +90,7 @@
   expect(terms).toEqual(["a leads 1"]);
 });
 
-test("leadership that the store has let lapse begins again under a higher epoch", async () => {
+test("leadership that expired in the store starts again under a higher epoch", async () => {
   const { clock, store, terms, entry } = setUp();
   const a = entry("a");
   await clock.advance(700);
@@ -102,7 +102,7 @@
   expect(terms).toEqual(["a leads 1", "a lost: group-changed", "a leads 3"]);
 });
 
-test("an owner whom the store has dropped in between begins a new term", async () => {
+test("an owner that the store removed in between starts a new term", async () => {
   const { clock, store, terms, entry } = setUp();
   const a = entry("a");
   await clock.advance(700);
@@ -112,7 +112,7 @@
   expect(terms.at(-1)).toEqual("a leads 3");
 });
 
-test("a restarted process ends the membership of its former self and leads at once", async () => {
+test("a restarted process ends the membership of its previous incarnation and leads at once", async () => {
   const { clock, entry, terms } = setUp();
   const former = entry("a", "1");
   await clock.advance(700);
@@ -134,7 +134,7 @@
   expect(await store.owner()).toEqual("a|1.0|a:1");
 });
 
-test("a leader that the store had turned away does not join again beside its successor", async () => {
+test("a leader that the store refused for a while does not rejoin while its successor leads", async () => {
   const { clock, store, terms, entry } = setUp();
   let isTurnedAway = false;
   let joins = 0;
@@ -168,7 +168,7 @@
   expect(terms).toEqual(["a leads 1", "b leads 3", "a lost: replaced"]);
 });
 
-/** A membership whose answers to joins wait until the test lets them go. */
+/** A membership that holds back its responses to joins until the test releases them. */
 const slowToAnswer = (store: MemoryStore) => {
   let held: (() => void)[] | undefined;
   const membership: GroupMembership = {
@@ -194,9 +194,9 @@
   };
 };
 
-// The answer speaks of a membership that was given up, and its epoch is never led again.
+// The response belongs to a membership that has ended; its epoch must not be led again.
 for (const way of ["stops", "steps down"] as const) {
-  test(`a renewal that is answered after its leader ${way} confirms nothing`, async () => {
+  test(`a renewal that is answered after the leader ${way} does not restore leadership`, async () => {
     const { clock, store, terms, entry } = setUp();
     const { membership, hold, letGo } = slowToAnswer(store);
     const a = entry("a", "1", undefined, membership);
@@ -215,7 +215,7 @@
   });
 }
 
-/** Stops an entry while its second look for a leader is on its way; tells how often it joined. */
+/** Stops an entry while its second poll is in flight, and counts its joins. */
 const stopDuringLook = async ({
   clock,
   store,
@@ -247,23 +247,23 @@
   return { joins };
 };
 
-// What was begun before the stop is not carried on after it.
-test("an entry that is stopped while it looks for a leader does not join", async () => {
+// A step that was started before the stop must not continue after it.
+test("an entry that is stopped while it polls for the owner does not become leader", async () => {
   const { clock, store, terms, entry } = setUp();
   await stopDuringLook({ clock, store, entry });
   expect(terms).toEqual([]);
 });
 
-test("an entry that is stopped before it joins asks for no membership", async () => {
+test("an entry that is stopped while it polls for the owner sends no join", async () => {
   const { clock, store, entry } = setUp();
   const { joins } = await stopDuringLook({ clock, store, entry });
   expect(joins).toEqual(0);
 });
 
-test("an entry that stands back leads only where no other one does", async () => {
+test("a low-priority entry leads only if no other entry does", async () => {
   const { clock, store, entry } = setUp();
   const weak = entry("weak", "1", () => 0, store, true);
-  // The strong one looks a whole period later than the weak one, and draws the longest wait.
+  // The strong entry polls later than the weak one and draws the longest delay.
   await clock.advance(240);
   const strong = entry("strong", "1", () => 0.999);
   await clock.advance(1_000);
@@ -273,8 +273,9 @@
   expect(weak.isLeader).toEqual(true);
 });
 
-// A steady clock stands still while the machine is suspended.
-test("a leader whose machine was suspended past its term decides nothing before the store names it again", async () => {
+// The monotonic clock stops while the machine is suspended, so it alone would not show
+// that the lease has expired.
+test("a leader whose machine was suspended past its lease decides nothing before the store confirms it again", async () => {
   const { clock, entry } = setUp();
   const a = entry("a");
   await clock.advance(700);
@@ -285,7 +286,7 @@
   expect(a.isLeader).toEqual(true);
 });
 
-test("a leader whose machine was suspended for a moment leads on", async () => {
+test("a leader whose machine was suspended for less than its lease keeps leading", async () => {
   const { clock, entry } = setUp();
   const a = entry("a");
   await clock.advance(700);
