--- a/packages/cli/src/addSettingsOptions.ts
+++ b/packages/cli/src/addSettingsOptions.ts
@@ -8,7 +8,7 @@
   readonly set: readonly string[];
 }
 
-const collect = (
+const appendValue = (
   value: string,
   before: readonly string[],
 ): readonly string[] => [...before, value];
@@ -19,7 +19,7 @@
     .option(
       "--set <path=value>",
       "override a setting; takes precedence over the environment, which takes precedence over the file",
-      collect,
+      appendValue,
       [] as readonly string[],
     );
 };
--- a/packages/cli/src/commands/apply.ts
+++ b/packages/cli/src/commands/apply.ts
@@ -73,22 +73,22 @@
     }
     output.line(formatDiff(diff));
     if (options.dryRun) return EXIT_CODE.CHANGES;
-    const verdict = await client.call("apply", {
+    const result = await client.call("apply", {
       operator: userInfo().username,
       base: version as Sequence,
       changes: diff.map(({ change }) => change),
     });
-    if (!verdict.accepted) {
+    if (!result.accepted) {
       output.error(
-        `not accepted: ${verdict.reason}: ${verdict.detail}; check the conflicting change, then apply again`,
+        `not accepted: ${result.reason}: ${result.detail}; check the conflicting change, then apply again`,
       );
       return EXIT_CODE.REFUSED;
     }
-    output.line(`accepted as version ${verdict.sequence}`);
+    output.line(`accepted as version ${result.sequence}`);
     if (!options.wait) return EXIT_CODE.OK;
     return waitUntilInForce(
       context,
-      verdict.sequence,
+      result.sequence,
       Number(options.timeoutMs),
     );
   },
--- a/packages/cli/src/commands/hosts.ts
+++ b/packages/cli/src/commands/hosts.ts
@@ -2,7 +2,7 @@
 
 import { hostId } from "@rackspan/common";
 import { EXIT_CODE } from "../exitCodes.js";
-import { reportVerdict } from "../reportVerdict.js";
+import { reportResult } from "../reportResult.js";
 import { registerCommand } from "./registry.js";
 
 interface FenceOptions {
@@ -16,10 +16,10 @@
     command.argument("<host>", "host name as shown by rackspan status");
   },
   perform: async ({ client, output }, [host]) => {
-    const verdict = await client.call("drain", {
+    const result = await client.call("drain", {
       host: hostId(host as string),
     });
-    return reportVerdict(output, `${host}: draining`, verdict);
+    return reportResult(output, `${host}: draining`, result);
   },
 });
 
@@ -42,9 +42,9 @@
       );
       return EXIT_CODE.BAD_INPUT;
     }
-    const verdict = await client.call("fence", {
+    const result = await client.call("fence", {
       host: hostId(host as string),
     });
-    return reportVerdict(output, `${host}: fenced`, verdict);
+    return reportResult(output, `${host}: fenced`, result);
   },
 });
--- a/packages/cli/src/commands/units.ts
+++ b/packages/cli/src/commands/units.ts
@@ -3,7 +3,7 @@
 import { unitId } from "@rackspan/common";
 import { EXIT_CODE, type ExitCode } from "../exitCodes.js";
 import { readDeclarations } from "../readDeclarations.js";
-import { reportVerdict } from "../reportVerdict.js";
+import { reportResult } from "../reportResult.js";
 import { registerCommand } from "./registry.js";
 
 registerCommand({
@@ -22,8 +22,8 @@
         worst = EXIT_CODE.BAD_INPUT;
         continue;
       }
-      const verdict = await client.call("submit", { job: declaration });
-      const code = reportVerdict(output, `job/${declaration.name}`, verdict);
+      const result = await client.call("submit", { job: declaration });
+      const code = reportResult(output, `job/${declaration.name}`, result);
       if (code !== EXIT_CODE.OK) worst = code;
     }
     return worst;
@@ -39,8 +39,8 @@
   perform: async ({ client, output }, units) => {
     let worst: ExitCode = EXIT_CODE.OK;
     for (const unit of units) {
-      const verdict = await client.call("cancel", { unit: unitId(unit) });
-      const code = reportVerdict(output, unit, verdict);
+      const result = await client.call("cancel", { unit: unitId(unit) });
+      const code = reportResult(output, unit, result);
       if (code !== EXIT_CODE.OK) worst = code;
     }
     return worst;
--- a/packages/cli/src/reportVerdict.ts
+++ b/packages/cli/src/reportResult.ts
@@ -1,18 +1,18 @@
 /** Reports the result of a change, and returns the exit code for it. */
 
-import type { OperatorVerdict } from "@rackspan/entry";
+import type { OperationResult } from "@rackspan/entry";
 import { EXIT_CODE, type ExitCode } from "./exitCodes.js";
 import type { Output } from "./Output.js";
 
-export const reportVerdict = (
+export const reportResult = (
   output: Output,
   what: string,
-  verdict: OperatorVerdict,
+  result: OperationResult,
 ): ExitCode => {
-  if (verdict.accepted) {
+  if (result.accepted) {
     output.line(`${what}: accepted`);
     return EXIT_CODE.OK;
   }
-  output.error(`${what}: not accepted: ${verdict.reason}: ${verdict.detail}`);
+  output.error(`${what}: not accepted: ${result.reason}: ${result.detail}`);
   return EXIT_CODE.REFUSED;
 };
--- a/packages/cli/src/runProcess.ts
+++ b/packages/cli/src/runProcess.ts
@@ -16,9 +16,9 @@
   if (!stop.aborted) {
     await new Promise<void>((resolve) => {
       // Keeps the process alive, because all of its own timers are unreferenced.
-      const alive = setInterval(() => undefined, 60_000);
+      const keepAlive = setInterval(() => undefined, 60_000);
       stop.addEventListener("abort", () => {
-        clearInterval(alive);
+        clearInterval(keepAlive);
         resolve();
       });
     });
--- a/packages/common/src/SuspensionAwareClock.ts
+++ b/packages/common/src/SuspensionAwareClock.ts
@@ -12,12 +12,12 @@
  * Smaller jumps between two readings are attributed to clock slewing, milliseconds;
  * slewing changes the time of day by some 0.5 ms a second.
  */
-const LEAST_LEAP_MS = 50;
+const MIN_JUMP_MS = 50;
 
 export class SuspensionAwareClock {
-  private steadyBefore: number;
-  private wallBefore: number;
-  private skippedMs = 0;
+  private lastSteady: number;
+  private lastWall: number;
+  private suspendedMs = 0;
 
   /**
    * @param steady reads the steady clock
@@ -27,18 +27,18 @@
     private readonly steady: () => number,
     private readonly wall: () => number,
   ) {
-    this.steadyBefore = steady();
-    this.wallBefore = wall();
+    this.lastSteady = steady();
+    this.lastWall = wall();
   }
 
   /** Never goes back; only differences between readings are meaningful. */
   read(): Monotonic {
     const steady = this.steady();
     const wall = this.wall();
-    const leapMs = wall - this.wallBefore - (steady - this.steadyBefore);
-    if (leapMs >= LEAST_LEAP_MS) this.skippedMs += leapMs;
-    this.steadyBefore = steady;
-    this.wallBefore = wall;
-    return steady + this.skippedMs;
+    const jumpMs = wall - this.lastWall - (steady - this.lastSteady);
+    if (jumpMs >= MIN_JUMP_MS) this.suspendedMs += jumpMs;
+    this.lastSteady = steady;
+    this.lastWall = wall;
+    return steady + this.suspendedMs;
   }
 }
--- a/packages/common/src/clock.ts
+++ b/packages/common/src/clock.ts
@@ -36,7 +36,7 @@
     private readonly options: SystemClockOptions = { keepsProcessAlive: false },
   ) {}
 
-  private readonly meter = new SuspensionAwareClock(
+  private readonly leaseClock = new SuspensionAwareClock(
     () => performance.now(),
     () => Date.now(),
   );
@@ -50,7 +50,7 @@
   }
 
   leaseTime(): Monotonic {
-    return this.meter.read();
+    return this.leaseClock.read();
   }
 
   after(ms: number, callback: () => void): Timer {
--- a/packages/common/src/log.ts
+++ b/packages/common/src/log.ts
@@ -88,10 +88,10 @@
 
 const OUTPUT = {
   /** Lines are dropped while more bytes than this are buffered. */
-  maxWaitingBytes: 256 * 1024,
+  maxBufferedBytes: 256 * 1024,
 } as const;
 
-let leftOut = 0;
+let droppedLines = 0;
 
 /**
  * Writes a line to standard output without waiting for its reader. Lines are dropped while
@@ -99,13 +99,13 @@
  */
 export const writeToStandardOutput = (line: string): void => {
   const { stdout } = process;
-  if (stdout.writableLength > OUTPUT.maxWaitingBytes) {
-    leftOut += 1;
+  if (stdout.writableLength > OUTPUT.maxBufferedBytes) {
+    droppedLines += 1;
     return;
   }
-  if (leftOut > 0) {
-    stdout.write(`event=log.left-out lines=${leftOut}\n`);
-    leftOut = 0;
+  if (droppedLines > 0) {
+    stdout.write(`event=log.left-out lines=${droppedLines}\n`);
+    droppedLines = 0;
   }
   stdout.write(`${line}\n`);
 };
--- a/packages/common/src/processLoopbackAddress.ts
+++ b/packages/common/src/processLoopbackAddress.ts
@@ -4,7 +4,7 @@
  * Each of the two middle octets takes this many values. Connections to these addresses of
  * 127.0.0.0/8 come from 127.0.0.1.
  */
-const NETWORKS_OF_OCTET = 250;
+const VALUES_PER_OCTET = 250;
 
 /**
  * A loopback address derived from the process id, on which no other process listens. So a
@@ -13,8 +13,8 @@
  * @param host from 1 to 254, distinguishes the listeners of this process
  */
 export const processLoopbackAddress = (host: number): string => {
-  const network = process.pid % NETWORKS_OF_OCTET ** 2;
-  const high = 1 + Math.floor(network / NETWORKS_OF_OCTET);
-  const low = 1 + (network % NETWORKS_OF_OCTET);
+  const network = process.pid % VALUES_PER_OCTET ** 2;
+  const high = 1 + Math.floor(network / VALUES_PER_OCTET);
+  const low = 1 + (network % VALUES_PER_OCTET);
   return `127.${high}.${low}.${host}`;
 };
--- a/packages/entry/src/AttemptLoop.ts
+++ b/packages/entry/src/AttemptLoop.ts
@@ -120,14 +120,14 @@
 export type LoopResult = Answered | Refused;
 
 /** An attempt without a response of an endpoint. */
-interface Failure {
+interface AttemptFailure {
   readonly outcome: Outcome;
   readonly reason: Reason;
   readonly status: number;
 }
 
 /** When an attempt was sent, and to which incarnation of the side. */
-interface Sending {
+interface AttemptTarget {
   readonly startedAt: Monotonic;
   readonly incarnation: Incarnation;
 }
@@ -147,7 +147,7 @@
   ): Promise<LoopResult> {
     const { maxAttempts, budget, metrics } = this.options;
     const tried = new Set<HostId>();
-    let last: Failure | undefined;
+    let lastFailure: AttemptFailure | undefined;
     let mayHaveRun = false;
     budget.deposit();
     for (let attempt = 1; attempt <= maxAttempts; attempt += 1) {
@@ -156,25 +156,26 @@
       tried.add(peer.record.host);
       const result = await this.tryOnce(request, attempt, peer, cancellation);
       if (result.kind === "answered") return result;
-      last = result.failure;
-      mayHaveRun ||= last.outcome === "unknown";
+      lastFailure = result.failure;
+      mayHaveRun ||= lastFailure.outcome === "unknown";
       this.options.logger.debug("attempt.failed", {
         request: request.id,
         attempt,
         host: peer.record.host,
-        reason: last.reason,
-        outcome: last.outcome,
+        reason: lastFailure.reason,
+        outcome: lastFailure.outcome,
       });
       metrics.count("attempt_failed", {
-        reason: last.reason,
-        outcome: last.outcome,
+        reason: lastFailure.reason,
+        outcome: lastFailure.outcome,
       });
-      if (cancellation.reason || !this.mayRetry(request, last, attempt)) break;
-      metrics.count("retries", { reason: last.reason });
+      if (cancellation.reason || !this.mayRetry(request, lastFailure, attempt))
+        break;
+      metrics.count("retries", { reason: lastFailure.reason });
     }
     return {
       kind: "refused",
-      problem: finalProblem(request, last, mayHaveRun, cancellation),
+      problem: finalProblem(request, lastFailure, mayHaveRun, cancellation),
     };
   }
 
@@ -194,14 +195,14 @@
 
   private mayRetry(
     request: OutgoingRequest,
-    failure: Failure,
+    failure: AttemptFailure,
     attempt: number,
   ): boolean {
     const { clock, budget, metrics, maxAttempts } = this.options;
     if (attempt >= maxAttempts) return false;
-    const replayable =
+    const isReplayable =
       request.body === undefined || Buffer.isBuffer(request.body);
-    if (!replayable || clock.monotonic() >= request.deadline) return false;
+    if (!isReplayable || clock.monotonic() >= request.deadline) return false;
     if (failure.outcome === "unknown" && !request.repeatable) return false;
     if (budget.tryWithdraw()) return true;
     metrics.count("retries_denied", { reason: failure.reason });
@@ -214,7 +215,7 @@
     peer: AttemptPeer,
     cancellation: Cancellation,
   ): Promise<
-    Answered | { readonly kind: "failed"; readonly failure: Failure }
+    Answered | { readonly kind: "failed"; readonly failure: AttemptFailure }
   > {
     const { clock } = this.options;
     const endpoint = peer.endpoint as EndpointState;
@@ -224,17 +225,17 @@
     endpoint.inFlight += 1;
     try {
       const answer = await sent.response;
-      noteLoad(endpoint, answer, clock.monotonic());
+      recordLoad(endpoint, answer, clock.monotonic());
       if (answer.headers[HEADER.OUTCOME] === undefined) {
-        return this.answered(answer, endpoint, startedAt);
+        return this.toAnswered(answer, endpoint, startedAt);
       }
       endpoint.inFlight -= 1;
-      return { kind: "failed", failure: readRefusal(answer) };
+      return { kind: "failed", failure: refusalOf(answer) };
     } catch (err) {
       endpoint.inFlight -= 1;
-      const failure = readFailure(err, cancellation);
+      const failure = failureOf(err, cancellation);
       if (!cancellation.reason) this.report(endpoint, false, startedAt);
-      const settled = await this.settle(
+      const settled = await this.confirmNotRun(
         request,
         attempt,
         peer,
@@ -267,7 +268,7 @@
         rawHeaders: request.rawHeaders,
         body,
         upgrade: onUpgrade !== undefined,
-        own: {
+        values: {
           id,
           service,
           class: request.class,
@@ -280,7 +281,7 @@
     });
   }
 
-  private answered(
+  private toAnswered(
     answer: IncomingMessage,
     endpoint: EndpointState,
     startedAt: Monotonic,
@@ -311,14 +312,14 @@
    * names the incarnation that the attempt was sent to, because a later incarnation has
    * no record of the attempt.
    */
-  private async settle(
+  private async confirmNotRun(
     request: OutgoingRequest,
     attempt: number,
     peer: AttemptPeer,
-    failure: Failure,
-    { startedAt, incarnation }: Sending,
+    failure: AttemptFailure,
+    { startedAt, incarnation }: AttemptTarget,
     cancellation: Cancellation,
-  ): Promise<Failure> {
+  ): Promise<AttemptFailure> {
     if (failure.outcome === "not-run" || request.repeatable) return failure;
     const { clock, metrics, logger } = this.options;
     const now = clock.monotonic();
@@ -335,7 +336,7 @@
   }
 }
 
-const noteLoad = (
+const recordLoad = (
   endpoint: EndpointState,
   answer: IncomingMessage,
   at: Monotonic,
@@ -345,7 +346,7 @@
 };
 
 // The side removes this header from responses of endpoints, so the side has set it itself.
-const readRefusal = (answer: IncomingMessage): Failure => {
+const refusalOf = (answer: IncomingMessage): AttemptFailure => {
   answer.resume();
   const outcome =
     answer.headers[HEADER.OUTCOME] === "not-run" ? "not-run" : "unknown";
@@ -353,7 +354,7 @@
   return { outcome, reason, status: answer.statusCode ?? STATUS_BAD_GATEWAY };
 };
 
-const readFailure = (err: unknown, { reason }: Cancellation): Failure => {
+const failureOf = (err: unknown, { reason }: Cancellation): AttemptFailure => {
   const mayHaveRun = !(err instanceof AttemptFailedError) || err.mayHaveRun;
   const outcome = mayHaveRun ? "unknown" : "not-run";
   if (reason === "deadline") {
@@ -366,7 +367,7 @@
 
 const finalProblem = (
   request: OutgoingRequest,
-  failure: Failure | undefined,
+  failure: AttemptFailure | undefined,
   mayHaveRun: boolean,
   cancellation: Cancellation,
 ): Problem => {
@@ -381,11 +382,11 @@
       remedy: "retry after the time given; operators see rackspan status",
     };
   }
-  const late = cancellation.reason === "deadline";
+  const isLate = cancellation.reason === "deadline";
   return {
     ...common,
-    status: late ? STATUS_TIMEOUT : failure.status,
-    reason: late ? REASON.DEADLINE : failure.reason,
+    status: isLate ? STATUS_TIMEOUT : failure.status,
+    reason: isLate ? REASON.DEADLINE : failure.reason,
     outcome: mayHaveRun ? "unknown" : "not-run",
     detail: `the last attempt ended with ${failure.reason}`,
     remedy: mayHaveRun
--- a/packages/entry/src/CallerRequestHandler.ts
+++ b/packages/entry/src/CallerRequestHandler.ts
@@ -62,10 +62,10 @@
   private readonly cancellation = new Cancellation();
   private readonly arrivedAt: Monotonic;
   private readonly deadline: Monotonic;
-  private keyed: KeyedRequest | undefined;
-  private readingBody = false;
-  private callerGone = false;
-  private refusalSent = false;
+  private claimedRequest: KeyedRequest | undefined;
+  private isReadingBody = false;
+  private isCallerGone = false;
+  private hasRefused = false;
 
   constructor(
     private readonly options: CallerRequestHandlerOptions,
@@ -79,25 +79,25 @@
 
   async run(): Promise<void> {
     const { clock, queues } = this.options;
-    const policy = this.refusedByPolicy();
-    if (policy !== undefined) return this.refuse(notAdmitted(policy));
+    const policy = this.findRefusingPolicy();
+    if (policy !== undefined) return this.refuse(policyRefusal(policy));
     const timer = clock.after(this.request.timeoutMs, () => this.onDeadline());
     this.res.on("close", () => this.onCallerGone());
     try {
-      const body = await this.readKeptBody();
+      const body = await this.readBufferedBody();
       if (body === "refused") return;
       const queue = queues[this.request.match.route.class];
-      const entered = await queue.run(this.timeLeft(), () =>
+      const queueResult = await queue.run(this.remainingMs(), () =>
         this.serve(body, () => timer.cancel()),
       );
-      if (entered !== "entered") this.refuse(notEntered(entered));
+      if (queueResult !== "entered") this.refuse(queueRefusal(queueResult));
     } finally {
       timer.cancel();
     }
   }
 
   /** The admission policy that refuses this request, if any. */
-  private refusedByPolicy(): string | undefined {
+  private findRefusingPolicy(): string | undefined {
     const { policies, queues } = this.options;
     if (!policies.has("admission")) return undefined;
     const { match, timeoutMs } = this.request;
@@ -113,13 +113,13 @@
     });
   }
 
-  private timeLeft(): number {
+  private remainingMs(): number {
     return Math.max(0, this.deadline - this.options.clock.monotonic());
   }
 
   private onDeadline(): void {
     this.cancellation.cancel("deadline");
-    if (!this.readingBody) return;
+    if (!this.isReadingBody) return;
     // A body that never ends would keep the request open forever.
     this.res.on("finish", () => this.req.destroy());
     this.refuse(bodyIncomplete);
@@ -127,27 +127,27 @@
 
   /** A request with a claimed key continues, because the caller can repeat it by its key. */
   private onCallerGone(): void {
-    this.callerGone = true;
-    if (!this.keyed) this.cancellation.cancel("caller-gone");
+    this.isCallerGone = true;
+    if (!this.claimedRequest) this.cancellation.cancel("caller-gone");
   }
 
-  private get mustKeepBody(): boolean {
+  private get mustBufferBody(): boolean {
     const { key, match } = this.request;
     return key !== undefined && !match.route.repeatable;
   }
 
-  private bodyIsStreamed(): boolean {
+  private isBodyStreamed(): boolean {
     const { hasBody, contentLength } = this.request;
-    if (!hasBody || this.mustKeepBody) return false;
+    if (!hasBody || this.mustBufferBody) return false;
     return (
       contentLength === undefined || contentLength > this.options.keepBodyBytes
     );
   }
 
   /** Reads a body that must be buffered; undefined if there is no body or it is streamed. */
-  private async readKeptBody(): Promise<Buffer | undefined | "refused"> {
-    if (!this.request.hasBody || this.bodyIsStreamed()) return undefined;
-    this.readingBody = true;
+  private async readBufferedBody(): Promise<Buffer | undefined | "refused"> {
+    if (!this.request.hasBody || this.isBodyStreamed()) return undefined;
+    this.isReadingBody = true;
     try {
       return await readBody(this.req, this.request.match.route.maxBodyBytes);
     } catch (err) {
@@ -156,27 +156,30 @@
       );
       return "refused";
     } finally {
-      this.readingBody = false;
+      this.isReadingBody = false;
     }
   }
 
   private async serve(
-    kept: Buffer | undefined,
-    endTimer: () => void,
+    buffered: Buffer | undefined,
+    cancelTimer: () => void,
   ): Promise<void> {
-    if (this.cancellation.reason) return this.refuse(notEntered("late"));
-    if (this.mustKeepBody && !(await this.claimKey(kept ?? Buffer.alloc(0))))
+    if (this.cancellation.reason) return this.refuse(queueRefusal("late"));
+    if (
+      this.mustBufferBody &&
+      !(await this.claimKey(buffered ?? Buffer.alloc(0)))
+    )
       return;
-    const limited = this.bodyIsStreamed()
+    const limited = this.isBodyStreamed()
       ? new LimitedBody(this.req, this.request.match.route.maxBodyBytes)
       : undefined;
-    const outgoing = this.outgoing(limited ?? kept);
+    const outgoing = this.outgoing(limited ?? buffered);
     const result = await this.options.loop.run(outgoing, this.cancellation);
     if (result.kind === "refused")
       return this.onRefused(result.problem, limited);
     if (this.isWatch) {
-      endTimer();
-      return this.watch(outgoing, result);
+      cancelTimer();
+      return this.relayWatch(outgoing, result);
     }
     await this.relay(result);
   }
@@ -209,10 +212,10 @@
       body,
     );
     const keyed = { id, service: match.service, key: key as string, digest };
-    const decision = await this.options.keys.begin(keyed, this.timeLeft());
+    const decision = await this.options.keys.begin(keyed, this.remainingMs());
     switch (decision.kind) {
       case "proceed":
-        this.keyed = keyed;
+        this.claimedRequest = keyed;
         return true;
       case "refused":
         this.refuse(decision.problem);
@@ -232,8 +235,8 @@
   }
 
   private onRefused(problem: Problem, body: LimitedBody | undefined): void {
-    if (this.keyed && problem.outcome === "not-run")
-      this.options.keys.release(this.keyed);
+    if (this.claimedRequest && problem.outcome === "not-run")
+      this.options.keys.release(this.claimedRequest);
     this.refuse(
       body?.exceeded ? { ...bodyTooLarge, outcome: problem.outcome } : problem,
     );
@@ -241,16 +244,16 @@
 
   private async relay(result: Answered): Promise<void> {
     const { answer } = result;
-    const recorder = this.keyed
-      ? new AnswerRecorder(answer, this.options.keepAnswerBytes)
+    const recorder = this.claimedRequest
+      ? new ResponseRecorder(answer, this.options.keepAnswerBytes)
       : undefined;
     this.writeHead(answer);
-    const readToEnd = this.keyed !== undefined;
+    const readToEnd = this.claimedRequest !== undefined;
     const end = await relayResponse(answer, this.res, { readToEnd });
     result.release(end !== "broken");
     // The endpoint's response is recorded even if the caller has disconnected meanwhile.
-    if (recorder && this.keyed && answer.complete) {
-      this.options.keys.recordAnswer(this.keyed, recorder.recorded());
+    if (recorder && this.claimedRequest && answer.complete) {
+      this.options.keys.recordAnswer(this.claimedRequest, recorder.recorded());
     }
     this.count(end === "whole" ? "answered" : end);
     const { clock, metrics } = this.options;
@@ -260,7 +263,7 @@
   }
 
   /** Relays the events of a watch, and reconnects when an endpoint stops or fails. */
-  private async watch(
+  private async relayWatch(
     outgoing: OutgoingRequest,
     first: Answered,
   ): Promise<void> {
@@ -282,9 +285,9 @@
   }
 
   private refuse(problem: Problem): void {
-    if (this.refusalSent) return;
-    this.refusalSent = true;
-    if (this.callerGone) {
+    if (this.hasRefused) return;
+    this.hasRefused = true;
+    if (this.isCallerGone) {
       this.count("caller-gone");
       return;
     }
@@ -310,7 +313,7 @@
 }
 
 /** Records a response while it is relayed, up to a size limit. */
-class AnswerRecorder {
+class ResponseRecorder {
   private chunks: Buffer[] | undefined = [];
   private bytes = 0;
 
@@ -349,7 +352,7 @@
   remedy: "send the complete body, or allow more time",
 };
 
-const notAdmitted = (policy: string): Problem => ({
+const policyRefusal = (policy: string): Problem => ({
   status: 503,
   reason: REASON.POLICY,
   outcome: "not-run",
@@ -358,7 +361,7 @@
   retryAfterS: 1,
 });
 
-const notEntered = (why: "full" | "late"): Problem => ({
+const queueRefusal = (why: "full" | "late"): Problem => ({
   status: why === "full" ? 503 : 504,
   reason: why === "full" ? REASON.QUEUE_FULL : REASON.DEADLINE,
   outcome: "not-run",
--- a/packages/entry/src/EntryProcess.ts
+++ b/packages/entry/src/EntryProcess.ts
@@ -75,7 +75,7 @@
   private readonly hostList: HostListWatcher;
   private readonly requests: RequestServer;
   private readonly control: ControlServer;
-  private readonly sweeper: ReconcileLoop;
+  private readonly reconcileLoop: ReconcileLoop;
   private readonly snapshots: SnapshotWriter;
   private readonly lifecycle: Lifecycle;
   private readonly stopped = new AbortController();
@@ -106,8 +106,8 @@
     };
 
     this.policies = new PolicyEvaluator(shared);
-    fold.applied.on(({ record, result: verdict }) => {
-      if (record.type === "apply" && verdict.accepted) this.usePolicies();
+    fold.applied.on(({ record, result }) => {
+      if (record.type === "apply" && result.accepted) this.applyPolicies();
     });
     const writer = freshId<Incarnation>();
     const { appendsPerSecond } = logSettings;
@@ -162,7 +162,7 @@
       ownership,
       hosts: sides,
     };
-    this.sweeper = new ReconcileLoop({
+    this.reconcileLoop = new ReconcileLoop({
       ...shared,
       fold,
       sides,
@@ -174,11 +174,11 @@
           this.policies,
         ),
       }),
-      keeper: new ClaimReconciler(unitOptions),
+      claimReconciler: new ClaimReconciler(unitOptions),
       certifier: new HostCertifier(unitOptions),
       drainer: new HostDrainer(unitOptions),
       hostList: this.hostList,
-      everyMs: jobs.sweepMs,
+      intervalMs: jobs.sweepMs,
     });
     this.requests = this.createRequestServer(shared);
     this.control = this.createControlServer();
@@ -284,7 +284,7 @@
     });
   }
 
-  private usePolicies(): void {
+  private applyPolicies(): void {
     this.policies.replace(this.fold.config.ofKind("policy"));
   }
 
@@ -311,13 +311,13 @@
             this.sides.update(records);
             this.sides.setEntries(this.hostList.liveEntryIds());
           });
-          this.follower.restoredFromSnapshot.on(() => this.usePolicies());
+          this.follower.restoredFromSnapshot.on(() => this.applyPolicies());
           tasks = Promise.all([
             this.follower.run(signal),
             this.appender.run(signal),
             this.hostList.run(signal),
             this.snapshots.run(signal),
-            this.sweeper.run(signal),
+            this.reconcileLoop.run(signal),
           ]).catch((err: unknown) =>
             this.logger.error("task.failed", { error: describeError(err) }),
           );
--- a/packages/entry/src/HostListWatcher.ts
+++ b/packages/entry/src/HostListWatcher.ts
@@ -46,7 +46,7 @@
     const { clock, everyMs } = this.options;
     try {
       for (;;) {
-        await this.readOnce(signal);
+        await this.pollOnce(signal);
         await sleep(clock, everyMs, signal);
       }
     } catch (err) {
@@ -54,7 +54,7 @@
     }
   }
 
-  private async readOnce(signal: AbortSignal): Promise<void> {
+  private async pollOnce(signal: AbortSignal): Promise<void> {
     const { hostList, metrics, logger } = this.options;
     try {
       this.records = await hostList.list(signal);
--- a/packages/entry/src/KeyedRequests.ts
+++ b/packages/entry/src/KeyedRequests.ts
@@ -42,7 +42,7 @@
   | { readonly kind: "replay"; readonly answer: RecordedResponse }
   | { readonly kind: "refused"; readonly problem: Problem };
 
-const RECORD_TRIES = 5;
+const MAX_APPEND_ATTEMPTS = 5;
 
 /** Hash of the request that a key was used for. */
 export const digestRequest = (
@@ -77,11 +77,11 @@
         digest,
         request: id,
       } as const;
-      const verdict = await appender.submit(claim, timeoutMs);
+      const result = await appender.submit(claim, timeoutMs);
       metrics.count("key_claims", {
-        result: verdict.accepted ? "won" : verdict.reason,
+        result: result.accepted ? "won" : result.reason,
       });
-      if (verdict.accepted) return { kind: "proceed" };
+      if (result.accepted) return { kind: "proceed" };
     } catch (err) {
       metrics.count("key_claims", { result: "no-answer" });
       if (err instanceof AppendUnknownError) this.abandoned.set(id, request);
@@ -103,19 +103,24 @@
     const { id, service, key } = request;
     const { status, contentType, body } = answer;
     const outcome = { service, key, request: id, status, contentType, body };
-    void this.keepTrying({ type: "requestOutcome", ...outcome });
+    void this.appendWithRetries({ type: "requestOutcome", ...outcome });
   }
 
   /** Releases the key of a request that is confirmed not to have run. */
   release({ id, service, key }: KeyedRequest): void {
-    void this.keepTrying({ type: "requestRelease", service, key, request: id });
+    void this.appendWithRetries({
+      type: "requestRelease",
+      service,
+      key,
+      request: id,
+    });
   }
 
-  private async keepTrying(
+  private async appendWithRetries(
     record: Parameters<Appender["submit"]>[0],
   ): Promise<void> {
     const { appender, appendTimeoutMs, logger, metrics } = this.options;
-    for (let tries = 0; tries < RECORD_TRIES; tries += 1) {
+    for (let tries = 0; tries < MAX_APPEND_ATTEMPTS; tries += 1) {
       try {
         await appender.submit(record, appendTimeoutMs);
         return;
@@ -144,16 +149,16 @@
       });
     }
     if (!holder.answer) return inProgress(request);
-    if (!holder.answer.body) return notKept(request);
+    if (!holder.answer.body) return responseNotRecorded(request);
     return { kind: "replay", answer: holder.answer };
   }
 
-  private onApplied({ record, result: verdict }: AppliedRecord): void {
+  private onApplied({ record, result }: AppliedRecord): void {
     if (record.type !== "requestClaim") return;
     const request = this.abandoned.get(record.request);
     if (!request) return;
     this.abandoned.delete(record.request);
-    if (verdict.accepted) this.release(request);
+    if (result.accepted) this.release(request);
   }
 }
 
@@ -172,7 +177,7 @@
     retryAfterS: 1,
   });
 
-const notKept = (request: KeyedRequest): KeyDecision =>
+const responseNotRecorded = (request: KeyedRequest): KeyDecision =>
   refused(request, {
     status: 409,
     reason: REASON.OUTCOME_NOT_KEPT,
--- a/packages/entry/src/ReconcileLoop.ts
+++ b/packages/entry/src/ReconcileLoop.ts
@@ -20,16 +20,16 @@
   readonly sides: SideDirectory;
   readonly hostList: HostListWatcher;
   readonly placer: UnitPlacer;
-  readonly keeper: ClaimReconciler;
+  readonly claimReconciler: ClaimReconciler;
   readonly certifier: HostCertifier;
   readonly drainer: HostDrainer;
   readonly clock: Clock;
   readonly logger: Logger;
-  readonly everyMs: number;
+  readonly intervalMs: number;
 }
 
 /** Changes within this time are handled together. */
-const GATHER_MS = 5;
+const DEBOUNCE_MS = 5;
 
 export class ReconcileLoop {
   private readonly changed = new ChangeSignal();
@@ -46,16 +46,23 @@
   }
 
   async run(signal: AbortSignal): Promise<void> {
-    const { clock, everyMs, follower, placer, keeper, drainer, hostList } =
-      this.options;
+    const {
+      clock,
+      intervalMs,
+      follower,
+      placer,
+      claimReconciler,
+      drainer,
+      hostList,
+    } = this.options;
     while (!signal.aborted) {
-      if (!this.isDirty) await this.changed.wait(clock, everyMs);
-      await sleep(clock, GATHER_MS);
+      if (!this.isDirty) await this.changed.wait(clock, intervalMs);
+      await sleep(clock, DEBOUNCE_MS);
       this.isDirty = false;
       // While the fold lags behind the log, it would act on outdated state.
       if (!follower.caughtUp || follower.fault || signal.aborted) continue;
       drainer.sweep(hostList.latest);
-      keeper.sweep();
+      claimReconciler.sweep();
       placer.sweep();
     }
   }
--- a/packages/entry/src/RequestServer.ts
+++ b/packages/entry/src/RequestServer.ts
@@ -29,7 +29,7 @@
 
 export interface RequestServerOptions extends Omit<
   CallerRequestHandlerOptions,
-  "closingWatches"
+  "isClosingWatches"
 > {
   readonly fold: Fold;
   /** Whether the configuration, and so the routes, have been read. */
@@ -48,15 +48,15 @@
   private routes = new RouteTable([]);
   private routesVersion: Sequence | undefined;
   private inProgress = 0;
-  private refusing = false;
-  private closingWatches = false;
-  private readonly runOptions: CallerRequestHandlerOptions;
+  private isRefusing = false;
+  private isClosingWatches = false;
+  private readonly handlerOptions: CallerRequestHandlerOptions;
   private readonly watches = new Set<Duplex | ServerResponse>();
 
   constructor(private readonly options: RequestServerOptions) {
     const { maxHeaderBytes, headersTimeoutMs, maxConnections } = options;
-    const closingWatches = (): boolean => this.closingWatches;
-    this.runOptions = { ...options, closingWatches };
+    const isClosingWatches = (): boolean => this.isClosingWatches;
+    this.handlerOptions = { ...options, isClosingWatches };
     this.server = createServer(
       {
         maxHeaderSize: maxHeaderBytes,
@@ -99,8 +99,8 @@
   /** Refuses new requests, completes those in progress, and ends watches between events. */
   async drain(limitMs: number): Promise<void> {
     const { clock } = this.options;
-    this.refusing = true;
-    this.closingWatches = true;
+    this.isRefusing = true;
+    this.isClosingWatches = true;
     this.server.close();
     this.server.closeIdleConnections();
     const end = clock.monotonic() + limitMs;
@@ -122,8 +122,8 @@
   ): Promise<void> {
     res.on("error", () => undefined);
     req.on("error", () => undefined);
-    if (this.refusing) res.setHeader("connection", "close");
-    const refusal = this.refusalForAll();
+    if (this.isRefusing) res.setHeader("connection", "close");
+    const refusal = this.refusalOfServer();
     if (refusal) return this.refuse(req, res, refusal);
     const parsed = parseCallerRequest(req, this.currentRoutes());
     if (!parsed.ok) return this.refuse(req, res, parsed.problem);
@@ -131,7 +131,7 @@
     if (parsed.request.match.route.class === "watch") this.addWatch(res);
     try {
       await new CallerRequestHandler(
-        this.runOptions,
+        this.handlerOptions,
         parsed.request,
         req,
         res,
@@ -153,8 +153,8 @@
     watch.on("close", () => this.watches.delete(watch));
   }
 
-  private refusalForAll(): Problem | undefined {
-    if (this.refusing) return leaving;
+  private refusalOfServer(): Problem | undefined {
+    if (this.isRefusing) return leaving;
     return this.options.isReady() ? undefined : notReady;
   }
 
@@ -181,7 +181,7 @@
 
   private upgrade(req: IncomingMessage, socket: Duplex, head: Buffer): void {
     socket.on("error", () => socket.destroy());
-    const refusal = this.refusalForAll();
+    const refusal = this.refusalOfServer();
     if (refusal) return endSocketWithProblem(socket, refusal);
     const parsed = parseCallerRequest(req, this.currentRoutes());
     if (!parsed.ok) return endSocketWithProblem(socket, parsed.problem);
@@ -217,8 +217,8 @@
       outcome: problem.outcome,
     });
     // If a response has been started, a second one would corrupt it.
-    const begun = (socket as Socket).bytesWritten > 0;
-    if (err.code === "ECONNRESET" || !socket.writable || begun) {
+    const hasStarted = (socket as Socket).bytesWritten > 0;
+    if (err.code === "ECONNRESET" || !socket.writable || hasStarted) {
       socket.destroy();
       return;
     }
--- a/packages/entry/src/SidePeer.ts
+++ b/packages/entry/src/SidePeer.ts
@@ -52,7 +52,7 @@
 const CONTROL_TIMEOUT_MS = 3_000;
 const START_TIMEOUT_MS = 10_000;
 /** A placement that does not appear in the status within this time counts as failed. */
-const PLACING_KEPT_MS = 15_000;
+const PLACING_TIMEOUT_MS = 15_000;
 /** Consecutive failed calls after which requests are sent to other sides. */
 const FAILURES_TO_AVOID = 2;
 
@@ -70,7 +70,7 @@
   /** Units that this entry is placing on the host and that are not in the status yet. */
   private readonly placing = new Map<UnitId, Monotonic>();
   private failures = 0;
-  private readonly ended = new AbortController();
+  private readonly closed = new AbortController();
 
   constructor(private readonly options: SidePeerOptions) {
     this.record = options.record;
@@ -104,7 +104,7 @@
   /** Follows the side's status until `close`. */
   async run(): Promise<void> {
     const { clock, random, metrics } = this.options;
-    const { signal } = this.ended;
+    const { signal } = this.closed;
     let retryMs = RETRY_MS;
     while (!signal.aborted) {
       try {
@@ -125,7 +125,7 @@
   }
 
   close(): void {
-    this.ended.abort();
+    this.closed.abort();
     this.rpc.close();
   }
 
@@ -217,24 +217,24 @@
       },
       { timeoutMs: syncMs + SYNC_MARGIN_MS, signal },
     );
-    this.take(status);
+    this.applyStatus(status);
   }
 
-  private dropPlaced(tasks: readonly TaskStatus[]): void {
-    const oldest = this.options.clock.monotonic() - PLACING_KEPT_MS;
+  private removePlaced(tasks: readonly TaskStatus[]): void {
+    const oldest = this.options.clock.monotonic() - PLACING_TIMEOUT_MS;
     for (const { unit } of tasks) this.placing.delete(unit);
     for (const [unit, since] of this.placing) {
       if (since < oldest) this.placing.delete(unit);
     }
   }
 
-  private take(status: SideStatus): void {
+  private applyStatus(status: SideStatus): void {
     const { clock } = this.options;
-    const first = this.status?.incarnation !== status.incarnation;
+    const isNewIncarnation = this.status?.incarnation !== status.incarnation;
     const wasAvoided = this.failures >= FAILURES_TO_AVOID;
     this.status = status;
     this.reserved = NO_RESOURCES;
-    if (first || !this.endpointState) {
+    if (isNewIncarnation || !this.endpointState) {
       this.endpointState = new EndpointState(
         status,
         parseAddress(this.record.address),
@@ -246,7 +246,7 @@
       return;
     }
     this.tasks = status.tasks;
-    this.dropPlaced(status.tasks);
+    this.removePlaced(status.tasks);
     this.services = new Set(runningServices(status.tasks));
     this.changed.emit();
   }
--- a/packages/entry/src/WatchRelay.ts
+++ b/packages/entry/src/WatchRelay.ts
@@ -22,7 +22,7 @@
   /** How long to search for another endpoint after the connection of a watch broke. */
   readonly watchResumeMs: number;
   /** Whether this entry is closing its watches. */
-  readonly closingWatches: () => boolean;
+  readonly isClosingWatches: () => boolean;
 }
 
 /** One caller's watch. */
@@ -59,7 +59,7 @@
     while (current) {
       const end = await this.relayFrom(current);
       onEnd(end);
-      if (end === "ended" || this.options.closingWatches()) {
+      if (end === "ended" || this.options.isClosingWatches()) {
         res.end();
         return;
       }
@@ -70,9 +70,9 @@
   }
 
   private async relayFrom(current: Answered): Promise<EventsEnd> {
-    const { sides, closingWatches } = this.options;
+    const { sides, isClosingWatches } = this.options;
     const shouldMove = (): boolean =>
-      closingWatches() || sides.get(current.host)?.leaving !== false;
+      isClosingWatches() || sides.get(current.host)?.leaving !== false;
     const { res } = this.request;
     const end = await relayEvents(
       current.answer,
--- a/packages/entry/src/jobs/JobEntryProcess.ts
+++ b/packages/entry/src/jobs/JobEntryProcess.ts
@@ -57,9 +57,9 @@
   }
 
   async start(): Promise<void> {
-    const { followers, callerFront: front, sideServer, election } = this.parts;
+    const { followers, callerFront, sideServer, election } = this.parts;
     for (const follower of followers) follower.start();
-    await front.start();
+    await callerFront.start();
     await sideServer.start();
     await this.metricsServer.start();
     election.start();
@@ -71,20 +71,14 @@
   /** Planned stop: gives up leadership and answers open requests. */
   async shutDown(): Promise<void> {
     const { entry, graceSeconds } = this.settings;
-    const {
-      store,
-      followers,
-      callerFront: front,
-      sideServer,
-      election,
-    } = this.parts;
+    const { store, followers, callerFront, sideServer, election } = this.parts;
     const graceMs = graceSeconds * MS_PER_SECOND;
     this.stopping = true;
     this.logger.info("entry.stopping", { entry });
     const handedOver = election.stop();
-    await front.drain(graceMs - STOP_MARGIN_MS);
+    await callerFront.drain(graceMs - STOP_MARGIN_MS);
     await handedOver;
-    await front.stop();
+    await callerFront.stop();
     await sideServer.stop();
     await Promise.all(followers.map((follower) => follower.stop()));
     await this.metricsServer.stop();
@@ -93,8 +87,8 @@
   }
 
   private isReady(): boolean {
-    const { jobService: desk, config } = this.parts;
-    const { isReady, isStoreReachable: reachesStore } = desk;
+    const { jobService, config } = this.parts;
+    const { isReady, isStoreReachable: reachesStore } = jobService;
     const ready = !this.stopping && isReady && reachesStore;
     if (ready !== this.wasReady) {
       this.wasReady = ready;
--- a/packages/entry/src/jobs/JobService.ts
+++ b/packages/entry/src/jobs/JobService.ts
@@ -92,7 +92,7 @@
   }) as const;
 
 /** The queue's settings that apply to the job even after the queue has been removed. */
-const termsOf = ({
+const jobTermsOf = ({
   service,
   priority,
   maxAttempts,
@@ -137,25 +137,25 @@
     deadline: Monotonic,
   ): Promise<JobRequestOutcome> {
     const { view, jobsWriter, clock, metrics } = this.options;
-    const began = clock.monotonic();
+    const startedAt = clock.monotonic();
     const known = view.get(spec.id);
     if (known) {
       const isSame = known.accepted.spec.queue === spec.queue;
       const outcome = isSame
         ? ({ kind: "accepted" } as const)
         : refused("the job id is used by a job of another queue");
-      return this.note("submit", spec.id, outcome, began);
+      return this.recordOutcome("submit", spec.id, outcome, startedAt);
     }
-    const terms = termsOf(queue);
+    const terms = jobTermsOf(queue);
     const job: AcceptedJob = { spec, acceptedAt: clock.now(), terms };
     const record = { key: spec.id, value: encodeJob(job) };
-    const outcome = await this.keep(jobsWriter, record, deadline, () =>
+    const outcome = await this.persist(jobsWriter, record, deadline, () =>
       view.addAccepted(job),
     );
     if (outcome.kind === "accepted") {
-      metrics.latency("submit").record(clock.monotonic() - began);
+      metrics.latency("submit").record(clock.monotonic() - startedAt);
     }
-    return this.note("submit", spec.id, outcome, began);
+    return this.recordOutcome("submit", spec.id, outcome, startedAt);
   }
 
   /**
@@ -171,8 +171,8 @@
   ): Promise<JobStateOutcome> {
     const known = this.knownState(queue, id);
     if (known) return known;
-    await this.refreshJobs(deadline);
-    return this.knownState(queue, id) ?? this.unknownJob(id);
+    await this.refreshView(deadline);
+    return this.knownState(queue, id) ?? this.stateOfMissingJob(id);
   }
 
   /**
@@ -181,17 +181,17 @@
    * considers the job cancelled, while another entry may have accepted the job since
    * the last read.
    */
-  private async stateToCancel(
+  private async stateForCancel(
     queue: QueueKey,
     id: JobId,
     deadline: Monotonic,
   ): Promise<JobStateOutcome> {
     const { clock, jobsFollower } = this.options;
-    const began = clock.monotonic();
+    const arrivedAt = clock.monotonic();
     const found = await this.state(queue, id, deadline);
     if (found.kind !== "no-such-job") return found;
     const viewedAt = clock.monotonic() - jobsFollower.ageMs;
-    if (viewedAt >= began) return found;
+    if (viewedAt >= arrivedAt) return found;
     return refused("the store did not confirm whether the job exists");
   }
 
@@ -204,9 +204,9 @@
   }
 
   /** Waits until the view is fresh, or until the response to the caller is due. */
-  private async refreshJobs(deadline: Monotonic): Promise<void> {
-    const { clock, jobsFollower, storeReachability: reach } = this.options;
-    if (!reach.isReachable) return;
+  private async refreshView(deadline: Monotonic): Promise<void> {
+    const { clock, jobsFollower, storeReachability } = this.options;
+    if (!storeReachability.isReachable) return;
     const waitMs = Math.min(
       JOB_SERVICE.viewRefreshTimeoutMs,
       deadline - clock.monotonic() - JOB_SERVICE.responseMarginMs,
@@ -220,7 +220,7 @@
     abort.abort();
   }
 
-  private unknownJob(id: JobId): JobStateOutcome {
+  private stateOfMissingJob(id: JobId): JobStateOutcome {
     const { logger, jobsFollower } = this.options;
     const viewAge = Math.round(jobsFollower.ageMs);
     if (viewAge > JOB_SERVICE.maxViewAgeMs) {
@@ -236,17 +236,17 @@
     id: JobId,
     deadline: Monotonic,
   ): Promise<JobRequestOutcome> {
-    const began = this.options.clock.monotonic();
-    const found = await this.stateToCancel(queue, id, deadline);
-    const outcome = await this.cancelFound(found, id, deadline);
-    return this.note("cancel", id, outcome, began);
+    const startedAt = this.options.clock.monotonic();
+    const found = await this.stateForCancel(queue, id, deadline);
+    const outcome = await this.cancelByState(found, id, deadline);
+    return this.recordOutcome("cancel", id, outcome, startedAt);
   }
 
   /**
    * The cancel of a job that does not exist is persisted, too: a caller that received no
    * response to its submit may cancel the job before the record of the job is persisted.
    */
-  private async cancelFound(
+  private async cancelByState(
     found: JobStateOutcome,
     id: JobId,
     deadline: Monotonic,
@@ -256,25 +256,25 @@
         return found;
       case "known":
         if (isFinalState(found.state)) return { kind: "accepted" };
-        return this.keepCancel(id, deadline);
+        return this.persistCancel(id, deadline);
       case "no-such-job": {
         const { view } = this.options;
         // A job of another queue cannot be cancelled through this queue.
         if (view.get(id) || view.isCancelled(id)) return found;
-        const outcome = await this.keepCancel(id, deadline);
+        const outcome = await this.persistCancel(id, deadline);
         return outcome.kind === "accepted" ? found : outcome;
       }
     }
   }
 
-  private keepCancel(
+  private persistCancel(
     id: JobId,
     deadline: Monotonic,
   ): Promise<JobRequestOutcome> {
     const { view, cancelsWriter, clock } = this.options;
     const at = clock.now();
     const record = { key: id, value: encodeCancel(at) };
-    return this.keep(cancelsWriter, record, deadline, () =>
+    return this.persist(cancelsWriter, record, deadline, () =>
       view.addCancel(id, at),
     );
   }
@@ -284,21 +284,25 @@
   }
 
   /** Writes the record, and retries for a while if the store refuses it. */
-  private async keep(
+  private async persist(
     writer: TopicWriter,
     record: KeyedRecord,
     deadline: Monotonic,
-    onKept: () => void,
+    onPersisted: () => void,
   ): Promise<JobRequestOutcome> {
     const { clock } = this.options;
-    const lastTryAt =
+    const lastAttemptAt =
       retryDeadline(clock.monotonic(), deadline) - STORE_RETRY.retryMs;
-    for (let tries = 1; ; tries += 1) {
-      const outcome = await this.settle(writer.write(record), deadline, onKept);
+    for (let attempts = 1; ; attempts += 1) {
+      const outcome = await this.awaitWrite(
+        writer.write(record),
+        deadline,
+        onPersisted,
+      );
       // A refused record was not persisted and never will be, so it may be written again.
       if (outcome.kind !== "refused") return outcome;
-      if (clock.monotonic() > lastTryAt) {
-        const { retryAfterMs } = tries > 1 ? STORE_RETRY : JOB_SERVICE;
+      if (clock.monotonic() > lastAttemptAt) {
+        const { retryAfterMs } = attempts > 1 ? STORE_RETRY : JOB_SERVICE;
         return { ...outcome, retryAfterMs };
       }
       await sleep(clock, STORE_RETRY.retryMs);
@@ -306,15 +310,15 @@
   }
 
   /** Waits for a write until it is persisted, refused, or the caller's response is due. */
-  private async settle(
+  private async awaitWrite(
     write: PendingWrite,
     deadline: Monotonic,
-    onKept: () => void,
+    onPersisted: () => void,
   ): Promise<JobRequestOutcome> {
     const { clock } = this.options;
-    const kept = write.persisted.then(
+    const persisted = write.persisted.then(
       (): JobRequestOutcome => {
-        onKept();
+        onPersisted();
         return { kind: "accepted" };
       },
       (err: unknown): JobRequestOutcome =>
@@ -323,7 +327,7 @@
           : { kind: "unknown", reason: describeError(err) },
     );
     let cancelTimer = (): void => undefined;
-    const gaveUp = new Promise<JobRequestOutcome>((resolve) => {
+    const timedOut = new Promise<JobRequestOutcome>((resolve) => {
       const waitMs =
         deadline - clock.monotonic() - JOB_SERVICE.responseMarginMs;
       const timer = clock.after(waitMs, () => {
@@ -333,16 +337,16 @@
       });
       cancelTimer = () => timer.cancel();
     });
-    const outcome = await Promise.race([kept, gaveUp]);
+    const outcome = await Promise.race([persisted, timedOut]);
     cancelTimer();
     return outcome;
   }
 
-  private note<T extends JobRequestOutcome | JobStateOutcome>(
+  private recordOutcome<T extends JobRequestOutcome | JobStateOutcome>(
     request: "submit" | "cancel",
     job: JobId,
     outcome: T,
-    began: Monotonic,
+    startedAt: Monotonic,
   ): JobRequestOutcome {
     const { logger, metrics, clock, config, jobsFollower } = this.options;
     metrics.count("caller_requests", { request, outcome: outcome.kind });
@@ -350,7 +354,7 @@
       job,
       outcome: outcome.kind,
       reason: "reason" in outcome ? outcome.reason : undefined,
-      tookMs: Math.round(clock.monotonic() - began),
+      tookMs: Math.round(clock.monotonic() - startedAt),
       config: config.current?.version,
       viewAge: Math.round(jobsFollower.ageMs),
     });
--- a/packages/entry/src/jobs/Leadership.ts
+++ b/packages/entry/src/jobs/Leadership.ts
@@ -34,7 +34,7 @@
 const LEADERSHIP = {
   producer: "leader",
   /** How often expired jobs are searched for and removed. */
-  sweepEveryMs: 5_000,
+  cleanupIntervalMs: 5_000,
 } as const;
 
 export interface LeadershipOptions {
@@ -108,7 +108,7 @@
   private readonly abort = new AbortController();
   private readonly writers: readonly TopicWriter[];
   private readonly progressWriter: TopicWriter;
-  private readonly learntWriter: TopicWriter;
+  private readonly learnedWriter: TopicWriter;
   private readonly hostsWriter: TopicWriter;
   private readonly unsubscribes: Unsubscribe[] = [];
 
@@ -128,7 +128,7 @@
         batchWindowMs: 0,
         retriesRefusedBatches: true,
       });
-    this.learntWriter = writerOf(TOPICS.learned);
+    this.learnedWriter = writerOf(TOPICS.learned);
     this.progressWriter = writerOf(TOPICS.progress);
     this.hostsWriter = writerOf(TOPICS.hosts);
     this.writers = [this.progressWriter, this.hostsWriter];
@@ -137,32 +137,32 @@
   async run(): Promise<void> {
     const { signal } = this.abort;
     const { logger, clock, followers, metrics } = this.options;
-    const began = clock.monotonic();
+    const startedAt = clock.monotonic();
     await Promise.all(
       this.writers.map((writer) => writer.fenceLowerEpochs(signal)),
     );
     await Promise.all(followers.map((follower) => follower.catchUp(signal)));
     if (signal.aborted) return;
-    const tookMs = clock.monotonic() - began;
-    this.engine = this.buildEngine(began);
+    const tookMs = clock.monotonic() - startedAt;
+    this.engine = this.buildEngine(startedAt);
     metrics.latency("takeover").record(tookMs);
     logger.info("leader.ready", {
       epoch: this.epoch,
       tookMs: Math.round(tookMs),
       hosts: this.options.view.roster.size,
     });
-    this.sweepLater();
-    await this.restoreLearnt(this.engine);
+    this.scheduleCleanup();
+    await this.restoreLearned(this.engine);
   }
 
   /** The first starts do not wait for this: missing estimates only cost some utility. */
-  private async restoreLearnt(engine: JobEngine): Promise<void> {
+  private async restoreLearned(engine: JobEngine): Promise<void> {
     const { store, logger } = this.options;
     try {
       const { records } = await store.readNewest(TOPICS.learned);
       if (this.abort.signal.aborted) return;
       engine.restoreLearned(
-        records.flatMap((record) => this.readLearnt(record)),
+        records.flatMap((record) => this.decodeLearnedRecord(record)),
       );
     } catch (err) {
       const error = describeError(err);
@@ -170,7 +170,7 @@
     }
   }
 
-  private readLearnt({ key, value }: KeyedRecord): LearnedRecord[] {
+  private decodeLearnedRecord({ key, value }: KeyedRecord): LearnedRecord[] {
     if (!value) return [];
     try {
       return [decodeLearned(key, value)];
@@ -181,11 +181,11 @@
     }
   }
 
-  private keepLearnt(record: LearnedRecord): void {
+  private persistLearned(record: LearnedRecord): void {
     const { logger, mayDecide } = this.options;
     if (!mayDecide()) return;
     const key = learnedKeyOf(record);
-    this.learntWriter
+    this.learnedWriter
       .write({ key, value: encodeLearned(record) })
       .persisted.catch((err: unknown) => {
         // The record is written again with the next update, so the next leader misses little.
@@ -198,7 +198,7 @@
     for (const unsubscribe of this.unsubscribes) unsubscribe();
     this.engine?.stop();
     const reason = new Error("this entry is no longer the leader");
-    for (const writer of [...this.writers, this.learntWriter]) {
+    for (const writer of [...this.writers, this.learnedWriter]) {
       writer.close(reason);
     }
   }
@@ -233,13 +233,13 @@
       mayDecide: () => !this.abort.signal.aborted && mayDecide(),
       queueOf: (queue) => config.getQueue(queue),
       isEvacuated: (zone) => zones.has(zone),
-      persistLearned: (record) => this.keepLearnt(record),
+      persistLearned: (record) => this.persistLearned(record),
       permits: this.options.permits,
     });
     for (const { accepted, cancelled, progress } of view.all()) {
       engine.addJob(accepted, progress);
-      const ended = progress !== undefined && isFinalState(progress.state);
-      if (cancelled && !ended) engine.cancelJob(accepted.spec.id);
+      const hasEnded = progress !== undefined && isFinalState(progress.state);
+      if (cancelled && !hasEnded) engine.cancelJob(accepted.spec.id);
     }
     this.unsubscribes.push(
       view.changes.on((change) => {
@@ -256,7 +256,7 @@
       zones.changes.on(() => engine.handleOperatorChange()),
     );
     engine.start();
-    this.tellNewJobsLater(gate);
+    this.scheduleViewRefresh(gate);
     return engine;
   }
 
@@ -264,7 +264,7 @@
    * Reads the topics once more after the authority of the previous leader has expired.
    * Jobs that arrive after that read cannot have been started by a previous leader.
    */
-  private tellNewJobsLater(gate: TakeoverGate): void {
+  private scheduleViewRefresh(gate: TakeoverGate): void {
     const { clock, followers, logger } = this.options;
     const { signal } = this.abort;
     const waitMs = gate.authorityExpiresBy - clock.monotonic();
@@ -282,30 +282,30 @@
     });
   }
 
-  private sweepLater(): void {
-    this.options.clock.after(LEADERSHIP.sweepEveryMs, () => {
+  private scheduleCleanup(): void {
+    this.options.clock.after(LEADERSHIP.cleanupIntervalMs, () => {
       if (this.abort.signal.aborted) return;
-      if (this.options.mayDecide()) this.sweep();
-      this.sweepLater();
+      if (this.options.mayDecide()) this.removeExpiredJobs();
+      this.scheduleCleanup();
     });
   }
 
   /** Removes the records of jobs whose retention time is over from the store. */
-  private sweep(): void {
+  private removeExpiredJobs(): void {
     const { engine } = this;
     if (!engine) return;
-    const { view, clock, endedJobRetentionMs: keepEndedMs } = this.options;
-    for (const id of engine.expiredJobs(keepEndedMs)) {
+    const { view, clock, endedJobRetentionMs } = this.options;
+    for (const id of engine.expiredJobs(endedJobRetentionMs)) {
       engine.forgetJob(id);
-      this.dropJob(id).catch((err: unknown) => this.noteNotDropped(err));
+      this.deleteJob(id).catch((err: unknown) => this.logDeleteFailure(err));
     }
-    const before = clock.now() - keepEndedMs;
+    const before = clock.now() - endedJobRetentionMs;
     for (const id of view.cancelsWithoutJob(before)) {
-      this.dropCancel(id).catch((err: unknown) => this.noteNotDropped(err));
+      this.deleteCancel(id).catch((err: unknown) => this.logDeleteFailure(err));
     }
   }
 
-  private async dropCancel(id: JobId): Promise<void> {
+  private async deleteCancel(id: JobId): Promise<void> {
     await this.options.cancelsWriter.write({ key: id, value: undefined })
       .persisted;
   }
@@ -314,16 +314,16 @@
    * Deletes the job record before its progress record: a job without a progress record
    * would be run again.
    */
-  private async dropJob(id: JobId): Promise<void> {
+  private async deleteJob(id: JobId): Promise<void> {
     const { jobsWriter, logger } = this.options;
     const tombstone = { key: id, value: undefined };
     await jobsWriter.write(tombstone).persisted;
-    await this.dropCancel(id);
+    await this.deleteCancel(id);
     await this.progressWriter.write(tombstone).persisted;
     logger.info("job.forgotten", { job: id });
   }
 
-  private noteNotDropped(err: unknown): void {
+  private logDeleteFailure(err: unknown): void {
     // The next leader finds the job again and deletes it then.
     this.options.logger.warn("job.not-dropped", { error: describeError(err) });
   }
--- a/packages/entry/src/jobs/SideServer.ts
+++ b/packages/entry/src/jobs/SideServer.ts
@@ -25,12 +25,12 @@
 import { ENGINE, type HostSession } from "@rackspan/scheduling";
 import type { ActiveTerm } from "./Leadership.js";
 
-const SERVER = {
+const SIDE_SERVER = {
   /** Silence after which a connection is closed; sides report at least twice a second. */
-  silenceMs: 4_000,
+  idleTimeoutMs: 4_000,
   maxConnections: 2_000,
   /** How long to wait until the store persists a worker's end; the side retries after that. */
-  noteMs: 700,
+  persistTimeoutMs: 700,
 } as const;
 
 export class NotLeadingError extends RackspanError {
@@ -71,13 +71,13 @@
 
 export class SideServer {
   private readonly server: Server;
-  private readonly peers = new Set<SideSession>();
+  private readonly sessions = new Set<SideSession>();
   /** The most recently attached session of each host. */
   private readonly byHost = new Map<HostId, SideSession>();
 
   constructor(private readonly options: SideServerOptions) {
     this.server = createServer((socket) => this.accept(socket));
-    this.server.maxConnections = SERVER.maxConnections;
+    this.server.maxConnections = SIDE_SERVER.maxConnections;
   }
 
   start(): Promise<void> {
@@ -91,7 +91,7 @@
 
   /** Closes all connections, so that sides search for the next leader at once. */
   disconnectAll(reason: string): void {
-    for (const peer of this.peers) peer.close(reason);
+    for (const session of this.sessions) session.close(reason);
   }
 
   stop(): Promise<void> {
@@ -100,12 +100,12 @@
   }
 
   private accept(socket: Socket): void {
-    const peer = new SideSession(socket, {
+    const session = new SideSession(socket, {
       ...this.options,
-      onAttach: (host) => this.replaceFormer(host, peer),
+      onAttach: (host) => this.closePrevious(host, session),
     });
-    this.peers.add(peer);
-    void peer.closed.then(() => this.drop(peer));
+    this.sessions.add(session);
+    void session.closed.then(() => this.remove(session));
   }
 
   /**
@@ -113,17 +113,17 @@
    * has abandoned may concern a previous incarnation of the worker. If attach requests
    * arrived out of order, this closes the connection in use, and its side attaches again.
    */
-  private replaceFormer(host: HostId, peer: SideSession): void {
-    const former = this.byHost.get(host);
-    this.byHost.set(host, peer);
-    if (former !== peer)
-      former?.close("the host attached over another connection");
+  private closePrevious(host: HostId, session: SideSession): void {
+    const previous = this.byHost.get(host);
+    this.byHost.set(host, session);
+    if (previous !== session)
+      previous?.close("the host attached over another connection");
   }
 
-  private drop(peer: SideSession): void {
-    this.peers.delete(peer);
-    const { host } = peer;
-    if (host !== undefined && this.byHost.get(host) === peer) {
+  private remove(session: SideSession): void {
+    this.sessions.delete(session);
+    const { host } = session;
+    if (host !== undefined && this.byHost.get(host) === session) {
       this.byHost.delete(host);
     }
   }
@@ -138,7 +138,7 @@
 class SideSession implements HostSession {
   readonly closed: Promise<void>;
   private readonly connection: SideConnection;
-  private attached: Attached | undefined;
+  private attachment: Attachment | undefined;
 
   constructor(
     socket: Socket,
@@ -153,31 +153,33 @@
         attach: ({ host, availabilityZone }) =>
           this.attach(host, availabilityZone),
         report: (report) => {
-          const { host, zone, leading } = this.current();
-          return leading.engine.handleReport(host, zone, report);
+          const { host, zone, term } = this.requireAttachment();
+          return term.engine.handleReport(host, zone, report);
         },
         workerGone: async ({ instance, lostRuns, unheardEnds }) => {
-          const { host, leading } = this.current();
-          const { engine } = leading;
-          const noted = engine.handleWorkerGone(
+          const { host, term } = this.requireAttachment();
+          const { engine } = term;
+          const persisted = engine.handleWorkerGone(
             host,
             instance,
             lostRuns,
             unheardEnds,
           );
-          const tooLate = sleep(clock, SERVER.noteMs).then(() => false);
-          if (await Promise.race([noted, tooLate])) return {};
+          const timedOut = sleep(clock, SIDE_SERVER.persistTimeoutMs).then(
+            () => false,
+          );
+          if (await Promise.race([persisted, timedOut])) return {};
           throw new WorkerEndNotPersistedError(instance);
         },
         workerSilent: ({ overInMs, neverBegun }) => {
-          const { host, leading } = this.current();
-          const { engine } = leading;
+          const { host, term } = this.requireAttachment();
+          const { engine } = term;
           const grants = engine.handleWorkerSilent(host, overInMs, neverBegun);
           return { grants };
         },
         ping: () => ({}),
       },
-      idleTimeoutMs: SERVER.silenceMs,
+      idleTimeoutMs: SIDE_SERVER.idleTimeoutMs,
       clock,
       logger,
     });
@@ -186,7 +188,7 @@
 
   /** The host that has attached over this connection, if any. */
   get host(): HostId | undefined {
-    return this.attached?.host;
+    return this.attachment?.host;
   }
 
   close(reason: string): void {
@@ -213,39 +215,42 @@
     host: HostId,
     zone: AvailabilityZone,
   ): { epoch: ActiveTerm["epoch"] } {
-    const leading = this.options.activeTerm();
-    if (!leading) throw new NotLeadingError();
-    this.attached = { host, zone, leading };
-    leading.engine.attach(host, this);
+    const activeTerm = this.options.activeTerm();
+    if (!activeTerm) throw new NotLeadingError();
+    this.attachment = { host, zone, term: activeTerm };
+    activeTerm.engine.attach(host, this);
     this.options.onAttach(host);
-    this.options.logger.info("host.attached", { host, epoch: leading.epoch });
-    return { epoch: leading.epoch };
+    this.options.logger.info("host.attached", {
+      host,
+      epoch: activeTerm.epoch,
+    });
+    return { epoch: activeTerm.epoch };
   }
 
   /**
    * @throws NotLeadingError if the entry no longer leads, leads under another epoch, or
    *   if the connection was closed while the call was in flight
    */
-  private current(): Attached {
-    const { attached } = this;
-    const leading = this.options.activeTerm();
-    const isSame = leading?.engine === attached?.leading.engine;
-    if (!attached || !isSame || !this.connection.isOpen) {
+  private requireAttachment(): Attachment {
+    const { attachment } = this;
+    const activeTerm = this.options.activeTerm();
+    const isSameTerm = activeTerm?.engine === attachment?.term.engine;
+    if (!attachment || !isSameTerm || !this.connection.isOpen) {
       throw new NotLeadingError();
     }
-    return attached;
+    return attachment;
   }
 
   private detach(reason: string): void {
-    if (!this.attached) return;
-    const { host, leading } = this.attached;
-    leading.engine.detach(host, this);
+    if (!this.attachment) return;
+    const { host, term } = this.attachment;
+    term.engine.detach(host, this);
     this.options.logger.warn("host.detached", { host, reason });
   }
 }
 
-interface Attached {
+interface Attachment {
   readonly host: HostId;
   readonly zone: AvailabilityZone;
-  readonly leading: ActiveTerm;
+  readonly term: ActiveTerm;
 }
--- a/packages/entry/src/jobs/StoreReachability.ts
+++ b/packages/entry/src/jobs/StoreReachability.ts
@@ -6,19 +6,19 @@
 import type { Clock } from "@rackspan/common";
 import type { TopicWriter, TopicFollower } from "@rackspan/state";
 
-const REACH = {
+const REACHABILITY = {
   /**
    * An entry counts as cut off when a write is unanswered for this long and the store
    * has answered nothing else meanwhile; a store that is only slow answers other calls.
    * Milliseconds: twice the timeout of a writer's first attempt.
    */
-  silentWriteMs: 600,
+  writeTimeoutMs: 600,
   /**
    * An entry also counts as cut off when the store has answered nothing at all for this
    * long, milliseconds: a poll without new records is answered after 1.5 s, and the
    * answer may be late by the same time.
    */
-  silentMs: 3_000,
+  idleTimeoutMs: 3_000,
 } as const;
 
 export interface StoreReachabilityOptions {
@@ -33,20 +33,23 @@
   constructor(private readonly options: StoreReachabilityOptions) {}
 
   get isReachable(): boolean {
-    const { followers, enabled: watches } = this.options;
-    if (!watches) return true;
+    const { followers, enabled } = this.options;
+    if (!enabled) return true;
     if (followers.every(({ failing }) => failing)) return false;
-    return !this.isSilent();
+    return !this.isUnresponsive();
   }
 
-  private isSilent(): boolean {
+  private isUnresponsive(): boolean {
     const { followers, writers, clock } = this.options;
     const now = clock.monotonic();
-    const heardAt = Math.max(...followers.map((each) => each.lastAnswerAt));
-    if (now - heardAt > REACH.silentMs) return true;
-    return writers.some(({ inFlightSince: sendingSince }) => {
-      if (sendingSince === undefined || heardAt > sendingSince) return false;
-      return now - sendingSince > REACH.silentWriteMs;
+    const lastAnswerAt = Math.max(
+      ...followers.map((each) => each.lastAnswerAt),
+    );
+    if (now - lastAnswerAt > REACHABILITY.idleTimeoutMs) return true;
+    return writers.some(({ inFlightSince }) => {
+      if (inFlightSince === undefined || lastAnswerAt > inFlightSince)
+        return false;
+      return now - inFlightSince > REACHABILITY.writeTimeoutMs;
     });
   }
 }
--- a/packages/entry/src/jobs/StoredRoster.ts
+++ b/packages/entry/src/jobs/StoredRoster.ts
@@ -13,9 +13,9 @@
 import { encodeHost, type Roster, type TopicWriter } from "@rackspan/state";
 
 export class StoredRoster implements HostRoster {
-  private readonly kept: Map<HostId, WorkerInstance | undefined>;
+  private readonly persisted: Map<HostId, WorkerInstance | undefined>;
   /** The last value that this leader wrote for a host; undefined for a removal. */
-  private readonly written = new Map<HostId, WorkerInstance | undefined>();
+  private readonly lastWritten = new Map<HostId, WorkerInstance | undefined>();
   /** By host: whether its last removal has been persisted. */
   private readonly removals = new Map<HostId, Promise<boolean>>();
 
@@ -24,25 +24,26 @@
     private readonly logger: Logger,
     roster: Roster,
   ) {
-    this.kept = new Map(roster);
+    this.persisted = new Map(roster);
   }
 
   recordedInstance(host: HostId): WorkerInstance | undefined {
-    return this.kept.get(host);
+    return this.persisted.get(host);
   }
 
   async persist(host: HostId, instance: WorkerInstance): Promise<void> {
-    this.written.set(host, instance);
+    this.lastWritten.set(host, instance);
     this.removals.delete(host);
     await this.writer.write({ key: host, value: encodeHost(instance) })
       .persisted;
     // If the host was removed or replaced during the write, the later write wins.
-    if (this.written.get(host) === instance) this.kept.set(host, instance);
+    if (this.lastWritten.get(host) === instance)
+      this.persisted.set(host, instance);
   }
 
   remove(host: HostId): void {
-    this.kept.delete(host);
-    this.written.set(host, undefined);
+    this.persisted.delete(host);
+    this.lastWritten.set(host, undefined);
     this.removals.set(host, this.writeRemoval(host));
   }
 
--- a/packages/entry/src/jobs/createJobEntryParts.ts
+++ b/packages/entry/src/jobs/createJobEntryParts.ts
@@ -35,7 +35,7 @@
 import { SideServer } from "./SideServer.js";
 
 /** Hosts rarely join or leave, so their topic is polled less often. */
-const HOSTS_POLL_FLOOR_MS = 250;
+const HOSTS_POLL_INTERVAL_MS = 250;
 
 /** Each incarnation of an entry writes under its own producer name, so its epoch starts at 1. */
 const FIRST_EPOCH = 1;
@@ -77,15 +77,15 @@
 }
 
 export const createJobEntryParts = (
-  wiring: JobEntryPartsOptions,
+  options: JobEntryPartsOptions,
 ): JobEntryParts => {
-  const { settings, clock, logger, metrics, isReady } = wiring;
-  const leads = (): boolean => leading.election.isLeader;
-  const storeParts = buildStoreParts({ ...wiring, leads });
-  const leading = buildLeading(wiring, storeParts);
+  const { settings, clock, logger, metrics, isReady } = options;
+  const isLeader = (): boolean => leaderParts.election.isLeader;
+  const storeParts = buildStoreParts({ ...options, isLeader });
+  const leaderParts = buildLeaderParts(options, storeParts);
   const { store, view, config, jobsFollower } = storeParts;
   const { jobsWriter, cancelsWriter } = storeParts;
-  const desk = new JobService({
+  const jobService = new JobService({
     view,
     config,
     jobsFollower,
@@ -101,11 +101,11 @@
     logger,
     metrics,
   });
-  const front = callerFronts.create(settings.platform.client, {
+  const callerFront = callerFronts.create(settings.platform.client, {
     listen: settings.callers,
     readiness: settings.readiness,
     isReady,
-    jobService: desk,
+    jobService,
     clock,
     logger,
     metrics,
@@ -114,30 +114,30 @@
     store,
     config,
     followers: storeParts.followers,
-    jobService: desk,
-    ...leading,
-    callerFront: front,
+    jobService,
+    ...leaderParts,
+    callerFront,
   };
 };
 
-interface StoreWiring extends JobEntryContext {
+interface StorePartsOptions extends JobEntryContext {
   /** Whether this entry leads now; a leader polls topics more often. */
-  readonly leads: () => boolean;
+  readonly isLeader: () => boolean;
 }
 
-const buildStoreParts = (base: StoreWiring): StoreParts => {
-  const { logger, metrics } = base;
-  const { client, store: address } = base.settings.platform;
+const buildStoreParts = (context: StorePartsOptions): StoreParts => {
+  const { logger, metrics } = context;
+  const { client, store: address } = context.settings.platform;
   const store = storeClients.create(client, { address });
   const view = new JobView({ logger, metrics });
   const config = new ConfigHolder(logger);
-  const zones = new EvacuatedZones(base);
+  const zones = new EvacuatedZones(context);
   const decoder = operatorDecoders.create(client, {});
   const operator = new OperatorView({ decoder, config, zones, logger });
   const follow = (
     topic: TopicName,
     onRecords: (records: readonly KeyedRecord[]) => void,
-  ) => buildFollower(base, store, topic, onRecords);
+  ) => buildFollower(context, store, topic, onRecords);
   const jobsFollower = follow(TOPICS.jobs, (r) => view.applyJobRecords(r));
   return {
     store,
@@ -152,13 +152,13 @@
       follow(TOPICS.hosts, (r) => view.applyHostRecords(r)),
       follow(TOPICS.config, (r) => operator.applyRecords(r)),
     ],
-    jobsWriter: buildWriter(base, store, TOPICS.jobs),
-    cancelsWriter: buildWriter(base, store, TOPICS.cancels),
+    jobsWriter: buildWriter(context, store, TOPICS.jobs),
+    cancelsWriter: buildWriter(context, store, TOPICS.cancels),
   };
 };
 
 const buildFollower = (
-  { settings, clock, logger, leads }: StoreWiring,
+  { settings, clock, logger, isLeader }: StorePartsOptions,
   store: StoreClient,
   topic: TopicName,
   onRecords: (records: readonly KeyedRecord[]) => void,
@@ -170,8 +170,8 @@
     clock,
     logger,
     minPollIntervalMs: () => {
-      if (topic === TOPICS.hosts) return HOSTS_POLL_FLOOR_MS;
-      return leads() ? pollFloorMs : followFloorMs;
+      if (topic === TOPICS.hosts) return HOSTS_POLL_INTERVAL_MS;
+      return isLeader() ? pollFloorMs : followFloorMs;
     },
     onRecords,
   });
@@ -201,11 +201,11 @@
     : permitServices.create(platform.client, { address: platform.permits });
 
 /** The election, and the leadership terms and side connections that it starts and ends. */
-const buildLeading = (
-  base: JobEntryContext,
+const buildLeaderParts = (
+  context: JobEntryContext,
   storeParts: StoreParts,
 ): Pick<JobEntryParts, "election" | "sideServer"> => {
-  const { settings, clock, logger, metrics, incarnation } = base;
+  const { settings, clock, logger, metrics, incarnation } = context;
   const { store, view, config, zones, followers } = storeParts;
   const { jobsWriter, cancelsWriter } = storeParts;
   const { leases, scheduling, batching, sides } = settings;
--- a/packages/entry/src/jobs/settings.ts
+++ b/packages/entry/src/jobs/settings.ts
@@ -19,24 +19,24 @@
 
 const secondsSchema = z.number().positive().max(86_400);
 
-const namesOf = (names: readonly string[]) =>
+const nameSchema = (names: readonly string[]) =>
   z.enum(names as [string, ...string[]]);
 
-const onOrOff = z.boolean();
+const flagSchema = z.boolean();
 
 /** See SchedulingPolicy for what each of them does. */
 const policySchema = z.strictObject({
   fillingTailLimit: z.number().min(0.1).max(2),
   weightCaution: z.number().min(0).max(4),
-  startsSlowly: onOrOff,
-  overfillsFreeHosts: onOrOff,
-  packsServing: onOrOff,
-  learnsInterference: onOrOff,
-  correctsEstimates: onOrOff,
-  movesCrawling: onOrOff,
-  movesStalled: onOrOff,
-  movesFromSlowHosts: onOrOff,
-  ejectsFailingHosts: onOrOff,
+  startsSlowly: flagSchema,
+  overfillsFreeHosts: flagSchema,
+  packsServing: flagSchema,
+  learnsInterference: flagSchema,
+  correctsEstimates: flagSchema,
+  movesCrawling: flagSchema,
+  movesStalled: flagSchema,
+  movesFromSlowHosts: flagSchema,
+  ejectsFailingHosts: flagSchema,
   checkpointEveryMs: z.number().int().min(0).max(60_000),
   learntEveryMs: z.number().int().min(0).max(60_000),
 }) satisfies z.ZodType<SchedulingPolicy>;
@@ -108,8 +108,8 @@
     .prefault({}),
   scheduling: z
     .strictObject({
-      order: namesOf(stepOrders.names()).default("byWorth"),
-      placer: namesOf(taskPlacers.names()).default("colocating"),
+      order: nameSchema(stepOrders.names()).default("byWorth"),
+      placer: nameSchema(taskPlacers.names()).default("colocating"),
       policy: policySchema
         .partial()
         .transform((given): SchedulingPolicy => ({
--- a/packages/entry/src/jobs/storeRetry.ts
+++ b/packages/entry/src/jobs/storeRetry.ts
@@ -22,10 +22,11 @@
 /**
  * When retries end.
  *
- * @param cameAt when the request arrived
+ * @param arrivedAt when the request arrived
  * @param deadline when the caller stops waiting for the response
  */
 export const retryDeadline = (
-  cameAt: Monotonic,
+  arrivedAt: Monotonic,
   deadline: Monotonic,
-): Monotonic => cameAt + STORE_RETRY.callerTimeShare * (deadline - cameAt);
+): Monotonic =>
+  arrivedAt + STORE_RETRY.callerTimeShare * (deadline - arrivedAt);
--- a/packages/entry/src/openTunnel.ts
+++ b/packages/entry/src/openTunnel.ts
@@ -30,8 +30,8 @@
   const { id, match, timeoutMs } = request;
   const cancellation = new Cancellation();
   const timer = clock.after(timeoutMs, () => cancellation.cancel("deadline"));
-  const onGone = (): void => cancellation.cancel("caller-gone");
-  socket.on("close", onGone);
+  const onDisconnect = (): void => cancellation.cancel("caller-gone");
+  socket.on("close", onDisconnect);
   const outgoing = {
     id,
     service: match.service,
@@ -63,7 +63,7 @@
     return { ...notSwitched, requestId: id };
   } finally {
     timer.cancel();
-    socket.off("close", onGone);
+    socket.off("close", onDisconnect);
   }
 };
 
--- a/packages/entry/src/operatorHandlers.ts
+++ b/packages/entry/src/operatorHandlers.ts
@@ -26,7 +26,7 @@
   OPERATOR_METHODS,
   type OperatorMethods,
   type OperatorStatus,
-  type OperatorVerdict,
+  type OperationResult,
   type UnitSummary,
 } from "./operatorMethods.js";
 import type { SideDirectory } from "./SideDirectory.js";
@@ -85,20 +85,20 @@
     apply: async ({ operator, base, changes }) => {
       checkPolicies(changes);
       const record = { type: "apply", operator, base, changes } as const;
-      return toVerdict(await appender.submit(record, appendTimeoutMs));
+      return toOperationResult(await appender.submit(record, appendTimeoutMs));
     },
     get: () => ({
       version: fold.config.version,
       declarations: fold.config.all().map(({ declaration }) => declaration),
     }),
     submit: async ({ job }) => {
-      checkFitsSomewhere(job, sides);
-      return toVerdict(
+      checkFitsSomeHost(job, sides);
+      return toOperationResult(
         await appender.submit({ type: "submit", job }, appendTimeoutMs),
       );
     },
     cancel: async ({ unit }) =>
-      toVerdict(
+      toOperationResult(
         await appender.submit({ type: "cancel", unit }, appendTimeoutMs),
       ),
     units: ({ prefix, limit }) => ({ units: listUnits(fold, prefix, limit) }),
@@ -109,7 +109,7 @@
       if (!view) throw new UnknownHostError(host);
       const { generation } = view;
       const record = { type: "hostDraining", host, generation } as const;
-      return toVerdict(await appender.submit(record, appendTimeoutMs));
+      return toOperationResult(await appender.submit(record, appendTimeoutMs));
     },
     throttle: async ({ unit: id, share }) => {
       const unit = fold.units.get(id);
@@ -119,19 +119,21 @@
       return { host: side.record.host as string };
     },
     fence: async ({ host }) => {
-      const generation = highestClaimed(fold, host);
+      const generation = highestClaimedGeneration(fold, host);
       const record = {
         type: "hostEnded",
         host,
         generation,
         certifiedBy: "operator",
       } as const;
-      return toVerdict(await appender.submit(record, appendTimeoutMs));
+      return toOperationResult(await appender.submit(record, appendTimeoutMs));
     },
   };
 };
 
-const toVerdict = (verdict: ApplyResult): OperatorVerdict => ({ ...verdict });
+const toOperationResult = (result: ApplyResult): OperationResult => ({
+  ...result,
+});
 
 /** @throws PolicyError for the first policy program that does not compile */
 const checkPolicies = (changes: readonly Change[]): void => {
@@ -143,10 +145,7 @@
 };
 
 /** @throws NeverFitsError unless some host has the capacity for the job, even if not free now */
-const checkFitsSomewhere = (
-  job: JobDeclaration,
-  sides: SideDirectory,
-): void => {
+const checkFitsSomeHost = (job: JobDeclaration, sides: SideDirectory): void => {
   const hosts = sides.views().filter(({ ready }) => ready);
   const shortages = hosts.map(({ capacity }) =>
     firstShortage(job.resources, capacity),
@@ -161,7 +160,7 @@
 };
 
 /** @throws UnknownHostError if no unit is claimed by the host */
-const highestClaimed = (fold: Fold, host: HostId): HostGeneration => {
+const highestClaimedGeneration = (fold: Fold, host: HostId): HostGeneration => {
   const generations = fold.units
     .claimedBy(host)
     .flatMap(({ claim }) => (claim ? [claim.generation] : []));
@@ -201,10 +200,10 @@
   fold,
   follower,
   appender,
-  isReady: ready,
+  isReady,
 }: OperatorHandlersOptions) => ({
   entry: host as string,
-  ready: ready(),
+  ready: isReady(),
   configVersion: fold.config.version as number,
   logPosition: follower.position as number,
   logSilentMs: Math.min(follower.sinceLastReadMs, Number.MAX_SAFE_INTEGER),
@@ -225,7 +224,7 @@
       claimed: fold.units.unfinishedCount - open,
       finished: fold.units.finishedUnits().length,
     },
-    peers: await askPeers(options),
+    peers: await queryPeers(options),
     refusals: refusals.map(({ labels, value }) => ({
       reason: labels["reason"] ?? "",
       outcome: labels["outcome"] ?? "",
@@ -234,7 +233,7 @@
   };
 };
 
-const askPeers = ({ host, hostList }: OperatorHandlersOptions) => {
+const queryPeers = ({ host, hostList }: OperatorHandlersOptions) => {
   const others = hostList
     .liveEntries()
     .filter((record) => record.host !== host);
--- a/packages/entry/src/operatorMethods.ts
+++ b/packages/entry/src/operatorMethods.ts
@@ -11,13 +11,13 @@
 import { resourcesSchema } from "@rackspan/common";
 import { changeSchema, declarationSchema, jobSchema } from "@rackspan/state";
 
-const verdictSchema = z.object({
+const operationResultSchema = z.object({
   accepted: z.boolean(),
   sequence: z.number(),
   reason: z.string().optional(),
   detail: z.string().optional(),
 });
-export type OperatorVerdict = z.infer<typeof verdictSchema>;
+export type OperationResult = z.infer<typeof operationResultSchema>;
 
 const unitSummarySchema = z.object({
   unit: z.string(),
@@ -77,7 +77,7 @@
       base: countSchema<Sequence>(),
       changes: z.array(changeSchema).min(1).max(10_000),
     }),
-    result: verdictSchema,
+    result: operationResultSchema,
   },
   /** The configuration in force at this entry, and its version as the base for changes. */
   get: {
@@ -87,10 +87,13 @@
       declarations: z.array(declarationSchema),
     }),
   },
-  submit: { params: z.strictObject({ job: jobSchema }), result: verdictSchema },
+  submit: {
+    params: z.strictObject({ job: jobSchema }),
+    result: operationResultSchema,
+  },
   cancel: {
     params: z.strictObject({ unit: idSchema<UnitId>() }),
-    result: verdictSchema,
+    result: operationResultSchema,
   },
   units: {
     params: z.strictObject({
@@ -103,7 +106,7 @@
   status: { params: z.strictObject({}), result: statusSchema },
   drain: {
     params: z.strictObject({ host: idSchema<HostId>() }),
-    result: verdictSchema,
+    result: operationResultSchema,
   },
   /** Limits the processor share of a unit's running attempt; the next attempt is not limited. */
   throttle: {
@@ -115,7 +118,7 @@
   },
   fence: {
     params: z.strictObject({ host: idSchema<HostId>() }),
-    result: verdictSchema,
+    result: operationResultSchema,
   },
 } as const;
 
--- a/packages/entry/src/relayEvents.ts
+++ b/packages/entry/src/relayEvents.ts
@@ -21,7 +21,7 @@
 /** Called between two events. */
 export type ShouldMove = () => boolean;
 
-const writeOut = (to: ServerResponse, text: string): Promise<void> =>
+const writeAndDrain = (to: ServerResponse, text: string): Promise<void> =>
   new Promise((resolve) => {
     if (to.destroyed || to.write(text)) {
       resolve();
@@ -56,7 +56,7 @@
         const length = end.index + end[0].length;
         const event = pending.slice(0, length);
         pending = pending.slice(length);
-        await writeOut(to, event);
+        await writeAndDrain(to, event);
         position.lastEventId = ID_LINE.exec(event)?.[1] ?? position.lastEventId;
         if (to.destroyed) return "receiver-gone";
         if (shouldMove()) return "moved";
--- a/packages/entry/src/sideRequest.ts
+++ b/packages/entry/src/sideRequest.ts
@@ -10,7 +10,7 @@
 } from "@rackspan/protocol";
 import type { RequestClass } from "@rackspan/state";
 
-export interface OwnHeaders {
+export interface SideHeaderValues {
   readonly id: RequestId;
   readonly service: ServiceName;
   readonly class: RequestClass;
@@ -23,7 +23,7 @@
   readonly rawHeaders: readonly string[];
   readonly body: Buffer | BodyStream | undefined;
   readonly upgrade: boolean;
-  readonly own: OwnHeaders;
+  readonly values: SideHeaderValues;
 }
 
 const NEVER_FORWARDED = [HEADER.REQUEST_ID, HEADER.TIMEOUT, "expect"] as const;
@@ -38,7 +38,7 @@
   "content-length",
 ]);
 
-const valueOf = (
+const headerValue = (
   rawHeaders: readonly string[],
   name: string,
 ): string | undefined => {
@@ -52,35 +52,35 @@
   rawHeaders,
   body,
   upgrade,
-  own,
+  values,
 }: SideHeadersOptions): string[] => {
   const add = [
     HEADER.SERVICE,
-    own.service,
+    values.service,
     HEADER.CLASS,
-    own.class,
+    values.class,
     HEADER.INCARNATION,
-    own.incarnation,
+    values.incarnation,
     HEADER.REQUEST_ID,
-    own.id,
+    values.id,
     HEADER.ATTEMPT,
-    String(own.attempt),
+    String(values.attempt),
     HEADER.TIMEOUT,
-    String(own.timeoutMs),
+    String(values.timeoutMs),
   ];
   if (upgrade) {
     add.push(
       "Connection",
       "upgrade",
       "Upgrade",
-      valueOf(rawHeaders, "upgrade") ?? "",
+      headerValue(rawHeaders, "upgrade") ?? "",
     );
   }
   if (Buffer.isBuffer(body)) {
     add.push("Content-Length", String(body.length));
     return forwardHeaders(rawHeaders, { drop: DROPPED_WITH_BODY, add });
   }
-  if (body && valueOf(rawHeaders, "content-length") === undefined) {
+  if (body && headerValue(rawHeaders, "content-length") === undefined) {
     add.push("Transfer-Encoding", "chunked");
   }
   return forwardHeaders(rawHeaders, { drop: DROPPED, add });
--- a/packages/entry/tests/attemptLoop.test.ts
+++ b/packages/entry/tests/attemptLoop.test.ts
@@ -25,11 +25,11 @@
 const ADDRESS = { host: "127.0.0.1", port: 1 };
 const HOSTS = ["h1", "h2"].map((name) => brand<HostId>(name));
 
-const endpointOf = (host: HostId, run: string): EndpointState =>
+const endpointOf = (host: HostId, incarnation: string): EndpointState =>
   new EndpointState(
     {
       host,
-      incarnation: brand<Incarnation>(`${host} ${run}`),
+      incarnation: brand<Incarnation>(`${host} ${incarnation}`),
       availabilityZone: brand<AvailabilityZone>("a"),
       slots: 8,
     } as SideStatus,
--- a/packages/entry/tests/createJobService.ts
+++ b/packages/entry/tests/createJobService.ts
@@ -13,19 +13,19 @@
 
 export type WrittenTopic = (typeof TOPICS)["jobs" | "cancels"];
 
-export interface DeskOptions {
+export interface JobServiceSetup {
   readonly clock: ManualClock;
   readonly store: MemoryStore;
   /** Producer name of the entry. */
   readonly entry: string;
   /** Minimum interval between two polls of the entry, milliseconds. */
-  readonly floorMs: number;
+  readonly pollIntervalMs: number;
 }
 
 /** A writer with the default settings: batches for 4 ms, and reports refusals. */
 export const createWriter = (
   topic: WrittenTopic,
-  { clock, store, entry }: Omit<DeskOptions, "floorMs">,
+  { clock, store, entry }: Omit<JobServiceSetup, "pollIntervalMs">,
 ): TopicWriter =>
   new TopicWriter({
     topic,
@@ -38,8 +38,8 @@
     retriesRefusedBatches: false,
   });
 
-export const createDesk = (options: DeskOptions) => {
-  const { clock, store, floorMs } = options;
+export const createJobService = (options: JobServiceSetup) => {
+  const { clock, store, pollIntervalMs } = options;
   const logger = silentLogger;
   const metrics = new Metrics();
   const view = new JobView({ logger, metrics });
@@ -48,14 +48,14 @@
     store,
     clock,
     logger,
-    minPollIntervalMs: () => floorMs,
+    minPollIntervalMs: () => pollIntervalMs,
     onRecords: (records) => view.applyJobRecords(records),
   });
   jobsFollower.start();
   const jobsWriter = createWriter(TOPICS.jobs, options);
   const followers = [jobsFollower];
   const writers = [jobsWriter];
-  const desk = new JobService({
+  const jobService = new JobService({
     view,
     config: new ConfigHolder(logger),
     jobsFollower,
@@ -71,5 +71,5 @@
     logger,
     metrics,
   });
-  return { desk, stop: () => jobsFollower.stop() };
+  return { jobService, stop: () => jobsFollower.stop() };
 };
--- a/packages/entry/tests/leadership.test.ts
+++ b/packages/entry/tests/leadership.test.ts
@@ -34,7 +34,7 @@
 } from "@rackspan/state";
 import { MemoryStore, plainJob } from "@rackspan/standins";
 
-const FORMER_TERM_MS = 2_500;
+const PREVIOUS_TERM_MS = 2_500;
 const JOB = brand<JobId>("5c0e7a21d94b36f8");
 
 const acceptedJob = (acceptedAt: number): AcceptedJob =>
@@ -46,7 +46,7 @@
   const logger = silentLogger;
   const metrics = new Metrics();
   /** The reasons for which terms failed, in order. */
-  const deposed: string[] = [];
+  const termFailures: string[] = [];
   const view = new JobView({ logger, metrics });
   const zones = new EvacuatedZones({ clock, logger, metrics });
   const writerOf = (topic: (typeof TOPICS)[keyof typeof TOPICS]) =>
@@ -91,7 +91,7 @@
     clock,
     logger,
     metrics,
-    leadershipTtlMs: FORMER_TERM_MS,
+    leadershipTtlMs: PREVIOUS_TERM_MS,
     leaseMs: 6_000,
     stopMs: 200,
     endedJobRetentionMs: 10_000,
@@ -101,7 +101,7 @@
     placer: "colocating",
     policy: DEFAULT_POLICY,
     mayDecide: () => true,
-    onTermFailed: (reason) => deposed.push(reason),
+    onTermFailed: (reason) => termFailures.push(reason),
   });
   const lastState = () => {
     const record = store.recordsOf(TOPICS.progress).at(-1);
@@ -114,17 +114,17 @@
     await stopped;
   };
   /** Persists the job as another entry would. */
-  const keepJob = async (): Promise<void> => {
+  const persistJob = async (): Promise<void> => {
     const value = encodeJob(acceptedJob(clock.now()));
-    const { persisted: kept } = jobsWriter.write({ key: JOB, value });
+    const { persisted } = jobsWriter.write({ key: JOB, value });
     await clock.advance(50);
-    await kept;
+    await persisted;
   };
-  const keepCancel = async (): Promise<void> => {
+  const persistCancel = async (): Promise<void> => {
     const value = Buffer.from(JSON.stringify({ at: clock.now() }));
-    const { persisted: kept } = cancelsWriter.write({ key: JOB, value });
+    const { persisted } = cancelsWriter.write({ key: JOB, value });
     await clock.advance(50);
-    await kept;
+    await persisted;
   };
   return {
     clock,
@@ -135,10 +135,10 @@
     lastState,
     follow,
     stop,
-    keepJob,
-    keepCancel,
+    persistJob,
+    persistCancel,
     jobs,
-    deposed,
+    termFailures,
   };
 };
 
@@ -148,9 +148,9 @@
   await clock.advance(200);
   view.addCancel(JOB, clock.now());
   const value = encodeJob(acceptedJob(clock.now()));
-  const kept = jobsWriter.write({ key: JOB, value }).persisted;
+  const persisted = jobsWriter.write({ key: JOB, value }).persisted;
   await clock.advance(200);
-  await kept;
+  await persisted;
   expect(lastState()).toEqual("cancelled");
   await stop();
 });
@@ -158,9 +158,9 @@
 test("a job whose retention time is over is removed from all topics of the store", async () => {
   const { clock, store, view, jobsWriter, leadership, stop } = setUp();
   const value = encodeJob(acceptedJob(clock.now()));
-  const kept = jobsWriter.write({ key: JOB, value }).persisted;
+  const persisted = jobsWriter.write({ key: JOB, value }).persisted;
   await clock.advance(50);
-  await kept;
+  await persisted;
   leadership.beginTerm(brand<Epoch>(1));
   await clock.advance(200);
   view.addCancel(JOB, clock.now());
@@ -173,20 +173,22 @@
 });
 
 test("a cancel that another entry acknowledged reaches the leader at once", async () => {
-  const { clock, leadership, lastState, stop, keepJob, keepCancel } = setUp();
+  const { clock, leadership, lastState, stop, persistJob, persistCancel } =
+    setUp();
   leadership.beginTerm(brand<Epoch>(1));
   await clock.advance(200);
-  await keepJob();
-  await keepCancel();
+  await persistJob();
+  await persistCancel();
   await clock.advance(50);
   expect(lastState()).toEqual("cancelled");
   await stop();
 });
 
 test("a cancel that was acknowledged while there was no leader is carried out by the next leader", async () => {
-  const { clock, leadership, lastState, stop, keepJob, keepCancel } = setUp();
-  await keepJob();
-  await keepCancel();
+  const { clock, leadership, lastState, stop, persistJob, persistCancel } =
+    setUp();
+  await persistJob();
+  await persistCancel();
   leadership.beginTerm(brand<Epoch>(1));
   await clock.advance(100);
   expect(lastState()).toEqual("cancelled");
@@ -195,14 +197,14 @@
 
 test("a cancel is retained for a job whose record this version cannot read", async () => {
   // The job exists even though this version cannot decode it.
-  const { clock, store, jobsWriter, leadership, stop, keepCancel } = setUp();
+  const { clock, store, jobsWriter, leadership, stop, persistCancel } = setUp();
   const value = Buffer.from("of another version");
-  const { persisted: kept } = jobsWriter.write({ key: JOB, value });
+  const { persisted } = jobsWriter.write({ key: JOB, value });
   await clock.advance(50);
-  await kept;
+  await persisted;
   leadership.beginTerm(brand<Epoch>(1));
   await clock.advance(200);
-  await keepCancel();
+  await persistCancel();
   await clock.advance(16_000);
   expect(store.recordsOf(TOPICS.cancels).length).toEqual(1);
   await stop();
@@ -210,10 +212,10 @@
 
 test("a cancel whose job never arrived is removed after the retention time", async () => {
   // Cancels are otherwise removed together with their job, which does not exist here.
-  const { clock, store, leadership, stop, keepCancel } = setUp();
+  const { clock, store, leadership, stop, persistCancel } = setUp();
   leadership.beginTerm(brand<Epoch>(1));
   await clock.advance(200);
-  await keepCancel();
+  await persistCancel();
   const last = () => store.recordsOf(TOPICS.cancels).at(-1);
   await clock.advance(9_000);
   expect(last()?.value === undefined).toEqual(false);
@@ -223,7 +225,7 @@
 });
 
 /** A host session that accepts every order. */
-class WillingHost implements HostSession {
+class AcceptingHost implements HostSession {
   readonly starts: StartTaskCall[] = [];
 
   async startTask(call: StartTaskCall): Promise<HostCallResult> {
@@ -261,7 +263,7 @@
 // If a slow takeover treated the jobs that it reads as new, it could start tasks that a
 // silent host still runs.
 test("a takeover that lasts longer than the previous term treats the jobs that it reads as old", async () => {
-  const { clock, store, view, leadership, follow, stop, keepJob } = setUp();
+  const { clock, store, view, leadership, follow, stop, persistJob } = setUp();
   const silent = brand<HostId>("h1");
   const hosts = follow(TOPICS.hosts, (records) =>
     view.applyHostRecords(records),
@@ -271,14 +273,14 @@
     records: [{ key: silent, value: Buffer.from("{}") }],
     stamp: { producer: "leader", epoch: 1, sequence: 1 },
   } as never);
-  await keepJob();
+  await persistJob();
   store.fault = "refuses";
   leadership.beginTerm(brand<Epoch>(2));
-  await clock.advance(FORMER_TERM_MS + 500);
+  await clock.advance(PREVIOUS_TERM_MS + 500);
   store.fault = "none";
   await clock.advance(500);
   const host = brand<HostId>("h2");
-  const session = new WillingHost();
+  const session = new AcceptingHost();
   const zone = brand<AvailabilityZone>("obihiro-a");
   const engine = leadership.activeTerm?.engine;
   engine?.attach(host, session);
@@ -300,25 +302,25 @@
 
 // The earlier term fails because its writers are closed; that must not end the next term.
 test("a term that fails after the next one has started does not end leadership", async () => {
-  const { clock, store, leadership, jobs, deposed } = setUp();
+  const { clock, store, leadership, jobs, termFailures } = setUp();
   store.fault = "refuses";
   leadership.beginTerm(brand<Epoch>(1));
   await clock.advance(20);
   leadership.beginTerm(brand<Epoch>(2));
   store.fault = "none";
   await clock.advance(1_000);
-  expect(deposed).toEqual([]);
+  expect(termFailures).toEqual([]);
   expect(leadership.activeTerm?.epoch).toEqual(brand<Epoch>(2));
   leadership.endTerm();
   await clock.advance(200);
-  expect(deposed).toEqual([]);
+  expect(termFailures).toEqual([]);
   const stopped = jobs.stop();
   await clock.advance(2_000);
   await stopped;
 });
 
 test("a term that fails while it is the current one ends the entry's leadership", async () => {
-  const { clock, store, leadership, jobs, deposed } = setUp();
+  const { clock, store, leadership, jobs, termFailures } = setUp();
   await store.append({
     topic: TOPICS.progress,
     records: [],
@@ -327,7 +329,7 @@
   });
   leadership.beginTerm(brand<Epoch>(2));
   await clock.advance(200);
-  expect(deposed.length).toEqual(1);
+  expect(termFailures.length).toEqual(1);
   leadership.endTerm();
   const stopped = jobs.stop();
   await clock.advance(2_000);
--- a/packages/entry/tests/sideServer.test.ts
+++ b/packages/entry/tests/sideServer.test.ts
@@ -33,9 +33,9 @@
 const TIMEOUT_MS = 1_000;
 const ADDRESS = processLoopbackAddress(1);
 
-const reportOf = (life: string): HostReport => ({
+const reportOf = (instance: string): HostReport => ({
   worker: {
-    instance: brand<WorkerInstance>(life),
+    instance: brand<WorkerInstance>(instance),
     service: brand<ServiceName>("kaigi"),
     labels: [],
     rack: "",
@@ -109,11 +109,11 @@
 const attach = (side: SideConnection) =>
   side.call("attach", { host: HOST, availabilityZone: ZONE }, TIMEOUT_MS);
 
-const report = (side: SideConnection, life: string) =>
-  side.call("report", reportOf(life), TIMEOUT_MS);
+const report = (side: SideConnection, instance: string) =>
+  side.call("report", reportOf(instance), TIMEOUT_MS);
 
 const withServer = async (
-  play: (listen: ListenAddress, probe: EngineProbe) => Promise<void>,
+  run: (listen: ListenAddress, probe: EngineProbe) => Promise<void>,
 ): Promise<void> => {
   const listen = { address: ADDRESS, port: await freePort() };
   const probe = new EngineProbe();
@@ -129,7 +129,7 @@
   });
   await server.start();
   try {
-    await play(listen, probe);
+    await run(listen, probe);
   } finally {
     await server.stop();
   }
@@ -141,16 +141,19 @@
   await withServer(async (listen, probe) => {
     const old = await openSide(listen);
     await attach(old);
-    await report(old, "first life");
+    await report(old, "first incarnation");
     const present = await openSide(listen);
     await attach(present);
-    await report(present, "second life");
-    const late = await report(old, "first life").then(
+    await report(present, "second incarnation");
+    const late = await report(old, "first incarnation").then(
       () => "taken",
       () => "refused",
     );
     expect(late).toEqual("refused");
-    expect(probe.reported.map(String)).toEqual(["first life", "second life"]);
+    expect(probe.reported.map(String)).toEqual([
+      "first incarnation",
+      "second incarnation",
+    ]);
     present.close("the test is over");
   });
 });
--- a/packages/entry/tests/storeOutage.test.ts
+++ b/packages/entry/tests/storeOutage.test.ts
@@ -6,14 +6,14 @@
 import type { JobRequestOutcome } from "@rackspan/entry";
 import { TOPICS, type JobId } from "@rackspan/state";
 import { MemoryStore, plainJob } from "@rackspan/standins";
-import { createDesk } from "./createJobService.js";
+import { createJobService } from "./createJobService.js";
 
 const CALLER = { timeMs: 3_000, retries: 4, everyMs: 100 };
 const ENTRIES = 3;
 const OUTAGE_MS = 4_200;
 const QUEUE = {} as never;
 
-interface Told {
+interface CallerResult {
   readonly outcome: JobRequestOutcome;
   readonly refusals: number;
   /** Longest time that one entry retried for the caller before it refused. */
@@ -24,42 +24,49 @@
   const clock = new ManualClock();
   const store = new MemoryStore(clock);
   const entries = Array.from({ length: ENTRIES }, (_, n) =>
-    createDesk({ clock, store, entry: `entry-${n}`, floorMs: 100 }),
+    createJobService({
+      clock,
+      store,
+      entry: `entry-${n}`,
+      pollIntervalMs: 100,
+    }),
   );
-  const handIn = async (n: number): Promise<Told> => {
+  const submitJob = async (n: number): Promise<CallerResult> => {
     const id = n.toString(16).padStart(16, "0");
     const { spec } = plainJob({ id, acceptedAt: clock.now() });
-    const giveUpAt: Monotonic = clock.monotonic() + CALLER.timeMs;
+    const deadline: Monotonic = clock.monotonic() + CALLER.timeMs;
     let heldMs = 0;
-    for (let tries = 0; ; tries += 1) {
-      const { desk } = entries[(n + tries) % ENTRIES] as (typeof entries)[0];
-      const askedAt = clock.monotonic();
-      const outcome = await desk.submit(QUEUE, spec, giveUpAt);
+    for (let attempts = 0; ; attempts += 1) {
+      const { jobService } = entries[
+        (n + attempts) % ENTRIES
+      ] as (typeof entries)[0];
+      const submittedAt = clock.monotonic();
+      const outcome = await jobService.submit(QUEUE, spec, deadline);
       if (outcome.kind !== "refused")
-        return { outcome, refusals: tries, heldMs };
-      heldMs = Math.max(heldMs, clock.monotonic() - askedAt);
-      const backAt = clock.monotonic() + outcome.retryAfterMs;
-      if (tries === CALLER.retries || backAt >= giveUpAt)
-        return { outcome, refusals: tries + 1, heldMs };
+        return { outcome, refusals: attempts, heldMs };
+      heldMs = Math.max(heldMs, clock.monotonic() - submittedAt);
+      const retryAt = clock.monotonic() + outcome.retryAfterMs;
+      if (attempts === CALLER.retries || retryAt >= deadline)
+        return { outcome, refusals: attempts + 1, heldMs };
       await sleep(clock, outcome.retryAfterMs);
     }
   };
-  return { clock, store, entries, handIn };
+  return { clock, store, entries, submitJob };
 };
 
 /** The results of all callers that arrive during an outage of the given length. */
-const playOutage = async (outageMs: number): Promise<Told[]> => {
-  const { clock, store, entries, handIn } = createSite();
+const simulateOutage = async (outageMs: number): Promise<CallerResult[]> => {
+  const { clock, store, entries, submitJob } = createSite();
   await clock.advance(1_000);
   store.fault = "refuses";
-  const told: Promise<Told>[] = [];
+  const results: Promise<CallerResult>[] = [];
   for (let at = 0; at < outageMs; at += CALLER.everyMs) {
-    told.push(handIn(told.length));
+    results.push(submitJob(results.length));
     await clock.advance(CALLER.everyMs);
   }
   store.fault = "none";
   await clock.advance(CALLER.timeMs);
-  const all = await Promise.all(told);
+  const all = await Promise.all(results);
   const kept = new Set(store.recordsOf(TOPICS.jobs).map(({ key }) => key));
   const accepted = all.filter(({ outcome }) => outcome.kind === "accepted");
   // Exactly the accepted jobs are in the store; no refused job is.
@@ -72,39 +79,39 @@
 };
 
 test("of 42 callers that arrive during a store outage of 4.2 s, 25 are served", async () => {
-  const told = await playOutage(OUTAGE_MS);
-  const served = told.filter(({ outcome }) => outcome.kind === "accepted");
+  const results = await simulateOutage(OUTAGE_MS);
+  const served = results.filter(({ outcome }) => outcome.kind === "accepted");
   // With immediate refusals and a retry delay of one second, 20 were served.
   expect(served.length >= 25).toEqual(true);
 });
 
 test("a caller whose job cannot be persisted is sent to another entry within a third of its time", async () => {
-  const told = await playOutage(OUTAGE_MS);
-  const longestMs = Math.max(...told.map(({ heldMs }) => heldMs));
+  const results = await simulateOutage(OUTAGE_MS);
+  const longestMs = Math.max(...results.map(({ heldMs }) => heldMs));
   expect(longestMs <= CALLER.timeMs / 3).toEqual(true);
-  expect(told.every(({ refusals }) => refusals <= 1 + CALLER.retries)).toEqual(
-    true,
-  );
+  expect(
+    results.every(({ refusals }) => refusals <= 1 + CALLER.retries),
+  ).toEqual(true);
 });
 
 test("an outage of half a second causes no refusals", async () => {
-  const told = await playOutage(500);
-  expect(told.map(({ refusals }) => refusals)).toEqual(told.map(() => 0));
+  const results = await simulateOutage(500);
+  expect(results.map(({ refusals }) => refusals)).toEqual(results.map(() => 0));
 });
 
 test("a job that was retried and then cancelled at another entry has one job and one cancel record", async () => {
-  const { clock, store, handIn, entries } = createSite();
+  const { clock, store, submitJob, entries } = createSite();
   await clock.advance(1_000);
   store.fault = "refuses";
-  const told = handIn(7);
+  const result = submitJob(7);
   await clock.advance(400);
   store.fault = "none";
   await clock.advance(400);
-  expect((await told).outcome.kind).toEqual("accepted");
+  expect((await result).outcome.kind).toEqual("accepted");
   const id = brand<JobId>("0000000000000007");
-  const { desk } = entries[1] as (typeof entries)[0];
+  const { jobService } = entries[1] as (typeof entries)[0];
   const queue = plainJob({ id, acceptedAt: 0 }).spec.queue;
-  const cancelled = desk.cancel(queue, id, clock.monotonic() + 1_000);
+  const cancelled = jobService.cancel(queue, id, clock.monotonic() + 1_000);
   await clock.advance(500);
   expect((await cancelled).kind).toEqual("accepted");
   expect(store.recordsOf(TOPICS.jobs).length).toEqual(1);
--- a/packages/leadership/src/LeaderElection.ts
+++ b/packages/leadership/src/LeaderElection.ts
@@ -62,13 +62,13 @@
   private generation: Epoch = NO_GENERATION;
   private epoch: Epoch | undefined;
   private validUntil: Monotonic = -Infinity;
-  private joined = false;
-  private fruitlessJoins = 0;
-  private sawNoOwner = false;
-  private reachable = true;
+  private isMember = false;
+  private unsuccessfulJoins = 0;
+  private ownerWasMissing = false;
+  private isStoreReachable = true;
   private task: Promise<void> | undefined;
   /** How often this process has left the group. */
-  private departures = 0;
+  private leaveCount = 0;
 
   constructor(private readonly options: LeaderElectionOptions) {}
 
@@ -79,7 +79,7 @@
   private get name(): string {
     const { self } = this.options;
     const incarnation =
-      `${self.incarnation}.${this.departures}` as unknown as Incarnation;
+      `${self.incarnation}.${this.leaveCount}` as unknown as Incarnation;
     return formatMember({ ...self, incarnation });
   }
 
@@ -98,13 +98,13 @@
     this.abort.abort();
     this.resign("planned-stop");
     await this.task;
-    if (this.joined) await this.leave();
+    if (this.isMember) await this.leaveGroup();
   }
 
   /** Gives up leadership because something that it depends on has failed. */
   async stepDown(reason: string): Promise<void> {
     this.resign(reason);
-    await this.leave();
+    await this.leaveGroup();
   }
 
   private async run(): Promise<void> {
@@ -118,41 +118,41 @@
   /** @returns milliseconds until the next step */
   private async step(): Promise<number> {
     try {
-      const pauseMs = await this.next();
-      this.noteReachable();
+      const pauseMs = await this.performStep();
+      this.recordReachable();
       return pauseMs;
     } catch (err) {
-      this.noteUnreachable(err);
+      this.recordUnreachable(err);
       return ELECTION.retryMs;
     }
   }
 
-  private next(): Promise<number> {
-    if (!this.joined) return this.watch();
-    const hasLapsed = this.epoch !== undefined && !this.isLeader;
-    return hasLapsed ? this.resume() : this.renew();
+  private performStep(): Promise<number> {
+    if (!this.isMember) return this.pollOwner();
+    const hasExpired = this.epoch !== undefined && !this.isLeader;
+    return hasExpired ? this.renewExpired() : this.renew();
   }
 
   /**
    * Renews an expired lease unless another entry owns the partition by now: a join
    * beside a new owner would make the store reassign the partition.
    */
-  private async resume(): Promise<number> {
+  private async renewExpired(): Promise<number> {
     const { membership, topic } = this.options;
     const owner = await membership.owner(ELECTION.group, topic);
     if (owner === undefined || owner === this.name) return this.renew();
     this.resign("replaced");
-    await this.leave();
+    await this.leaveGroup();
     return ELECTION.ownerPollIntervalMs;
   }
 
-  private async watch(): Promise<number> {
+  private async pollOwner(): Promise<number> {
     const { membership, topic, self, logger } = this.options;
     const owner = await membership.owner(ELECTION.group, topic);
-    if (owner === undefined) return this.joinSoon();
-    this.sawNoOwner = false;
-    const isFormerSelf = parseMember(owner)?.entry === self.entry;
-    if (!isFormerSelf) return ELECTION.ownerPollIntervalMs;
+    if (owner === undefined) return this.joinAfterDelay();
+    this.ownerWasMissing = false;
+    const isOwnMembership = parseMember(owner)?.entry === self.entry;
+    if (!isOwnMembership) return ELECTION.ownerPollIntervalMs;
     // The owner is an earlier membership of this entry, which has not been ended yet.
     logger.info("leader.previous-membership", { member: owner });
     await membership.leave(ELECTION.group, owner);
@@ -160,11 +160,11 @@
   }
 
   /** Polls once more after a delay before it joins: another entry may lead by then. */
-  private joinSoon(): Promise<number> | number {
-    if (this.sawNoOwner) return this.renew();
-    this.sawNoOwner = true;
-    const { random, isLowPriority: standsBack } = this.options;
-    return joinDelayMs(random.next(), standsBack);
+  private joinAfterDelay(): Promise<number> | number {
+    if (this.ownerWasMissing) return this.renew();
+    this.ownerWasMissing = true;
+    const { random, isLowPriority } = this.options;
+    return joinDelayMs(random.next(), isLowPriority);
   }
 
   private async renew(): Promise<number> {
@@ -172,9 +172,9 @@
     const { name } = this;
     // The election was stopped while the owner was polled.
     if (this.abort.signal.aborted) return ELECTION.ownerPollIntervalMs;
-    this.joined = true;
+    this.isMember = true;
     const sentAt = clock.leaseTime();
-    const answer = await membership.join({
+    const response = await membership.join({
       group: ELECTION.group,
       member: name,
       topic,
@@ -182,15 +182,15 @@
       generation: this.generation,
       timeoutMs: ELECTION.callTimeoutMs,
     });
-    if (this.hasGivenUp(name)) return ELECTION.ownerPollIntervalMs;
-    const changed = answer.generation !== this.generation;
-    this.generation = answer.generation;
-    if (answer.ownsPartition) return this.confirm(sentAt, changed);
+    if (this.hasLeft(name)) return ELECTION.ownerPollIntervalMs;
+    const changed = response.generation !== this.generation;
+    this.generation = response.generation;
+    if (response.ownsPartition) return this.confirmLeadership(sentAt, changed);
     if (this.epoch !== undefined) this.resign("dealt-to-another");
-    this.fruitlessJoins += 1;
-    if (this.fruitlessJoins < ELECTION.maxUnsuccessfulJoins)
+    this.unsuccessfulJoins += 1;
+    if (this.unsuccessfulJoins < ELECTION.maxUnsuccessfulJoins)
       return ELECTION.retryMs;
-    await this.leave();
+    await this.leaveGroup();
     return ELECTION.ownerPollIntervalMs;
   }
 
@@ -199,11 +199,11 @@
    * in flight. Its response must not restore the last epoch, because run numbers and
    * record sequences would then be assigned twice under that epoch.
    */
-  private hasGivenUp(name: string): boolean {
+  private hasLeft(name: string): boolean {
     return this.abort.signal.aborted || name !== this.name;
   }
 
-  private confirm(sentAt: Monotonic, changed: boolean): number {
+  private confirmLeadership(sentAt: Monotonic, changed: boolean): number {
     const { ttlMs, onAcquired, logger } = this.options;
     if (this.epoch === undefined || changed) {
       // The partition may have had another owner while the group changed.
@@ -212,7 +212,7 @@
       logger.info("leader.acquired", { epoch: this.epoch, member: this.name });
       onAcquired(this.epoch);
     }
-    this.fruitlessJoins = 0;
+    this.unsuccessfulJoins = 0;
     this.validUntil = sentAt + ttlMs - ELECTION.expiryMarginMs;
     return ELECTION.renewIntervalMs;
   }
@@ -226,14 +226,14 @@
     onLost(reason);
   }
 
-  private async leave(): Promise<void> {
+  private async leaveGroup(): Promise<void> {
     const { membership, logger } = this.options;
     const { name } = this;
-    this.sawNoOwner = false;
-    this.joined = false;
+    this.ownerWasMissing = false;
+    this.isMember = false;
     this.generation = NO_GENERATION;
-    this.fruitlessJoins = 0;
-    this.departures += 1;
+    this.unsuccessfulJoins = 0;
+    this.leaveCount += 1;
     try {
       await membership.leave(ELECTION.group, name);
     } catch (err) {
@@ -242,17 +242,17 @@
     }
   }
 
-  private noteReachable(): void {
-    if (this.reachable) return;
-    this.reachable = true;
+  private recordReachable(): void {
+    if (this.isStoreReachable) return;
+    this.isStoreReachable = true;
     this.options.logger.info("membership.regained", {
       generation: this.generation,
     });
   }
 
-  private noteUnreachable(err: unknown): void {
-    if (!this.reachable) return;
-    this.reachable = false;
+  private recordUnreachable(err: unknown): void {
+    if (!this.isStoreReachable) return;
+    this.isStoreReachable = false;
     const leaseLeftMs = Math.round(
       this.validUntil - this.options.clock.leaseTime(),
     );
--- a/packages/leadership/src/joinDelay.ts
+++ b/packages/leadership/src/joinDelay.ts
@@ -22,15 +22,14 @@
  * entries there are. Uniform delays would leave a gap behind the first entry that
  * shrinks with the number of entries, which is not known.
  *
- * @param drawn uniform random number from 0 up to 1
- * @param standsBack whether entries with more processor time should lead first
+ * @param randomValue uniform random number from 0 up to 1
+ * @param isLowPriority whether entries with more processor time should lead first
  */
-export const joinDelayMs = (drawn: number, standsBack: boolean): number => {
-  const {
-    windowMs,
-    skew: gathering,
-    lowPriorityDelayMs: standBackMs,
-  } = JOIN_DELAY;
-  const share = Math.log1p(drawn * Math.expm1(gathering)) / gathering;
-  return share * windowMs + (standsBack ? standBackMs : 0);
+export const joinDelayMs = (
+  randomValue: number,
+  isLowPriority: boolean,
+): number => {
+  const { windowMs, skew, lowPriorityDelayMs } = JOIN_DELAY;
+  const share = Math.log1p(randomValue * Math.expm1(skew)) / skew;
+  return share * windowMs + (isLowPriority ? lowPriorityDelayMs : 0);
 };
--- a/packages/leadership/src/leaseBounds.ts
+++ b/packages/leadership/src/leaseBounds.ts
@@ -41,7 +41,7 @@
  * @returns milliseconds, Infinity if nothing bounds the lease
  */
 export const maxUnattendedLeaseMs = ({
-  minMs: leastMs,
+  minMs,
   outOfTouchMs,
   cancelMs,
   stopMs = 0,
@@ -54,9 +54,9 @@
   if (lastingGapMs !== undefined) {
     bounds.push(lastingGapMs - LEASE.marginMs - LEASE.replacementDelayMs);
   }
-  const overWithinMs = Math.min(Infinity, ...bounds);
-  const leaseMs = Math.floor(overWithinMs / (1 + LEASE.workerClockDrift));
-  return Math.max(leastMs, leaseMs);
+  const expiresWithinMs = Math.min(Infinity, ...bounds);
+  const leaseMs = Math.floor(expiresWithinMs / (1 + LEASE.workerClockDrift));
+  return Math.max(minMs, leaseMs);
 };
 
 /**
--- a/packages/leadership/tests/joinDelay.test.ts
+++ b/packages/leadership/tests/joinDelay.test.ts
@@ -10,9 +10,9 @@
 const ELECTIONS = 4_000;
 
 /** Share of elections in which a second entry joins before it can see the first one. */
-const collisions = (
+const collisionRate = (
   entries: number,
-  delayOf: (drawn: number) => number,
+  delayOf: (randomValue: number) => number,
 ): number => {
   const random = new SeededRandom(35);
   let collided = 0;
@@ -25,17 +25,19 @@
   return collided / ELECTIONS;
 };
 
-const even = (drawn: number): number => drawn * JOIN_DELAY.windowMs;
-const gathered = (drawn: number): number => joinDelayMs(drawn, false);
+const uniformDelay = (randomValue: number): number =>
+  randomValue * JOIN_DELAY.windowMs;
+const skewedDelay = (randomValue: number): number =>
+  joinDelayMs(randomValue, false);
 
 test("thirty-five entries collide less than half as often as with uniform delays", () => {
-  const before = collisions(35, even);
-  const after = collisions(35, gathered);
+  const before = collisionRate(35, uniformDelay);
+  const after = collisionRate(35, skewedDelay);
   expect(after < before / 2).toEqual(true);
 });
 
 test("three entries collide in less than a fifth of elections", () => {
-  expect(collisions(3, gathered) < 0.2).toEqual(true);
+  expect(collisionRate(3, skewedDelay) < 0.2).toEqual(true);
 });
 
 test("delays stay within the window, and low-priority entries wait longer than all others", () => {
--- a/packages/leadership/tests/leaderElection.test.ts
+++ b/packages/leadership/tests/leaderElection.test.ts
@@ -114,9 +114,9 @@
 
 test("a restarted process ends the membership of its previous incarnation and leads at once", async () => {
   const { clock, entry, terms } = setUp();
-  const former = entry("a", "1");
+  const previous = entry("a", "1");
   await clock.advance(700);
-  void former;
+  void previous;
   const next = entry("a", "2");
   await clock.advance(300);
   expect(next.isLeader).toEqual(true);
@@ -136,40 +136,40 @@
 
 test("a leader that the store refused for a while does not rejoin while its successor leads", async () => {
   const { clock, store, terms, entry } = setUp();
-  let isTurnedAway = false;
+  let isRefused = false;
   let joins = 0;
-  const turnAway = (): void => {
-    if (isTurnedAway) throw new StoreRefusedError("turned away");
+  const refuseWhileIsolated = (): void => {
+    if (isRefused) throw new StoreRefusedError("refused");
   };
   const membership: GroupMembership = {
     join: async (req) => {
-      turnAway();
+      refuseWhileIsolated();
       joins += 1;
       return store.join(req);
     },
     leave: async (group, member) => {
-      turnAway();
+      refuseWhileIsolated();
       return store.leave(group, member);
     },
     owner: async () => {
-      turnAway();
+      refuseWhileIsolated();
       return store.owner();
     },
   };
   entry("a", "1", undefined, membership);
   await clock.advance(700);
   entry("b");
-  isTurnedAway = true;
+  isRefused = true;
   await clock.advance(2 * TTL_MS);
   const joinsBefore = joins;
-  isTurnedAway = false;
+  isRefused = false;
   await clock.advance(2_000);
   expect(joins).toEqual(joinsBefore);
   expect(terms).toEqual(["a leads 1", "b leads 3", "a lost: replaced"]);
 });
 
 /** A membership that holds back its responses to joins until the test releases them. */
-const slowToAnswer = (store: MemoryStore) => {
+const createDelayedMembership = (store: MemoryStore) => {
   let held: (() => void)[] | undefined;
   const membership: GroupMembership = {
     join: async (req) => {
@@ -186,7 +186,7 @@
     hold: () => {
       held = [];
     },
-    letGo: () => {
+    release: () => {
       const waiting = held ?? [];
       held = undefined;
       for (const go of waiting) go();
@@ -198,7 +198,7 @@
 for (const way of ["stops", "steps down"] as const) {
   test(`a renewal that is answered after the leader ${way} does not restore leadership`, async () => {
     const { clock, store, terms, entry } = setUp();
-    const { membership, hold, letGo } = slowToAnswer(store);
+    const { membership, hold, release } = createDelayedMembership(store);
     const a = entry("a", "1", undefined, membership);
     await clock.advance(700);
     expect(a.isLeader).toEqual(true);
@@ -206,7 +206,7 @@
     await clock.advance(600);
     const over = way === "stops" ? a.stop() : a.stepDown("term failed");
     await clock.advance(10);
-    letGo();
+    release();
     await clock.advance(10);
     await over;
     expect(a.isLeader).toEqual(false);
@@ -216,7 +216,7 @@
 }
 
 /** Stops an entry while its second poll is in flight, and counts its joins. */
-const stopDuringLook = async ({
+const stopDuringPoll = async ({
   clock,
   store,
   entry,
@@ -224,7 +224,7 @@
   joins: number;
 }> => {
   let answerOwner = (): void => undefined;
-  let looks = 0;
+  let polls = 0;
   let joins = 0;
   const membership: GroupMembership = {
     join: (req) => {
@@ -233,8 +233,8 @@
     },
     leave: (group, member) => store.leave(group, member),
     owner: async () => {
-      looks += 1;
-      if (looks > 1) await new Promise<void>((go) => (answerOwner = go));
+      polls += 1;
+      if (polls > 1) await new Promise<void>((go) => (answerOwner = go));
       return store.owner();
     },
   };
@@ -250,13 +250,13 @@
 // A step that was started before the stop must not continue after it.
 test("an entry that is stopped while it polls for the owner does not become leader", async () => {
   const { clock, store, terms, entry } = setUp();
-  await stopDuringLook({ clock, store, entry });
+  await stopDuringPoll({ clock, store, entry });
   expect(terms).toEqual([]);
 });
 
 test("an entry that is stopped while it polls for the owner sends no join", async () => {
   const { clock, store, entry } = setUp();
-  const { joins } = await stopDuringLook({ clock, store, entry });
+  const { joins } = await stopDuringPoll({ clock, store, entry });
   expect(joins).toEqual(0);
 });
 
--- a/packages/leadership/tests/leaseBounds.test.ts
+++ b/packages/leadership/tests/leaseBounds.test.ts
@@ -32,8 +32,8 @@
 
 test("a lasting task of a silent worker starts elsewhere within the allowed gap", () => {
   const bounds = { ...BOUNDS, lastingGapMs: LASTING_GAP_MS };
-  const overBy = latestLeaseExpiry(0, maxUnattendedLeaseMs(bounds));
-  expect(overBy + LEASE.replacementDelayMs <= LASTING_GAP_MS).toEqual(true);
+  const expiresBy = latestLeaseExpiry(0, maxUnattendedLeaseMs(bounds));
+  expect(expiresBy + LEASE.replacementDelayMs <= LASTING_GAP_MS).toEqual(true);
 });
 
 test("a side that returns soon finds its tasks running, however short the allowed gap", () => {
