--- a/packages/checker/src/EntryNode.ts
+++ b/packages/checker/src/EntryNode.ts
@@ -241,7 +241,7 @@
       return;
     }
     if (decision.kind === "replay") {
-      const answerOf = Buffer.from(decision.answer.body ?? []).toString();
+      const answerOf = Buffer.from(decision.response.body ?? []).toString();
       history.record({
         type: "requestAnswered",
         request: key,
@@ -278,9 +278,12 @@
     }
     result.release(true);
     const answerOf = String(
-      (result.answer as unknown as { readonly text: string }).text,
+      (result.response as unknown as { readonly text: string }).text,
     );
-    this.keys.recordAnswer(keyed, { status: 200, body: Buffer.from(answerOf) });
+    this.keys.recordResponse(keyed, {
+      status: 200,
+      body: Buffer.from(answerOf),
+    });
     history.record({
       type: "requestAnswered",
       request: key,
--- a/packages/entry/src/AttemptLoop.ts
+++ b/packages/entry/src/AttemptLoop.ts
@@ -69,7 +69,7 @@
 }
 
 export type UpgradeListener = (
-  answer: IncomingMessage,
+  response: IncomingMessage,
   socket: Duplex,
   head: Buffer,
 ) => void;
@@ -105,19 +105,19 @@
 }
 
 /** A response of an endpoint; `release` must be called when it has ended. */
-export interface Answered {
+export interface AnsweredRequest {
   readonly kind: "answered";
-  readonly answer: IncomingMessage;
+  readonly response: IncomingMessage;
   readonly host: HostId;
   release(ok: boolean): void;
 }
 
-export interface Refused {
+export interface RefusedRequest {
   readonly kind: "refused";
   readonly problem: Problem;
 }
 
-export type LoopResult = Answered | Refused;
+export type LoopResult = AnsweredRequest | RefusedRequest;
 
 /** An attempt without a response of an endpoint. */
 interface AttemptFailure {
@@ -215,7 +215,8 @@
     peer: AttemptPeer,
     cancellation: Cancellation,
   ): Promise<
-    Answered | { readonly kind: "failed"; readonly failure: AttemptFailure }
+    | AnsweredRequest
+    | { readonly kind: "failed"; readonly failure: AttemptFailure }
   > {
     const { clock } = this.options;
     const endpoint = peer.endpoint as EndpointState;
@@ -224,13 +225,13 @@
     cancellation.track(sent);
     endpoint.inFlight += 1;
     try {
-      const answer = await sent.response;
-      recordLoad(endpoint, answer, clock.monotonic());
-      if (answer.headers[HEADER.OUTCOME] === undefined) {
-        return this.toAnswered(answer, endpoint, startedAt);
+      const response = await sent.response;
+      recordLoad(endpoint, response, clock.monotonic());
+      if (response.headers[HEADER.OUTCOME] === undefined) {
+        return this.toAnswered(response, endpoint, startedAt);
       }
       endpoint.inFlight -= 1;
-      return { kind: "failed", failure: refusalOf(answer) };
+      return { kind: "failed", failure: refusalOf(response) };
     } catch (err) {
       endpoint.inFlight -= 1;
       const failure = failureOf(err, cancellation);
@@ -282,10 +283,10 @@
   }
 
   private toAnswered(
-    answer: IncomingMessage,
+    response: IncomingMessage,
     endpoint: EndpointState,
     startedAt: Monotonic,
-  ): Answered {
+  ): AnsweredRequest {
     let released = false;
     const release = (ok: boolean): void => {
       if (released) return;
@@ -293,7 +294,7 @@
       endpoint.inFlight -= 1;
       this.report(endpoint, ok, startedAt);
     };
-    return { kind: "answered", answer, host: endpoint.host, release };
+    return { kind: "answered", response, host: endpoint.host, release };
   }
 
   private report(
@@ -338,20 +339,20 @@
 
 const recordLoad = (
   endpoint: EndpointState,
-  answer: IncomingMessage,
+  response: IncomingMessage,
   at: Monotonic,
 ): void => {
-  const busy = Number(answer.headers[HEADER.BUSY_SLOTS]);
+  const busy = Number(response.headers[HEADER.BUSY_SLOTS]);
   if (Number.isInteger(busy)) endpoint.recordBusySlots(busy, at);
 };
 
 // The side removes this header from responses of endpoints, so the side has set it itself.
-const refusalOf = (answer: IncomingMessage): AttemptFailure => {
-  answer.resume();
+const refusalOf = (response: IncomingMessage): AttemptFailure => {
+  response.resume();
   const outcome =
-    answer.headers[HEADER.OUTCOME] === "not-run" ? "not-run" : "unknown";
-  const reason = (answer.headers[HEADER.REASON] ?? REASON.INTERNAL) as Reason;
-  return { outcome, reason, status: answer.statusCode ?? STATUS_BAD_GATEWAY };
+    response.headers[HEADER.OUTCOME] === "not-run" ? "not-run" : "unknown";
+  const reason = (response.headers[HEADER.REASON] ?? REASON.INTERNAL) as Reason;
+  return { outcome, reason, status: response.statusCode ?? STATUS_BAD_GATEWAY };
 };
 
 const failureOf = (err: unknown, { reason }: Cancellation): AttemptFailure => {
@@ -379,7 +380,7 @@
       reason: REASON.NO_ENDPOINT,
       outcome: "not-run",
       detail: `no endpoint of ${request.service} is in service`,
-      remedy: "retry after the time given; operators see rackspan status",
+      remedy: "retry after the time given; operators: see rackspan status",
     };
   }
   const isLate = cancellation.reason === "deadline";
@@ -390,7 +391,7 @@
     outcome: mayHaveRun ? "unknown" : "not-run",
     detail: `the last attempt ended with ${failure.reason}`,
     remedy: mayHaveRun
-      ? "find out whether it ran, or repeat it if that does no harm"
-      : "it was not run: retry after the time given",
+      ? "find out whether the request ran, or repeat it if that is safe"
+      : "the request was not run; retry after the time given",
   };
 };
--- a/packages/entry/src/CallerRequestHandler.ts
+++ b/packages/entry/src/CallerRequestHandler.ts
@@ -24,7 +24,7 @@
 import type { RequestClass } from "@rackspan/state";
 import {
   Cancellation,
-  type Answered,
+  type AnsweredRequest,
   type AttemptLoop,
   type OutgoingRequest,
 } from "./AttemptLoop.js";
@@ -221,14 +221,14 @@
         this.refuse(decision.problem);
         return false;
       case "replay": {
-        const { status, contentType, body: answer } = decision.answer;
+        const { status, contentType, body: recordedBody } = decision.response;
         this.count("replayed");
         this.res.writeHead(status, {
           ...(contentType ? { "content-type": contentType } : {}),
           [HEADER.REQUEST_ID]: id,
           [HEADER.REPLAYED]: "true",
         });
-        this.res.end(answer);
+        this.res.end(recordedBody);
         return false;
       }
     }
@@ -242,18 +242,21 @@
     );
   }
 
-  private async relay(result: Answered): Promise<void> {
-    const { answer } = result;
+  private async relay(result: AnsweredRequest): Promise<void> {
+    const { response } = result;
     const recorder = this.claimedRequest
-      ? new ResponseRecorder(answer, this.options.keepAnswerBytes)
+      ? new ResponseRecorder(response, this.options.keepAnswerBytes)
       : undefined;
-    this.writeHead(answer);
+    this.writeHead(response);
     const readToEnd = this.claimedRequest !== undefined;
-    const end = await relayResponse(answer, this.res, { readToEnd });
+    const end = await relayResponse(response, this.res, { readToEnd });
     result.release(end !== "broken");
     // The endpoint's response is recorded even if the caller has disconnected meanwhile.
-    if (recorder && this.claimedRequest && answer.complete) {
-      this.options.keys.recordAnswer(this.claimedRequest, recorder.recorded());
+    if (recorder && this.claimedRequest && response.complete) {
+      this.options.keys.recordResponse(
+        this.claimedRequest,
+        recorder.recorded(),
+      );
     }
     this.count(end === "whole" ? "answered" : end);
     const { clock, metrics } = this.options;
@@ -265,23 +268,27 @@
   /** Relays the events of a watch, and reconnects when an endpoint stops or fails. */
   private async relayWatch(
     outgoing: OutgoingRequest,
-    first: Answered,
+    first: AnsweredRequest,
   ): Promise<void> {
     if (!isEventStream(first)) return this.relay(first);
-    this.writeHead(first.answer);
+    this.writeHead(first.response);
     this.res.flushHeaders();
     const { res, cancellation } = this;
     const relay = new WatchRelay(this.options, { outgoing, res, cancellation });
     await relay.follow(first, (end) => this.count(`watch-${end}`));
   }
 
-  private writeHead(answer: IncomingMessage): void {
-    const headers = forwardHeaders(answer.rawHeaders, {
+  private writeHead(response: IncomingMessage): void {
+    const headers = forwardHeaders(response.rawHeaders, {
       drop: NOT_FORWARDED,
       add: [HEADER.REQUEST_ID, this.request.id],
     });
     if (this.res.headersSent || this.res.destroyed) return;
-    this.res.writeHead(answer.statusCode ?? 502, answer.statusMessage, headers);
+    this.res.writeHead(
+      response.statusCode ?? 502,
+      response.statusMessage,
+      headers,
+    );
   }
 
   private refuse(problem: Problem): void {
@@ -318,10 +325,10 @@
   private bytes = 0;
 
   constructor(
-    private readonly answer: IncomingMessage,
+    private readonly response: IncomingMessage,
     limit: number,
   ) {
-    answer.on("data", (chunk: Buffer) => {
+    response.on("data", (chunk: Buffer) => {
       this.bytes += chunk.length;
       if (this.bytes > limit) this.chunks = undefined;
       this.chunks?.push(chunk);
@@ -329,7 +336,7 @@
   }
 
   recorded() {
-    const { statusCode = 502, headers } = this.answer;
+    const { statusCode = 502, headers } = this.response;
     const contentType = headers["content-type"];
     const body = this.chunks ? Buffer.concat(this.chunks) : undefined;
     return { status: statusCode, contentType, body };
@@ -369,6 +376,6 @@
     why === "full"
       ? "too many requests of this class are queued"
       : "the deadline of the request passed before it could be sent",
-  remedy: "it was not run: retry after the time given",
+  remedy: "the request was not run; retry after the time given",
   retryAfterS: 1,
 });
--- a/packages/entry/src/KeyedRequests.ts
+++ b/packages/entry/src/KeyedRequests.ts
@@ -39,7 +39,7 @@
 
 export type KeyDecision =
   | { readonly kind: "proceed" }
-  | { readonly kind: "replay"; readonly answer: RecordedResponse }
+  | { readonly kind: "replay"; readonly response: RecordedResponse }
   | { readonly kind: "refused"; readonly problem: Problem };
 
 const MAX_APPEND_ATTEMPTS = 5;
@@ -67,7 +67,7 @@
   async begin(request: KeyedRequest, timeoutMs: number): Promise<KeyDecision> {
     const { fold, appender, metrics } = this.options;
     const holder = fold.requests.get(request);
-    if (holder) return this.decideByHolder(request, holder);
+    if (holder) return this.decideByEntry(request, holder);
     const { id, service, key, digest } = request;
     try {
       const claim = {
@@ -95,13 +95,13 @@
       });
     }
     const winner = fold.requests.get(request);
-    return winner ? this.decideByHolder(request, winner) : inProgress(request);
+    return winner ? this.decideByEntry(request, winner) : inProgress(request);
   }
 
   /** Records the response for repeats, without its body if that was too large. */
-  recordAnswer(request: KeyedRequest, answer: RecordedResponse): void {
+  recordResponse(request: KeyedRequest, response: RecordedResponse): void {
     const { id, service, key } = request;
-    const { status, contentType, body } = answer;
+    const { status, contentType, body } = response;
     const outcome = { service, key, request: id, status, contentType, body };
     void this.appendWithRetries({ type: "requestOutcome", ...outcome });
   }
@@ -134,7 +134,7 @@
     metrics.count("key_records_lost", { type: record.type });
   }
 
-  private decideByHolder(
+  private decideByEntry(
     request: KeyedRequest,
     holder: RequestKeyEntry,
   ): KeyDecision {
@@ -150,7 +150,7 @@
     }
     if (!holder.answer) return inProgress(request);
     if (!holder.answer.body) return responseNotRecorded(request);
-    return { kind: "replay", answer: holder.answer };
+    return { kind: "replay", response: holder.answer };
   }
 
   private onApplied({ record, result }: AppliedRecord): void {
@@ -172,8 +172,9 @@
     status: 409,
     reason: REASON.KEY_IN_PROGRESS,
     outcome: "unknown",
-    detail: "a request with this key was sent and its outcome is not known yet",
-    remedy: "ask again with the same key after the time given",
+    detail:
+      "a request with this key has been sent, and its outcome is not known yet",
+    remedy: "repeat the request with the same key after the time given",
     retryAfterS: 1,
   });
 
@@ -183,6 +184,6 @@
     reason: REASON.OUTCOME_NOT_KEPT,
     outcome: "unknown",
     detail:
-      "the request with this key was run; its answer was too large to keep",
+      "the request with this key was run; its response was too large to record",
     remedy: "read the result from the service itself",
   });
--- a/packages/entry/src/WatchRelay.ts
+++ b/packages/entry/src/WatchRelay.ts
@@ -3,7 +3,7 @@
 import type { ServerResponse } from "node:http";
 import { sleep, type Clock } from "@rackspan/common";
 import type {
-  Answered,
+  AnsweredRequest,
   AttemptLoop,
   Cancellation,
   OutgoingRequest,
@@ -37,9 +37,9 @@
 const STATUS_OK = 200;
 const EVENT_STREAM = "text/event-stream";
 
-export const isEventStream = ({ answer }: Answered): boolean =>
-  answer.statusCode === STATUS_OK &&
-  (answer.headers["content-type"] ?? "").startsWith(EVENT_STREAM);
+export const isEventStream = ({ response }: AnsweredRequest): boolean =>
+  response.statusCode === STATUS_OK &&
+  (response.headers["content-type"] ?? "").startsWith(EVENT_STREAM);
 
 export class WatchRelay {
   private readonly position: WatchPosition = { lastEventId: undefined };
@@ -51,11 +51,11 @@
 
   /** @param onEnd called at the end of each connection to an endpoint */
   async follow(
-    first: Answered,
+    first: AnsweredRequest,
     onEnd: (end: EventsEnd) => void,
   ): Promise<void> {
     const { res } = this.request;
-    let current: Answered | undefined = first;
+    let current: AnsweredRequest | undefined = first;
     while (current) {
       const end = await this.relayFrom(current);
       onEnd(end);
@@ -69,24 +69,24 @@
     res.destroy();
   }
 
-  private async relayFrom(current: Answered): Promise<EventsEnd> {
+  private async relayFrom(current: AnsweredRequest): Promise<EventsEnd> {
     const { sides, isClosingWatches } = this.options;
     const shouldMove = (): boolean =>
       isClosingWatches() || sides.get(current.host)?.leaving !== false;
     const { res } = this.request;
     const end = await relayEvents(
-      current.answer,
+      current.response,
       res,
       this.position,
       shouldMove,
     );
     current.release(end !== "broken");
-    current.answer.destroy();
+    current.response.destroy();
     return end;
   }
 
   /** Connects to another endpoint, and continues after the last relayed event. */
-  private async resume(): Promise<Answered | undefined> {
+  private async resume(): Promise<AnsweredRequest | undefined> {
     const { clock, loop, watchResumeMs } = this.options;
     const { outgoing, cancellation } = this.request;
     const deadline = clock.monotonic() + watchResumeMs;
@@ -102,7 +102,7 @@
       if (result.kind === "answered") {
         if (isEventStream(result)) return result;
         result.release(false);
-        result.answer.destroy();
+        result.response.destroy();
       }
       await sleep(clock, RETRY_MS);
     }
--- a/packages/entry/src/jobs/JobEntryProcess.ts
+++ b/packages/entry/src/jobs/JobEntryProcess.ts
@@ -18,7 +18,7 @@
   type JobEntryParts,
 } from "./createJobEntryParts.js";
 
-/** Share of the grace period that is reserved for closing listeners and followers. */
+/** Part of the grace period that is reserved for closing listeners and followers. */
 const STOP_MARGIN_MS = 700;
 
 export interface JobEntryProcessOptions {
--- a/packages/entry/src/jobs/JobService.ts
+++ b/packages/entry/src/jobs/JobService.ts
@@ -38,10 +38,11 @@
 import { STORE_RETRY, retryDeadline } from "./storeRetry.js";
 import type { StoreReachability } from "./StoreReachability.js";
 
+/** Times of the JobService, milliseconds. */
 export const JOB_SERVICE = {
   /** Retry delay that a refused caller is given. */
   retryAfterMs: 1_000,
-  /** A view older than this does not prove that a job does not exist. */
+  /** A job that is missing in a view older than this may exist nevertheless. */
   maxViewAgeMs: 2_600,
   /** Longest wait for a fresh view; a healthy store answers within some milliseconds. */
   viewRefreshTimeoutMs: 400,
--- a/packages/entry/src/openTunnel.ts
+++ b/packages/entry/src/openTunnel.ts
@@ -43,23 +43,23 @@
     body: undefined,
     deadline: clock.monotonic() + timeoutMs,
     onUpgrade: (
-      answer: IncomingMessage,
+      response: IncomingMessage,
       upstream: Duplex,
       upstreamHead: Buffer,
     ) => {
       metrics.count("tunnels_opened");
-      joinSockets({ answer, socket, head, upstream, upstreamHead });
+      joinSockets({ answer: response, socket, head, upstream, upstreamHead });
     },
   };
   try {
     const result = await loop.run(outgoing, cancellation);
     if (result.kind === "refused") return result.problem;
-    if (result.answer.statusCode === STATUS_SWITCHING_PROTOCOLS) {
+    if (result.response.statusCode === STATUS_SWITCHING_PROTOCOLS) {
       socket.on("close", () => result.release(true));
       return undefined;
     }
     result.release(true);
-    result.answer.destroy();
+    result.response.destroy();
     return { ...notSwitched, requestId: id };
   } finally {
     timer.cancel();
