--- a/packages/cli/src/Output.ts
+++ b/packages/cli/src/Output.ts
@@ -1,4 +1,4 @@
-/** Where commands write; tests pass their own implementation. */
+/** Output streams of commands; tests pass their own implementation. */
 export interface Output {
   /** Writes a line of results to standard output. */
   line(text: string): void;
--- a/packages/cli/src/exitCodes.ts
+++ b/packages/cli/src/exitCodes.ts
@@ -4,7 +4,7 @@
   FAILED: 1,
   /** Invalid arguments, settings or declarations. */
   BAD_INPUT: 2,
-  /** A conflict, or the request was refused. */
+  /** The request conflicted with another change, or was refused. */
   REFUSED: 3,
   /** No entry could be reached. */
   UNREACHABLE: 4,
--- a/packages/entry/src/AttemptLoop.ts
+++ b/packages/entry/src/AttemptLoop.ts
@@ -99,6 +99,7 @@
     this.attempt?.cancel();
   }
 
+  /** Sets the attempt that `cancel` ends. */
   track(attempt: SentAttempt | undefined): void {
     this.attempt = attempt;
   }
--- a/packages/entry/src/jobs/JobService.ts
+++ b/packages/entry/src/jobs/JobService.ts
@@ -64,6 +64,7 @@
   | { readonly kind: "unknown"; readonly reason: string }
   | { readonly kind: "no-such-job" };
 
+/** Result of a state query. */
 export type JobStateOutcome =
   | { readonly kind: "known"; readonly state: JobStateName }
   | { readonly kind: "no-such-job" }
--- a/packages/entry/src/jobs/Leadership.ts
+++ b/packages/entry/src/jobs/Leadership.ts
@@ -61,11 +61,13 @@
   readonly policy: SchedulingPolicy;
   /** Undefined if the platform has no permit service. */
   readonly permits: PermitService | undefined;
+  /** Whether the leadership lease is unexpired, so that this entry may decide. */
   readonly mayDecide: () => boolean;
   /** Called when the current term has failed, for example because its writes are fenced. */
   readonly onTermFailed: (reason: string) => void;
 }
 
+/** The epoch and the engine of a term in which this entry leads. */
 export interface ActiveTerm {
   readonly epoch: Epoch;
   readonly engine: JobEngine;
@@ -155,7 +157,10 @@
     await this.restoreLearned(this.engine);
   }
 
-  /** The first starts do not wait for this: missing estimates only cost some utility. */
+  /**
+   * Restores what previous leaders learned. The first starts do not wait for this, because
+   * missing estimates only cost some utility.
+   */
   private async restoreLearned(engine: JobEngine): Promise<void> {
     const { store, logger } = this.options;
     try {
--- a/packages/entry/src/jobs/SideServer.ts
+++ b/packages/entry/src/jobs/SideServer.ts
@@ -228,6 +228,8 @@
   }
 
   /**
+   * The host's attachment, which calls other than `attach` require.
+   *
    * @throws NotLeadingError if the entry no longer leads, leads under another epoch, or
    *   if the connection was closed while the call was in flight
    */
--- a/packages/entry/src/jobs/createJobEntryParts.ts
+++ b/packages/entry/src/jobs/createJobEntryParts.ts
@@ -40,6 +40,7 @@
 /** Each incarnation of an entry writes under its own producer name, so its epoch starts at 1. */
 const FIRST_EPOCH = 1;
 
+/** Settings and services that all parts share. */
 export interface JobEntryContext {
   readonly settings: JobEntrySettings;
   readonly clock: Clock;
--- a/packages/entry/src/jobs/settings.ts
+++ b/packages/entry/src/jobs/settings.ts
@@ -77,7 +77,7 @@
     /** Time limit for a worker to stop a task. */
     stopMs: millisecondsSchema.default(500),
   }),
-  /** Processor time that this process may use; a whole processor by default. */
+  /** Processor time that this process may use; defaults to one full processor. */
   processor: z
     .strictObject({
       /** Share of one processor's time. */
--- a/packages/entry/tests/storeOutage.test.ts
+++ b/packages/entry/tests/storeOutage.test.ts
@@ -17,7 +17,7 @@
   readonly outcome: JobRequestOutcome;
   readonly refusals: number;
   /** Longest time that one entry retried for the caller before it refused. */
-  readonly heldMs: number;
+  readonly retriedMs: number;
 }
 
 const createSite = () => {
@@ -35,7 +35,7 @@
     const id = n.toString(16).padStart(16, "0");
     const { spec } = plainJob({ id, acceptedAt: clock.now() });
     const deadline: Monotonic = clock.monotonic() + CALLER.timeMs;
-    let heldMs = 0;
+    let retriedMs = 0;
     for (let attempts = 0; ; attempts += 1) {
       const { jobService } = entries[
         (n + attempts) % ENTRIES
@@ -43,11 +43,11 @@
       const submittedAt = clock.monotonic();
       const outcome = await jobService.submit(QUEUE, spec, deadline);
       if (outcome.kind !== "refused")
-        return { outcome, refusals: attempts, heldMs };
-      heldMs = Math.max(heldMs, clock.monotonic() - submittedAt);
+        return { outcome, refusals: attempts, retriedMs };
+      retriedMs = Math.max(retriedMs, clock.monotonic() - submittedAt);
       const retryAt = clock.monotonic() + outcome.retryAfterMs;
       if (attempts === CALLER.retries || retryAt >= deadline)
-        return { outcome, refusals: attempts + 1, heldMs };
+        return { outcome, refusals: attempts + 1, retriedMs };
       await sleep(clock, outcome.retryAfterMs);
     }
   };
@@ -87,7 +87,7 @@
 
 test("a caller whose job cannot be persisted is sent to another entry within a third of its time", async () => {
   const results = await simulateOutage(OUTAGE_MS);
-  const longestMs = Math.max(...results.map(({ heldMs }) => heldMs));
+  const longestMs = Math.max(...results.map(({ retriedMs }) => retriedMs));
   expect(longestMs <= CALLER.timeMs / 3).toEqual(true);
   expect(
     results.every(({ refusals }) => refusals <= 1 + CALLER.retries),
