--- a/packages/cli/src/addSettingsOptions.ts
+++ b/packages/cli/src/addSettingsOptions.ts
@@ -1,4 +1,4 @@
-/** The options by which both binaries find their settings. */
+/** The command-line options for settings, shared by both binaries. */
 
 import type { Command } from "commander";
 
@@ -8,7 +8,7 @@
   readonly set: readonly string[];
 }
 
-const collect = (
+const appendValue = (
   value: string,
   before: readonly string[],
 ): readonly string[] => [...before, value];
@@ -18,8 +18,8 @@
     .requiredOption("--config <file>", "settings, JSON with comments")
     .option(
       "--set <path=value>",
-      "override a setting; goes before the environment, which goes before the file",
-      collect,
+      "override a setting; takes precedence over the environment, which takes precedence over the file",
+      appendValue,
       [] as readonly string[],
     );
 };
--- a/packages/cli/src/commands/hosts.ts
+++ b/packages/cli/src/commands/hosts.ts
@@ -1,8 +1,8 @@
-/** `rackspan drain` and `rackspan fence`. */
+/** `rackspan drain` and `rackspan fence`: commands for hosts. */
 
 import { hostId } from "@rackspan/common";
 import { EXIT_CODE } from "../exitCodes.js";
-import { reportVerdict } from "../reportVerdict.js";
+import { reportResult } from "../reportResult.js";
 import { registerCommand } from "./registry.js";
 
 interface FenceOptions {
@@ -13,38 +13,38 @@
   name: "drain",
   summary: "take a host out of service; its work moves to other hosts",
   define: (command) => {
-    command.argument("<host>", "a host's name, as rackspan status shows it");
+    command.argument("<host>", "host name as shown by rackspan status");
   },
   perform: async ({ client, output }, [host]) => {
-    const verdict = await client.call("drain", {
+    const result = await client.call("drain", {
       host: hostId(host as string),
     });
-    return reportVerdict(output, `${host}: draining`, verdict);
+    return reportResult(output, `${host}: draining`, result);
   },
 });
 
 registerCommand<FenceOptions>({
   name: "fence",
   summary:
-    "certify that nothing runs on a host any more, so that its work can go on elsewhere",
+    "certify that nothing runs on a host any more, so that its work can run elsewhere",
   define: (command) => {
     command
-      .argument("<host>", "a host's name")
+      .argument("<host>", "host name")
       .option(
         "--i-have-checked-that-it-is-down",
-        "the host is off or wiped; work would run twice if not",
+        "confirm that the host is off or wiped; otherwise its work would run twice",
       );
   },
   perform: async ({ client, output }, [host], options) => {
     if (!options.iHaveCheckedThatItIsDown) {
       output.error(
-        "fencing a host that still runs lets its work run twice; make sure that it is down, then give --i-have-checked-that-it-is-down",
+        "fencing a host that is still running lets its work run twice; make sure that it is down, then pass --i-have-checked-that-it-is-down",
       );
       return EXIT_CODE.BAD_INPUT;
     }
-    const verdict = await client.call("fence", {
+    const result = await client.call("fence", {
       host: hostId(host as string),
     });
-    return reportVerdict(output, `${host}: fenced`, verdict);
+    return reportResult(output, `${host}: fenced`, result);
   },
 });
--- a/packages/cli/src/commands/units.ts
+++ b/packages/cli/src/commands/units.ts
@@ -1,9 +1,9 @@
-/** `rackspan submit` and `rackspan cancel`. */
+/** `rackspan submit`, `rackspan cancel` and `rackspan throttle`: commands for units. */
 
 import { unitId } from "@rackspan/common";
 import { EXIT_CODE, type ExitCode } from "../exitCodes.js";
 import { readDeclarations } from "../readDeclarations.js";
-import { reportVerdict } from "../reportVerdict.js";
+import { reportResult } from "../reportResult.js";
 import { registerCommand } from "./registry.js";
 
 registerCommand({
@@ -17,13 +17,13 @@
     for (const declaration of readDeclarations(paths)) {
       if (declaration.kind !== "job") {
         output.error(
-          `${declaration.kind}/${declaration.name} is no job; publish it with rackspan apply`,
+          `${declaration.kind}/${declaration.name} is not a job; publish it with rackspan apply`,
         );
         worst = EXIT_CODE.BAD_INPUT;
         continue;
       }
-      const verdict = await client.call("submit", { job: declaration });
-      const code = reportVerdict(output, `job/${declaration.name}`, verdict);
+      const result = await client.call("submit", { job: declaration });
+      const code = reportResult(output, `job/${declaration.name}`, result);
       if (code !== EXIT_CODE.OK) worst = code;
     }
     return worst;
@@ -32,18 +32,15 @@
 
 registerCommand({
   name: "cancel",
-  summary: "cancel units, as job/minutes-0412",
+  summary: "cancel units, for example job/minutes-0412",
   define: (command) => {
-    command.argument(
-      "<unit...>",
-      "ids of units, as rackspan get units shows them",
-    );
+    command.argument("<unit...>", "unit ids as shown by rackspan get units");
   },
   perform: async ({ client, output }, units) => {
     let worst: ExitCode = EXIT_CODE.OK;
     for (const unit of units) {
-      const verdict = await client.call("cancel", { unit: unitId(unit) });
-      const code = reportVerdict(output, unit, verdict);
+      const result = await client.call("cancel", { unit: unitId(unit) });
+      const code = reportResult(output, unit, result);
       if (code !== EXIT_CODE.OK) worst = code;
     }
     return worst;
@@ -59,16 +56,13 @@
   summary: "limit the running attempt of a unit to a share of its processors",
   define: (command) => {
     command
-      .argument("<unit>", "a unit's id, as rackspan get units shows it")
-      .requiredOption(
-        "--share <share>",
-        "from 0.01 to 1; 1 takes the limit away",
-      );
+      .argument("<unit>", "unit id as shown by rackspan get units")
+      .requiredOption("--share <share>", "from 0.01 to 1; 1 removes the limit");
   },
   perform: async ({ client, output }, [unit], { share }) => {
     const limit = Number(share);
     if (!(limit >= 0.01 && limit <= 1)) {
-      output.error(`--share ${share} is not from 0.01 to 1`);
+      output.error(`--share ${share} is not in the range 0.01 to 1`);
       return EXIT_CODE.BAD_INPUT;
     }
     const { host } = await client.call("throttle", {
--- a/packages/entry/src/AttemptLoop.ts
+++ b/packages/entry/src/AttemptLoop.ts
@@ -1,6 +1,7 @@
 /**
- * Finds an endpoint that answers: picks, sends, and tries again where that is
- * allowed. A request that may run once only moves on after a confirmed not-run.
+ * Sends a request to endpoints until one responds: picks an endpoint, sends an attempt,
+ * and retries if allowed. A request that may run only once is retried only after it is
+ * confirmed that the last attempt did not run.
  */
 
 import type { IncomingMessage } from "node:http";
@@ -36,19 +37,19 @@
 import { agentFor, sideHeaders } from "./sideRequest.js";
 import type { SidePeer } from "./SidePeer.js";
 
-/** An attempt that is under way. */
+/** An attempt in flight. */
 export interface SentAttempt {
   readonly response: Promise<IncomingMessage>;
   cancel(): void;
 }
 
-/** What the loop needs of a side. */
+/** The part of a side that the loop uses. */
 export type AttemptPeer = Pick<
   SidePeer,
   "record" | "endpoint" | "fenceRequest"
 >;
 
-/** The sides that may be sent requests. */
+/** The sides that requests can be sent to. */
 export interface AttemptSides {
   serving(service: ServiceName): readonly AttemptPeer[];
   get(host: HostId): AttemptPeer | undefined;
@@ -56,7 +57,7 @@
 
 export interface AttemptLoopOptions {
   readonly sides: AttemptSides;
-  /** Sends one attempt; over HTTP if absent. */
+  /** Sends one attempt; defaults to HTTP. */
   readonly sendAttempt?: (options: AttemptOptions) => SentAttempt;
   readonly picker: EndpointPicker;
   readonly ejector: OutlierEjector;
@@ -68,12 +69,12 @@
 }
 
 export type UpgradeListener = (
-  answer: IncomingMessage,
+  response: IncomingMessage,
   socket: Duplex,
   head: Buffer,
 ) => void;
 
-/** A request on its way to some endpoint. */
+/** A request that is to be sent to some endpoint. */
 export interface OutgoingRequest {
   readonly id: RequestId;
   readonly service: ServiceName;
@@ -82,13 +83,13 @@
   readonly method: string;
   readonly path: string;
   readonly rawHeaders: readonly string[];
-  /** A stream can be sent once, a buffer any number of times. */
+  /** A stream can be sent only once, a buffer any number of times. */
   readonly body: Buffer | BodyStream | undefined;
   readonly deadline: Monotonic;
   readonly onUpgrade?: UpgradeListener;
 }
 
-/** Lets the caller's side end the attempt that is in progress. */
+/** Cancels the attempt in flight when the caller disconnects or the deadline passes. */
 export class Cancellation {
   reason: "caller-gone" | "deadline" | undefined;
   private attempt: SentAttempt | undefined;
@@ -98,35 +99,36 @@
     this.attempt?.cancel();
   }
 
+  /** Sets the attempt that `cancel` ends. */
   track(attempt: SentAttempt | undefined): void {
     this.attempt = attempt;
   }
 }
 
-/** An endpoint's own answer; `release` must be called when it is over. */
-export interface Answered {
+/** A response of an endpoint; `release` must be called when it has ended. */
+export interface AnsweredRequest {
   readonly kind: "answered";
-  readonly answer: IncomingMessage;
+  readonly response: IncomingMessage;
   readonly host: HostId;
   release(ok: boolean): void;
 }
 
-export interface Refused {
+export interface RefusedRequest {
   readonly kind: "refused";
   readonly problem: Problem;
 }
 
-export type LoopResult = Answered | Refused;
+export type LoopResult = AnsweredRequest | RefusedRequest;
 
-/** One attempt that brought no endpoint's answer. */
-interface Failure {
+/** An attempt without a response of an endpoint. */
+interface AttemptFailure {
   readonly outcome: Outcome;
   readonly reason: Reason;
   readonly status: number;
 }
 
-/** When an attempt was sent, and to which run of the side. */
-interface Sending {
+/** When an attempt was sent, and to which incarnation of the side. */
+interface AttemptTarget {
   readonly startedAt: Monotonic;
   readonly incarnation: Incarnation;
 }
@@ -146,7 +148,7 @@
   ): Promise<LoopResult> {
     const { maxAttempts, budget, metrics } = this.options;
     const tried = new Set<HostId>();
-    let last: Failure | undefined;
+    let lastFailure: AttemptFailure | undefined;
     let mayHaveRun = false;
     budget.deposit();
     for (let attempt = 1; attempt <= maxAttempts; attempt += 1) {
@@ -155,25 +157,26 @@
       tried.add(peer.record.host);
       const result = await this.tryOnce(request, attempt, peer, cancellation);
       if (result.kind === "answered") return result;
-      last = result.failure;
-      mayHaveRun ||= last.outcome === "unknown";
+      lastFailure = result.failure;
+      mayHaveRun ||= lastFailure.outcome === "unknown";
       this.options.logger.debug("attempt.failed", {
         request: request.id,
         attempt,
         host: peer.record.host,
-        reason: last.reason,
-        outcome: last.outcome,
+        reason: lastFailure.reason,
+        outcome: lastFailure.outcome,
       });
       metrics.count("attempt_failed", {
-        reason: last.reason,
-        outcome: last.outcome,
+        reason: lastFailure.reason,
+        outcome: lastFailure.outcome,
       });
-      if (cancellation.reason || !this.mayRetry(request, last, attempt)) break;
-      metrics.count("retries", { reason: last.reason });
+      if (cancellation.reason || !this.mayRetry(request, lastFailure, attempt))
+        break;
+      metrics.count("retries", { reason: lastFailure.reason });
     }
     return {
       kind: "refused",
-      problem: finalProblem(request, last, mayHaveRun, cancellation),
+      problem: finalProblem(request, lastFailure, mayHaveRun, cancellation),
     };
   }
 
@@ -193,14 +196,14 @@
 
   private mayRetry(
     request: OutgoingRequest,
-    failure: Failure,
+    failure: AttemptFailure,
     attempt: number,
   ): boolean {
     const { clock, budget, metrics, maxAttempts } = this.options;
     if (attempt >= maxAttempts) return false;
-    const replayable =
+    const isReplayable =
       request.body === undefined || Buffer.isBuffer(request.body);
-    if (!replayable || clock.monotonic() >= request.deadline) return false;
+    if (!isReplayable || clock.monotonic() >= request.deadline) return false;
     if (failure.outcome === "unknown" && !request.repeatable) return false;
     if (budget.tryWithdraw()) return true;
     metrics.count("retries_denied", { reason: failure.reason });
@@ -213,7 +216,8 @@
     peer: AttemptPeer,
     cancellation: Cancellation,
   ): Promise<
-    Answered | { readonly kind: "failed"; readonly failure: Failure }
+    | AnsweredRequest
+    | { readonly kind: "failed"; readonly failure: AttemptFailure }
   > {
     const { clock } = this.options;
     const endpoint = peer.endpoint as EndpointState;
@@ -222,18 +226,18 @@
     cancellation.track(sent);
     endpoint.inFlight += 1;
     try {
-      const answer = await sent.response;
-      noteLoad(endpoint, answer, clock.monotonic());
-      if (answer.headers[HEADER.OUTCOME] === undefined) {
-        return this.answered(answer, endpoint, startedAt);
+      const response = await sent.response;
+      recordLoad(endpoint, response, clock.monotonic());
+      if (response.headers[HEADER.OUTCOME] === undefined) {
+        return this.toAnswered(response, endpoint, startedAt);
       }
       endpoint.inFlight -= 1;
-      return { kind: "failed", failure: readRefusal(answer) };
+      return { kind: "failed", failure: refusalOf(response) };
     } catch (err) {
       endpoint.inFlight -= 1;
-      const failure = readFailure(err, cancellation);
+      const failure = failureOf(err, cancellation);
       if (!cancellation.reason) this.report(endpoint, false, startedAt);
-      const settled = await this.settle(
+      const settled = await this.confirmNotRun(
         request,
         attempt,
         peer,
@@ -266,7 +270,7 @@
         rawHeaders: request.rawHeaders,
         body,
         upgrade: onUpgrade !== undefined,
-        own: {
+        values: {
           id,
           service,
           class: request.class,
@@ -279,11 +283,11 @@
     });
   }
 
-  private answered(
-    answer: IncomingMessage,
+  private toAnswered(
+    response: IncomingMessage,
     endpoint: EndpointState,
     startedAt: Monotonic,
-  ): Answered {
+  ): AnsweredRequest {
     let released = false;
     const release = (ok: boolean): void => {
       if (released) return;
@@ -291,7 +295,7 @@
       endpoint.inFlight -= 1;
       this.report(endpoint, ok, startedAt);
     };
-    return { kind: "answered", answer, host: endpoint.host, release };
+    return { kind: "answered", response, host: endpoint.host, release };
   }
 
   private report(
@@ -306,17 +310,18 @@
   }
 
   /**
-   * Asks the side whether a request that may run once only has started there.
-   * Names the run of the side that it was sent to: a later one knows nothing of it.
+   * Asks the side whether a request that may run only once has started there. The call
+   * names the incarnation that the attempt was sent to, because a later incarnation has
+   * no record of the attempt.
    */
-  private async settle(
+  private async confirmNotRun(
     request: OutgoingRequest,
     attempt: number,
     peer: AttemptPeer,
-    failure: Failure,
-    { startedAt, incarnation }: Sending,
+    failure: AttemptFailure,
+    { startedAt, incarnation }: AttemptTarget,
     cancellation: Cancellation,
-  ): Promise<Failure> {
+  ): Promise<AttemptFailure> {
     if (failure.outcome === "not-run" || request.repeatable) return failure;
     const { clock, metrics, logger } = this.options;
     const now = clock.monotonic();
@@ -333,25 +338,25 @@
   }
 }
 
-const noteLoad = (
+const recordLoad = (
   endpoint: EndpointState,
-  answer: IncomingMessage,
+  response: IncomingMessage,
   at: Monotonic,
 ): void => {
-  const busy = Number(answer.headers[HEADER.BUSY_SLOTS]);
+  const busy = Number(response.headers[HEADER.BUSY_SLOTS]);
   if (Number.isInteger(busy)) endpoint.recordBusySlots(busy, at);
 };
 
-// The side drops this header from endpoints' answers, so here it is the side's own.
-const readRefusal = (answer: IncomingMessage): Failure => {
-  answer.resume();
+// The side removes this header from responses of endpoints, so the side has set it itself.
+const refusalOf = (response: IncomingMessage): AttemptFailure => {
+  response.resume();
   const outcome =
-    answer.headers[HEADER.OUTCOME] === "not-run" ? "not-run" : "unknown";
-  const reason = (answer.headers[HEADER.REASON] ?? REASON.INTERNAL) as Reason;
-  return { outcome, reason, status: answer.statusCode ?? STATUS_BAD_GATEWAY };
+    response.headers[HEADER.OUTCOME] === "not-run" ? "not-run" : "unknown";
+  const reason = (response.headers[HEADER.REASON] ?? REASON.INTERNAL) as Reason;
+  return { outcome, reason, status: response.statusCode ?? STATUS_BAD_GATEWAY };
 };
 
-const readFailure = (err: unknown, { reason }: Cancellation): Failure => {
+const failureOf = (err: unknown, { reason }: Cancellation): AttemptFailure => {
   const mayHaveRun = !(err instanceof AttemptFailedError) || err.mayHaveRun;
   const outcome = mayHaveRun ? "unknown" : "not-run";
   if (reason === "deadline") {
@@ -364,7 +369,7 @@
 
 const finalProblem = (
   request: OutgoingRequest,
-  failure: Failure | undefined,
+  failure: AttemptFailure | undefined,
   mayHaveRun: boolean,
   cancellation: Cancellation,
 ): Problem => {
@@ -376,18 +381,18 @@
       reason: REASON.NO_ENDPOINT,
       outcome: "not-run",
       detail: `no endpoint of ${request.service} is in service`,
-      remedy: "retry after the time given; operators see rackspan status",
+      remedy: "retry after the time given; operators: see rackspan status",
     };
   }
-  const late = cancellation.reason === "deadline";
+  const isLate = cancellation.reason === "deadline";
   return {
     ...common,
-    status: late ? STATUS_TIMEOUT : failure.status,
-    reason: late ? REASON.DEADLINE : failure.reason,
+    status: isLate ? STATUS_TIMEOUT : failure.status,
+    reason: isLate ? REASON.DEADLINE : failure.reason,
     outcome: mayHaveRun ? "unknown" : "not-run",
     detail: `the last attempt ended with ${failure.reason}`,
     remedy: mayHaveRun
-      ? "find out whether it ran, or repeat it if that does no harm"
-      : "it was not run: retry after the time given",
+      ? "find out whether the request ran, or repeat it if that is safe"
+      : "the request was not run; retry after the time given",
   };
 };
--- a/packages/entry/src/CallerRequestHandler.ts
+++ b/packages/entry/src/CallerRequestHandler.ts
@@ -1,4 +1,4 @@
-/** One caller's request from its arrival to the end of its answer. */
+/** Handles one request of a caller, from its arrival to the end of the response. */
 
 import type { IncomingMessage, ServerResponse } from "node:http";
 import {
@@ -24,7 +24,7 @@
 import type { RequestClass } from "@rackspan/state";
 import {
   Cancellation,
-  type Answered,
+  type AnsweredRequest,
   type AttemptLoop,
   type OutgoingRequest,
 } from "./AttemptLoop.js";
@@ -62,10 +62,10 @@
   private readonly cancellation = new Cancellation();
   private readonly arrivedAt: Monotonic;
   private readonly deadline: Monotonic;
-  private keyed: KeyedRequest | undefined;
-  private readingBody = false;
-  private callerGone = false;
-  private refusalSent = false;
+  private claimedRequest: KeyedRequest | undefined;
+  private isReadingBody = false;
+  private isCallerGone = false;
+  private hasRefused = false;
 
   constructor(
     private readonly options: CallerRequestHandlerOptions,
@@ -79,25 +79,25 @@
 
   async run(): Promise<void> {
     const { clock, queues } = this.options;
-    const policy = this.refusedByPolicy();
-    if (policy !== undefined) return this.refuse(notAdmitted(policy));
+    const policy = this.findRefusingPolicy();
+    if (policy !== undefined) return this.refuse(policyRefusal(policy));
     const timer = clock.after(this.request.timeoutMs, () => this.onDeadline());
     this.res.on("close", () => this.onCallerGone());
     try {
-      const body = await this.readKeptBody();
+      const body = await this.readBufferedBody();
       if (body === "refused") return;
       const queue = queues[this.request.match.route.class];
-      const entered = await queue.run(this.timeLeft(), () =>
+      const queueResult = await queue.run(this.remainingMs(), () =>
         this.serve(body, () => timer.cancel()),
       );
-      if (entered !== "entered") this.refuse(notEntered(entered));
+      if (queueResult !== "entered") this.refuse(queueRefusal(queueResult));
     } finally {
       timer.cancel();
     }
   }
 
-  /** The admission policy that does not let this request in. */
-  private refusedByPolicy(): string | undefined {
+  /** The admission policy that refuses this request, if any. */
+  private findRefusingPolicy(): string | undefined {
     const { policies, queues } = this.options;
     if (!policies.has("admission")) return undefined;
     const { match, timeoutMs } = this.request;
@@ -113,41 +113,41 @@
     });
   }
 
-  private timeLeft(): number {
+  private remainingMs(): number {
     return Math.max(0, this.deadline - this.options.clock.monotonic());
   }
 
   private onDeadline(): void {
     this.cancellation.cancel("deadline");
-    if (!this.readingBody) return;
-    // A body that never comes to its end would hold the request for ever.
+    if (!this.isReadingBody) return;
+    // A body that never ends would keep the request open forever.
     this.res.on("finish", () => this.req.destroy());
     this.refuse(bodyIncomplete);
   }
 
-  /** A claimed request goes on without its caller, who can ask again by its key. */
+  /** A request with a claimed key continues, because the caller can repeat it by its key. */
   private onCallerGone(): void {
-    this.callerGone = true;
-    if (!this.keyed) this.cancellation.cancel("caller-gone");
+    this.isCallerGone = true;
+    if (!this.claimedRequest) this.cancellation.cancel("caller-gone");
   }
 
-  private get mustKeepBody(): boolean {
+  private get mustBufferBody(): boolean {
     const { key, match } = this.request;
     return key !== undefined && !match.route.repeatable;
   }
 
-  private bodyIsStreamed(): boolean {
+  private isBodyStreamed(): boolean {
     const { hasBody, contentLength } = this.request;
-    if (!hasBody || this.mustKeepBody) return false;
+    if (!hasBody || this.mustBufferBody) return false;
     return (
       contentLength === undefined || contentLength > this.options.keepBodyBytes
     );
   }
 
-  /** The whole body when it is kept; nothing when there is none or it is streamed. */
-  private async readKeptBody(): Promise<Buffer | undefined | "refused"> {
-    if (!this.request.hasBody || this.bodyIsStreamed()) return undefined;
-    this.readingBody = true;
+  /** Reads a body that must be buffered; undefined if there is no body or it is streamed. */
+  private async readBufferedBody(): Promise<Buffer | undefined | "refused"> {
+    if (!this.request.hasBody || this.isBodyStreamed()) return undefined;
+    this.isReadingBody = true;
     try {
       return await readBody(this.req, this.request.match.route.maxBodyBytes);
     } catch (err) {
@@ -156,27 +156,30 @@
       );
       return "refused";
     } finally {
-      this.readingBody = false;
+      this.isReadingBody = false;
     }
   }
 
   private async serve(
-    kept: Buffer | undefined,
-    endTimer: () => void,
+    buffered: Buffer | undefined,
+    cancelTimer: () => void,
   ): Promise<void> {
-    if (this.cancellation.reason) return this.refuse(notEntered("late"));
-    if (this.mustKeepBody && !(await this.claimKey(kept ?? Buffer.alloc(0))))
+    if (this.cancellation.reason) return this.refuse(queueRefusal("late"));
+    if (
+      this.mustBufferBody &&
+      !(await this.claimKey(buffered ?? Buffer.alloc(0)))
+    )
       return;
-    const limited = this.bodyIsStreamed()
+    const limited = this.isBodyStreamed()
       ? new LimitedBody(this.req, this.request.match.route.maxBodyBytes)
       : undefined;
-    const outgoing = this.outgoing(limited ?? kept);
+    const outgoing = this.outgoing(limited ?? buffered);
     const result = await this.options.loop.run(outgoing, this.cancellation);
     if (result.kind === "refused")
       return this.onRefused(result.problem, limited);
     if (this.isWatch) {
-      endTimer();
-      return this.watch(outgoing, result);
+      cancelTimer();
+      return this.relayWatch(outgoing, result);
     }
     await this.relay(result);
   }
@@ -209,48 +212,51 @@
       body,
     );
     const keyed = { id, service: match.service, key: key as string, digest };
-    const decision = await this.options.keys.begin(keyed, this.timeLeft());
+    const decision = await this.options.keys.begin(keyed, this.remainingMs());
     switch (decision.kind) {
       case "proceed":
-        this.keyed = keyed;
+        this.claimedRequest = keyed;
         return true;
       case "refused":
         this.refuse(decision.problem);
         return false;
       case "replay": {
-        const { status, contentType, body: answer } = decision.answer;
+        const { status, contentType, body: recordedBody } = decision.response;
         this.count("replayed");
         this.res.writeHead(status, {
           ...(contentType ? { "content-type": contentType } : {}),
           [HEADER.REQUEST_ID]: id,
           [HEADER.REPLAYED]: "true",
         });
-        this.res.end(answer);
+        this.res.end(recordedBody);
         return false;
       }
     }
   }
 
   private onRefused(problem: Problem, body: LimitedBody | undefined): void {
-    if (this.keyed && problem.outcome === "not-run")
-      this.options.keys.release(this.keyed);
+    if (this.claimedRequest && problem.outcome === "not-run")
+      this.options.keys.release(this.claimedRequest);
     this.refuse(
       body?.exceeded ? { ...bodyTooLarge, outcome: problem.outcome } : problem,
     );
   }
 
-  private async relay(result: Answered): Promise<void> {
-    const { answer } = result;
-    const recorder = this.keyed
-      ? new AnswerRecorder(answer, this.options.keepAnswerBytes)
+  private async relay(result: AnsweredRequest): Promise<void> {
+    const { response } = result;
+    const recorder = this.claimedRequest
+      ? new ResponseRecorder(response, this.options.keepAnswerBytes)
       : undefined;
-    this.writeHead(answer);
-    const readToEnd = this.keyed !== undefined;
-    const end = await relayResponse(answer, this.res, { readToEnd });
+    this.writeHead(response);
+    const readToEnd = this.claimedRequest !== undefined;
+    const end = await relayResponse(response, this.res, { readToEnd });
     result.release(end !== "broken");
-    // The endpoint's answer counts even when the caller has gone away meanwhile.
-    if (recorder && this.keyed && answer.complete) {
-      this.options.keys.recordAnswer(this.keyed, recorder.recorded());
+    // The endpoint's response is recorded even if the caller has disconnected meanwhile.
+    if (recorder && this.claimedRequest && response.complete) {
+      this.options.keys.recordResponse(
+        this.claimedRequest,
+        recorder.recorded(),
+      );
     }
     this.count(end === "whole" ? "answered" : end);
     const { clock, metrics } = this.options;
@@ -259,32 +265,36 @@
       .record(clock.monotonic() - this.arrivedAt);
   }
 
-  /** Follows the events of a watch through planned stops and breaks of endpoints. */
-  private async watch(
+  /** Relays the events of a watch, and reconnects when an endpoint stops or fails. */
+  private async relayWatch(
     outgoing: OutgoingRequest,
-    first: Answered,
+    first: AnsweredRequest,
   ): Promise<void> {
     if (!isEventStream(first)) return this.relay(first);
-    this.writeHead(first.answer);
+    this.writeHead(first.response);
     this.res.flushHeaders();
     const { res, cancellation } = this;
     const relay = new WatchRelay(this.options, { outgoing, res, cancellation });
     await relay.follow(first, (end) => this.count(`watch-${end}`));
   }
 
-  private writeHead(answer: IncomingMessage): void {
-    const headers = forwardHeaders(answer.rawHeaders, {
+  private writeHead(response: IncomingMessage): void {
+    const headers = forwardHeaders(response.rawHeaders, {
       drop: NOT_FORWARDED,
       add: [HEADER.REQUEST_ID, this.request.id],
     });
     if (this.res.headersSent || this.res.destroyed) return;
-    this.res.writeHead(answer.statusCode ?? 502, answer.statusMessage, headers);
+    this.res.writeHead(
+      response.statusCode ?? 502,
+      response.statusMessage,
+      headers,
+    );
   }
 
   private refuse(problem: Problem): void {
-    if (this.refusalSent) return;
-    this.refusalSent = true;
-    if (this.callerGone) {
+    if (this.hasRefused) return;
+    this.hasRefused = true;
+    if (this.isCallerGone) {
       this.count("caller-gone");
       return;
     }
@@ -309,16 +319,16 @@
   }
 }
 
-/** Collects an answer as it passes, up to a size. */
-class AnswerRecorder {
+/** Records a response while it is relayed, up to a size limit. */
+class ResponseRecorder {
   private chunks: Buffer[] | undefined = [];
   private bytes = 0;
 
   constructor(
-    private readonly answer: IncomingMessage,
+    private readonly response: IncomingMessage,
     limit: number,
   ) {
-    answer.on("data", (chunk: Buffer) => {
+    response.on("data", (chunk: Buffer) => {
       this.bytes += chunk.length;
       if (this.bytes > limit) this.chunks = undefined;
       this.chunks?.push(chunk);
@@ -326,7 +336,7 @@
   }
 
   recorded() {
-    const { statusCode = 502, headers } = this.answer;
+    const { statusCode = 502, headers } = this.response;
     const contentType = headers["content-type"];
     const body = this.chunks ? Buffer.concat(this.chunks) : undefined;
     return { status: statusCode, contentType, body };
@@ -337,7 +347,7 @@
   status: 413,
   reason: REASON.BODY_TOO_LARGE,
   outcome: "not-run",
-  detail: "the body is larger than the route takes",
+  detail: "the body exceeds the limit of the route",
   remedy: "send a smaller body",
 };
 
@@ -345,27 +355,27 @@
   status: 408,
   reason: REASON.SLOW_SENDER,
   outcome: "not-run",
-  detail: "the body did not arrive whole in time",
-  remedy: "send the whole body, or allow more time",
+  detail: "the body did not arrive completely in time",
+  remedy: "send the complete body, or allow more time",
 };
 
-const notAdmitted = (policy: string): Problem => ({
+const policyRefusal = (policy: string): Problem => ({
   status: 503,
   reason: REASON.POLICY,
   outcome: "not-run",
-  detail: `the policy ${policy} does not let this request in now`,
-  remedy: "retry after the time given; operators see rackspan get config",
+  detail: `the admission policy ${policy} refuses this request at present`,
+  remedy: "retry after the time given; operators: see rackspan get config",
   retryAfterS: 1,
 });
 
-const notEntered = (why: "full" | "late"): Problem => ({
+const queueRefusal = (why: "full" | "late"): Problem => ({
   status: why === "full" ? 503 : 504,
   reason: why === "full" ? REASON.QUEUE_FULL : REASON.DEADLINE,
   outcome: "not-run",
   detail:
     why === "full"
-      ? "too many requests of this class wait already"
-      : "the request's time ran out before it could be sent",
-  remedy: "it was not run: retry after the time given",
+      ? "too many requests of this class are queued"
+      : "the deadline of the request passed before it could be sent",
+  remedy: "the request was not run; retry after the time given",
   retryAfterS: 1,
 });
--- a/packages/entry/src/EntryProcess.ts
+++ b/packages/entry/src/EntryProcess.ts
@@ -1,4 +1,4 @@
-/** The entry process: wires its parts and their life cycle. */
+/** The entry process: creates its parts, and starts and stops them in order. */
 
 import {
   brand,
@@ -75,7 +75,7 @@
   private readonly hostList: HostListWatcher;
   private readonly requests: RequestServer;
   private readonly control: ControlServer;
-  private readonly sweeper: ReconcileLoop;
+  private readonly reconcileLoop: ReconcileLoop;
   private readonly snapshots: SnapshotWriter;
   private readonly lifecycle: Lifecycle;
   private readonly stopped = new AbortController();
@@ -106,8 +106,8 @@
     };
 
     this.policies = new PolicyEvaluator(shared);
-    fold.applied.on(({ record, result: verdict }) => {
-      if (record.type === "apply" && verdict.accepted) this.usePolicies();
+    fold.applied.on(({ record, result }) => {
+      if (record.type === "apply" && result.accepted) this.applyPolicies();
     });
     const writer = freshId<Incarnation>();
     const { appendsPerSecond } = logSettings;
@@ -162,7 +162,7 @@
       ownership,
       hosts: sides,
     };
-    this.sweeper = new ReconcileLoop({
+    this.reconcileLoop = new ReconcileLoop({
       ...shared,
       fold,
       sides,
@@ -174,11 +174,11 @@
           this.policies,
         ),
       }),
-      keeper: new ClaimReconciler(unitOptions),
+      claimReconciler: new ClaimReconciler(unitOptions),
       certifier: new HostCertifier(unitOptions),
       drainer: new HostDrainer(unitOptions),
       hostList: this.hostList,
-      everyMs: jobs.sweepMs,
+      intervalMs: jobs.sweepMs,
     });
     this.requests = this.createRequestServer(shared);
     this.control = this.createControlServer();
@@ -189,27 +189,27 @@
     return this.lifecycle.start();
   }
 
-  /** A planned stop: nothing in progress is cut. */
+  /** Planned stop: requests in progress are completed. */
   shutDown(): Promise<void> {
     return this.lifecycle.shutDown();
   }
 
-  /** Stops at once, as a kill would. */
+  /** Stops at once, like a kill. */
   kill(): Promise<void> {
     return this.lifecycle.kill();
   }
 
-  /** Where callers come in. */
+  /** URL for callers. */
   get url(): string {
     return this.requests.url;
   }
 
-  /** `IP:PORT` where operators and other entries come in. */
+  /** `IP:PORT` for operators and other entries. */
   get controlAddress(): string {
     return this.control.address;
   }
 
-  /** Why this entry is not ready; nothing when it is. */
+  /** Why this entry is not ready; undefined if it is. */
   notReadyReason(): string | undefined {
     const { fault, caughtUp } = this.follower;
     if (fault) return describeError(fault);
@@ -284,7 +284,7 @@
     });
   }
 
-  private usePolicies(): void {
+  private applyPolicies(): void {
     this.policies.replace(this.fold.config.ofKind("policy"));
   }
 
@@ -298,7 +298,7 @@
     metrics.gauge("open_watches", requests.openWatches);
   }
 
-  /** In the order of their start; drained in this order, stopped in the reverse. */
+  /** The parts in start order; they are drained in this order and stopped in reverse order. */
   private parts(): LifecyclePart[] {
     const { listen, control, drain } = this.settings;
     const { signal } = this.stopped;
@@ -311,13 +311,13 @@
             this.sides.update(records);
             this.sides.setEntries(this.hostList.liveEntryIds());
           });
-          this.follower.restoredFromSnapshot.on(() => this.usePolicies());
+          this.follower.restoredFromSnapshot.on(() => this.applyPolicies());
           tasks = Promise.all([
             this.follower.run(signal),
             this.appender.run(signal),
             this.hostList.run(signal),
             this.snapshots.run(signal),
-            this.sweeper.run(signal),
+            this.reconcileLoop.run(signal),
           ]).catch((err: unknown) =>
             this.logger.error("task.failed", { error: describeError(err) }),
           );
@@ -337,7 +337,7 @@
         name: "requests",
         start: () => this.requests.listen(listen),
         drain: async () => {
-          // The balancer has to see first that this entry is not ready any more.
+          // The load balancer must first detect that this entry is no longer ready.
           await sleep(this.clock, drain.noticeMs);
           await this.requests.drain(drain.limitMs);
         },
--- a/packages/entry/src/KeyedRequests.ts
+++ b/packages/entry/src/KeyedRequests.ts
@@ -1,6 +1,7 @@
 /**
- * Requests that may run once only, by their keys: claimed on the log before
- * anything is sent; a repeat at any entry gets the recorded outcome.
+ * Requests that may run only once, identified by idempotency keys. A key is claimed on
+ * the log before the request is sent, and a repeat at any entry gets the recorded
+ * outcome.
  */
 
 import { createHash } from "node:crypto";
@@ -38,12 +39,12 @@
 
 export type KeyDecision =
   | { readonly kind: "proceed" }
-  | { readonly kind: "replay"; readonly answer: RecordedResponse }
+  | { readonly kind: "replay"; readonly response: RecordedResponse }
   | { readonly kind: "refused"; readonly problem: Problem };
 
-const RECORD_TRIES = 5;
+const MAX_APPEND_ATTEMPTS = 5;
 
-/** Names the request for which a key stands. */
+/** Hash of the request that a key was used for. */
 export const digestRequest = (
   method: string,
   path: string,
@@ -55,18 +56,18 @@
     .digest("base64");
 
 export class KeyedRequests {
-  /** Claims that were given up on and may still come to stand on the log. */
+  /** Claims whose append timed out and that may still reach the log. */
   private readonly abandoned = new Map<RequestId, KeyedRequest>();
 
   constructor(private readonly options: KeyedRequestsOptions) {
     options.fold.applied.on((applied) => this.onApplied(applied));
   }
 
-  /** Decides whether the request may be sent by this entry. */
+  /** Claims the key, and decides whether this entry may send the request. */
   async begin(request: KeyedRequest, timeoutMs: number): Promise<KeyDecision> {
     const { fold, appender, metrics } = this.options;
     const holder = fold.requests.get(request);
-    if (holder) return this.decideByHolder(request, holder);
+    if (holder) return this.decideByEntry(request, holder);
     const { id, service, key, digest } = request;
     try {
       const claim = {
@@ -76,11 +77,11 @@
         digest,
         request: id,
       } as const;
-      const verdict = await appender.submit(claim, timeoutMs);
+      const result = await appender.submit(claim, timeoutMs);
       metrics.count("key_claims", {
-        result: verdict.accepted ? "won" : verdict.reason,
+        result: result.accepted ? "won" : result.reason,
       });
-      if (verdict.accepted) return { kind: "proceed" };
+      if (result.accepted) return { kind: "proceed" };
     } catch (err) {
       metrics.count("key_claims", { result: "no-answer" });
       if (err instanceof AppendUnknownError) this.abandoned.set(id, request);
@@ -94,27 +95,32 @@
       });
     }
     const winner = fold.requests.get(request);
-    return winner ? this.decideByHolder(request, winner) : inProgress(request);
+    return winner ? this.decideByEntry(request, winner) : inProgress(request);
   }
 
-  /** Keeps the whole answer for repeats; without a body when it was too large. */
-  recordAnswer(request: KeyedRequest, answer: RecordedResponse): void {
+  /** Records the response for repeats, without its body if that was too large. */
+  recordResponse(request: KeyedRequest, response: RecordedResponse): void {
     const { id, service, key } = request;
-    const { status, contentType, body } = answer;
+    const { status, contentType, body } = response;
     const outcome = { service, key, request: id, status, contentType, body };
-    void this.keepTrying({ type: "requestOutcome", ...outcome });
+    void this.appendWithRetries({ type: "requestOutcome", ...outcome });
   }
 
-  /** The request was confirmed as never run: its key may be used again. */
+  /** Releases the key of a request that is confirmed not to have run. */
   release({ id, service, key }: KeyedRequest): void {
-    void this.keepTrying({ type: "requestRelease", service, key, request: id });
+    void this.appendWithRetries({
+      type: "requestRelease",
+      service,
+      key,
+      request: id,
+    });
   }
 
-  private async keepTrying(
+  private async appendWithRetries(
     record: Parameters<Appender["submit"]>[0],
   ): Promise<void> {
     const { appender, appendTimeoutMs, logger, metrics } = this.options;
-    for (let tries = 0; tries < RECORD_TRIES; tries += 1) {
+    for (let tries = 0; tries < MAX_APPEND_ATTEMPTS; tries += 1) {
       try {
         await appender.submit(record, appendTimeoutMs);
         return;
@@ -128,7 +134,7 @@
     metrics.count("key_records_lost", { type: record.type });
   }
 
-  private decideByHolder(
+  private decideByEntry(
     request: KeyedRequest,
     holder: RequestKeyEntry,
   ): KeyDecision {
@@ -143,16 +149,16 @@
       });
     }
     if (!holder.answer) return inProgress(request);
-    if (!holder.answer.body) return notKept(request);
-    return { kind: "replay", answer: holder.answer };
+    if (!holder.answer.body) return responseNotRecorded(request);
+    return { kind: "replay", response: holder.answer };
   }
 
-  private onApplied({ record, result: verdict }: AppliedRecord): void {
+  private onApplied({ record, result }: AppliedRecord): void {
     if (record.type !== "requestClaim") return;
     const request = this.abandoned.get(record.request);
     if (!request) return;
     this.abandoned.delete(record.request);
-    if (verdict.accepted) this.release(request);
+    if (result.accepted) this.release(request);
   }
 }
 
@@ -166,17 +172,18 @@
     status: 409,
     reason: REASON.KEY_IN_PROGRESS,
     outcome: "unknown",
-    detail: "a request with this key was sent and its outcome is not known yet",
-    remedy: "ask again with the same key after the time given",
+    detail:
+      "a request with this key has been sent, and its outcome is not known yet",
+    remedy: "repeat the request with the same key after the time given",
     retryAfterS: 1,
   });
 
-const notKept = (request: KeyedRequest): KeyDecision =>
+const responseNotRecorded = (request: KeyedRequest): KeyDecision =>
   refused(request, {
     status: 409,
     reason: REASON.OUTCOME_NOT_KEPT,
     outcome: "unknown",
     detail:
-      "the request with this key was run; its answer was too large to keep",
+      "the request with this key was run; its response was too large to record",
     remedy: "read the result from the service itself",
   });
--- a/packages/entry/src/RequestServer.ts
+++ b/packages/entry/src/RequestServer.ts
@@ -1,4 +1,4 @@
-/** The listener for callers: parses, admits and runs their requests. */
+/** The HTTP listener for callers: parses, admits and handles their requests. */
 
 import {
   createServer,
@@ -29,10 +29,10 @@
 
 export interface RequestServerOptions extends Omit<
   CallerRequestHandlerOptions,
-  "closingWatches"
+  "isClosingWatches"
 > {
   readonly fold: Fold;
-  /** Whether the configuration is known; before that no route is. */
+  /** Whether the configuration, and so the routes, have been read. */
   readonly isReady: () => boolean;
   readonly maxHeaderBytes: number;
   readonly headersTimeoutMs: number;
@@ -48,20 +48,20 @@
   private routes = new RouteTable([]);
   private routesVersion: Sequence | undefined;
   private inProgress = 0;
-  private refusing = false;
-  private closingWatches = false;
-  private readonly runOptions: CallerRequestHandlerOptions;
+  private isRefusing = false;
+  private isClosingWatches = false;
+  private readonly handlerOptions: CallerRequestHandlerOptions;
   private readonly watches = new Set<Duplex | ServerResponse>();
 
   constructor(private readonly options: RequestServerOptions) {
     const { maxHeaderBytes, headersTimeoutMs, maxConnections } = options;
-    const closingWatches = (): boolean => this.closingWatches;
-    this.runOptions = { ...options, closingWatches };
+    const isClosingWatches = (): boolean => this.isClosingWatches;
+    this.handlerOptions = { ...options, isClosingWatches };
     this.server = createServer(
       {
         maxHeaderSize: maxHeaderBytes,
         headersTimeout: headersTimeoutMs,
-        // Bodies are bounded by each request's own deadline.
+        // The time to receive a body is limited by the request's own deadline.
         requestTimeout: 0,
         connectionsCheckingInterval: Math.min(
           CONNECTION_CHECK_MS,
@@ -96,11 +96,11 @@
     return this.watches.size;
   }
 
-  /** Refuses what is new, lets what is in progress end, ends watches between events. */
+  /** Refuses new requests, completes those in progress, and ends watches between events. */
   async drain(limitMs: number): Promise<void> {
     const { clock } = this.options;
-    this.refusing = true;
-    this.closingWatches = true;
+    this.isRefusing = true;
+    this.isClosingWatches = true;
     this.server.close();
     this.server.closeIdleConnections();
     const end = clock.monotonic() + limitMs;
@@ -122,8 +122,8 @@
   ): Promise<void> {
     res.on("error", () => undefined);
     req.on("error", () => undefined);
-    if (this.refusing) res.setHeader("connection", "close");
-    const refusal = this.refusalForAll();
+    if (this.isRefusing) res.setHeader("connection", "close");
+    const refusal = this.refusalOfServer();
     if (refusal) return this.refuse(req, res, refusal);
     const parsed = parseCallerRequest(req, this.currentRoutes());
     if (!parsed.ok) return this.refuse(req, res, parsed.problem);
@@ -131,7 +131,7 @@
     if (parsed.request.match.route.class === "watch") this.addWatch(res);
     try {
       await new CallerRequestHandler(
-        this.runOptions,
+        this.handlerOptions,
         parsed.request,
         req,
         res,
@@ -153,8 +153,8 @@
     watch.on("close", () => this.watches.delete(watch));
   }
 
-  private refusalForAll(): Problem | undefined {
-    if (this.refusing) return leaving;
+  private refusalOfServer(): Problem | undefined {
+    if (this.isRefusing) return leaving;
     return this.options.isReady() ? undefined : notReady;
   }
 
@@ -181,7 +181,7 @@
 
   private upgrade(req: IncomingMessage, socket: Duplex, head: Buffer): void {
     socket.on("error", () => socket.destroy());
-    const refusal = this.refusalForAll();
+    const refusal = this.refusalOfServer();
     if (refusal) return endSocketWithProblem(socket, refusal);
     const parsed = parseCallerRequest(req, this.currentRoutes());
     if (!parsed.ok) return endSocketWithProblem(socket, parsed.problem);
@@ -209,16 +209,16 @@
       });
   }
 
-  /** Bytes that are no HTTP, or a head that is too large or too slow. */
+  /** Answers bytes that are not HTTP, or a request head that is too large or too slow. */
   private onClientError(err: NodeJS.ErrnoException, socket: Duplex): void {
     const problem = problemOf(err);
     this.options.metrics.count("refused", {
       reason: problem.reason,
       outcome: problem.outcome,
     });
-    // Once an answer has begun, a second one would corrupt it.
-    const begun = (socket as Socket).bytesWritten > 0;
-    if (err.code === "ECONNRESET" || !socket.writable || begun) {
+    // If a response has been started, a second one would corrupt it.
+    const hasStarted = (socket as Socket).bytesWritten > 0;
+    if (err.code === "ECONNRESET" || !socket.writable || hasStarted) {
       socket.destroy();
       return;
     }
@@ -232,7 +232,7 @@
       status: 431,
       reason: REASON.HEADERS_TOO_LARGE,
       outcome: "not-run",
-      detail: "the headers are larger than this entry takes",
+      detail: "the headers exceed the limit of this entry",
       remedy: "send fewer or shorter headers",
     };
   }
@@ -241,8 +241,8 @@
       status: 408,
       reason: REASON.SLOW_SENDER,
       outcome: "not-run",
-      detail: "the head of the request did not arrive in time",
-      remedy: "send the head at once",
+      detail: "the request headers did not arrive in time",
+      remedy: "send the request headers at once",
     };
   }
   return {
@@ -259,7 +259,8 @@
   reason: REASON.LEAVING,
   outcome: "not-run",
   detail: "this entry is stopping",
-  remedy: "send the request again: the balancer knows other entries",
+  remedy:
+    "send the request again; the load balancer routes it to another entry",
   retryAfterS: 0,
 };
 
@@ -267,7 +268,7 @@
   status: 503,
   reason: REASON.NOT_READY,
   outcome: "not-run",
-  detail: "this entry does not know the configuration yet",
+  detail: "this entry has not read the configuration yet",
   remedy: "retry after the time given",
   retryAfterS: 1,
 };
@@ -276,7 +277,7 @@
   status: 400,
   reason: REASON.UPGRADE_REFUSED,
   outcome: "not-run",
-  detail: "only routes of class watch take upgraded connections",
+  detail: "only routes of class watch accept upgraded connections",
   remedy: "use a watch route, or send a plain request",
 };
 
@@ -284,6 +285,6 @@
   status: 500,
   reason: REASON.INTERNAL,
   outcome: "unknown",
-  detail: "this entry failed while it served the request",
-  remedy: "report it with the entry's log",
+  detail: "internal error of this entry while it handled the request",
+  remedy: "report it together with the entry's log",
 };
--- a/packages/entry/src/SidePeer.ts
+++ b/packages/entry/src/SidePeer.ts
@@ -1,4 +1,4 @@
-/** One side process as this entry knows it: its status, kept fresh by one task. */
+/** The connection of this entry to one side process; a task keeps its status up to date. */
 
 import {
   AbortedError,
@@ -51,9 +51,9 @@
 const MAX_RETRY_MS = 2_000;
 const CONTROL_TIMEOUT_MS = 3_000;
 const START_TIMEOUT_MS = 10_000;
-/** A placement that did not show by then has come to nothing. */
-const PLACING_KEPT_MS = 15_000;
-/** Failed calls in a row after which requests go elsewhere. */
+/** A placement that does not appear in the status within this time counts as failed. */
+const PLACING_TIMEOUT_MS = 15_000;
+/** Consecutive failed calls after which requests are sent to other sides. */
 const FAILURES_TO_AVOID = 2;
 
 export class SidePeer implements HostControl {
@@ -65,24 +65,24 @@
   private tasks: readonly TaskStatus[] = [];
   private services: ReadonlySet<ServiceName> = new Set();
   private endpointState: EndpointState | undefined;
-  /** Reserved since the last status. */
+  /** Resources that were reserved since the last status. */
   private reserved: Resources = NO_RESOURCES;
-  /** Units that this entry is placing there and the status does not show yet. */
+  /** Units that this entry is placing on the host and that are not in the status yet. */
   private readonly placing = new Map<UnitId, Monotonic>();
   private failures = 0;
-  private readonly ended = new AbortController();
+  private readonly closed = new AbortController();
 
   constructor(private readonly options: SidePeerOptions) {
     this.record = options.record;
     this.rpc = new RpcClient(SIDE_METHODS, `http://${options.record.address}`);
   }
 
-  /** What is known for routing; nothing before the first status. */
+  /** Load and latency for routing; undefined before the first status. */
   get endpoint(): EndpointState | undefined {
     return this.endpointState;
   }
 
-  /** Whether new requests of the service may be sent there. */
+  /** Whether new requests of the service may be sent to the side. */
   serves(service: ServiceName): boolean {
     const usable = this.status?.ready === true && !this.status.leaving;
     return (
@@ -104,7 +104,7 @@
   /** Follows the side's status until `close`. */
   async run(): Promise<void> {
     const { clock, random, metrics } = this.options;
-    const { signal } = this.ended;
+    const { signal } = this.closed;
     let retryMs = RETRY_MS;
     while (!signal.aborted) {
       try {
@@ -125,13 +125,13 @@
   }
 
   close(): void {
-    this.ended.abort();
+    this.closed.abort();
     this.rpc.close();
   }
 
   async reserve(unit: Unit): Promise<HostReservation> {
     const { id, attempt, spec } = unit;
-    // Counted before the answer, so that placements at the same time see it.
+    // Counted before the response arrives, so that concurrent placements take it into account.
     this.reserved = addResources(this.reserved, spec.resources);
     this.placing.set(id, this.options.clock.monotonic());
     try {
@@ -189,7 +189,7 @@
     await this.rpc.call("drain", {}, { timeoutMs: START_TIMEOUT_MS });
   }
 
-  /** Whether the attempt started at that run of the side; if not, it never will. */
+  /** Whether the attempt started at that incarnation of the side; if not, it never will. */
   async fenceRequest(
     params: ParamsOf<SideMethods, "fenceRequest">,
     timeoutMs: number,
@@ -217,24 +217,24 @@
       },
       { timeoutMs: syncMs + SYNC_MARGIN_MS, signal },
     );
-    this.take(status);
+    this.applyStatus(status);
   }
 
-  private dropPlaced(tasks: readonly TaskStatus[]): void {
-    const oldest = this.options.clock.monotonic() - PLACING_KEPT_MS;
+  private removePlaced(tasks: readonly TaskStatus[]): void {
+    const oldest = this.options.clock.monotonic() - PLACING_TIMEOUT_MS;
     for (const { unit } of tasks) this.placing.delete(unit);
     for (const [unit, since] of this.placing) {
       if (since < oldest) this.placing.delete(unit);
     }
   }
 
-  private take(status: SideStatus): void {
+  private applyStatus(status: SideStatus): void {
     const { clock } = this.options;
-    const first = this.status?.incarnation !== status.incarnation;
+    const isNewIncarnation = this.status?.incarnation !== status.incarnation;
     const wasAvoided = this.failures >= FAILURES_TO_AVOID;
     this.status = status;
     this.reserved = NO_RESOURCES;
-    if (first || !this.endpointState) {
+    if (isNewIncarnation || !this.endpointState) {
       this.endpointState = new EndpointState(
         status,
         parseAddress(this.record.address),
@@ -246,7 +246,7 @@
       return;
     }
     this.tasks = status.tasks;
-    this.dropPlaced(status.tasks);
+    this.removePlaced(status.tasks);
     this.services = new Set(runningServices(status.tasks));
     this.changed.emit();
   }
--- a/packages/entry/src/WatchRelay.ts
+++ b/packages/entry/src/WatchRelay.ts
@@ -1,9 +1,9 @@
-/** A watch from its first event to its end, on whatever endpoints it lives meanwhile. */
+/** Relays a watch from its first event to its end, across changes of the endpoint. */
 
 import type { ServerResponse } from "node:http";
 import { sleep, type Clock } from "@rackspan/common";
 import type {
-  Answered,
+  AnsweredRequest,
   AttemptLoop,
   Cancellation,
   OutgoingRequest,
@@ -19,16 +19,16 @@
   readonly loop: AttemptLoop;
   readonly sides: SideDirectory;
   readonly clock: Clock;
-  /** How long a broken watch looks for another endpoint. */
+  /** How long to search for another endpoint after the connection of a watch broke. */
   readonly watchResumeMs: number;
-  /** True once this entry wants its watches to end. */
-  readonly closingWatches: () => boolean;
+  /** Whether this entry is closing its watches. */
+  readonly isClosingWatches: () => boolean;
 }
 
 /** One caller's watch. */
 export interface WatchedRequest {
   readonly outgoing: OutgoingRequest;
-  /** Its head has been written. */
+  /** The response to the caller; its headers have been sent. */
   readonly res: ServerResponse;
   readonly cancellation: Cancellation;
 }
@@ -37,9 +37,9 @@
 const STATUS_OK = 200;
 const EVENT_STREAM = "text/event-stream";
 
-export const isEventStream = ({ answer }: Answered): boolean =>
-  answer.statusCode === STATUS_OK &&
-  (answer.headers["content-type"] ?? "").startsWith(EVENT_STREAM);
+export const isEventStream = ({ response }: AnsweredRequest): boolean =>
+  response.statusCode === STATUS_OK &&
+  (response.headers["content-type"] ?? "").startsWith(EVENT_STREAM);
 
 export class WatchRelay {
   private readonly position: WatchPosition = { lastEventId: undefined };
@@ -49,17 +49,17 @@
     private readonly request: WatchedRequest,
   ) {}
 
-  /** @param onEnd told of the end of each connection to an endpoint */
+  /** @param onEnd called at the end of each connection to an endpoint */
   async follow(
-    first: Answered,
+    first: AnsweredRequest,
     onEnd: (end: EventsEnd) => void,
   ): Promise<void> {
     const { res } = this.request;
-    let current: Answered | undefined = first;
+    let current: AnsweredRequest | undefined = first;
     while (current) {
       const end = await this.relayFrom(current);
       onEnd(end);
-      if (end === "ended" || this.options.closingWatches()) {
+      if (end === "ended" || this.options.isClosingWatches()) {
         res.end();
         return;
       }
@@ -69,24 +69,24 @@
     res.destroy();
   }
 
-  private async relayFrom(current: Answered): Promise<EventsEnd> {
-    const { sides, closingWatches } = this.options;
+  private async relayFrom(current: AnsweredRequest): Promise<EventsEnd> {
+    const { sides, isClosingWatches } = this.options;
     const shouldMove = (): boolean =>
-      closingWatches() || sides.get(current.host)?.leaving !== false;
+      isClosingWatches() || sides.get(current.host)?.leaving !== false;
     const { res } = this.request;
     const end = await relayEvents(
-      current.answer,
+      current.response,
       res,
       this.position,
       shouldMove,
     );
     current.release(end !== "broken");
-    current.answer.destroy();
+    current.response.destroy();
     return end;
   }
 
-  /** Connects to another endpoint, from after the last event that was passed on. */
-  private async resume(): Promise<Answered | undefined> {
+  /** Connects to another endpoint, and continues after the last relayed event. */
+  private async resume(): Promise<AnsweredRequest | undefined> {
     const { clock, loop, watchResumeMs } = this.options;
     const { outgoing, cancellation } = this.request;
     const deadline = clock.monotonic() + watchResumeMs;
@@ -102,7 +102,7 @@
       if (result.kind === "answered") {
         if (isEventStream(result)) return result;
         result.release(false);
-        result.answer.destroy();
+        result.response.destroy();
       }
       await sleep(clock, RETRY_MS);
     }
--- a/packages/entry/src/jobs/JobEntryProcess.ts
+++ b/packages/entry/src/jobs/JobEntryProcess.ts
@@ -1,4 +1,4 @@
-/** The entry process for jobs: serves callers, and leads when it is its turn. */
+/** The entry process for jobs: serves callers, and schedules jobs while it is the leader. */
 
 import {
   createLogger,
@@ -18,7 +18,7 @@
   type JobEntryParts,
 } from "./createJobEntryParts.js";
 
-/** Of the time for a planned stop, this much is left for the end itself. */
+/** Part of the grace period that is reserved for closing listeners and followers. */
 const STOP_MARGIN_MS = 700;
 
 export interface JobEntryProcessOptions {
@@ -57,9 +57,9 @@
   }
 
   async start(): Promise<void> {
-    const { followers, callerFront: front, sideServer, election } = this.parts;
+    const { followers, callerFront, sideServer, election } = this.parts;
     for (const follower of followers) follower.start();
-    await front.start();
+    await callerFront.start();
     await sideServer.start();
     await this.metricsServer.start();
     election.start();
@@ -68,23 +68,17 @@
     this.logger.info("entry.started", { entry, incarnation, pid: process.pid });
   }
 
-  /** A planned stop: leadership is handed over, open requests are answered. */
+  /** Planned stop: gives up leadership and answers open requests. */
   async shutDown(): Promise<void> {
     const { entry, graceSeconds } = this.settings;
-    const {
-      store,
-      followers,
-      callerFront: front,
-      sideServer,
-      election,
-    } = this.parts;
+    const { store, followers, callerFront, sideServer, election } = this.parts;
     const graceMs = graceSeconds * MS_PER_SECOND;
     this.stopping = true;
     this.logger.info("entry.stopping", { entry });
     const handedOver = election.stop();
-    await front.drain(graceMs - STOP_MARGIN_MS);
+    await callerFront.drain(graceMs - STOP_MARGIN_MS);
     await handedOver;
-    await front.stop();
+    await callerFront.stop();
     await sideServer.stop();
     await Promise.all(followers.map((follower) => follower.stop()));
     await this.metricsServer.stop();
@@ -93,8 +87,8 @@
   }
 
   private isReady(): boolean {
-    const { jobService: desk, config } = this.parts;
-    const { isReady, isStoreReachable: reachesStore } = desk;
+    const { jobService, config } = this.parts;
+    const { isReady, isStoreReachable: reachesStore } = jobService;
     const ready = !this.stopping && isReady && reachesStore;
     if (ready !== this.wasReady) {
       this.wasReady = ready;
--- a/packages/entry/src/jobs/JobService.ts
+++ b/packages/entry/src/jobs/JobService.ts
@@ -1,7 +1,7 @@
 /**
- * What callers may ask of their jobs, apart from any wire format: hand one in,
- * ask how it stands, cancel it, count what waits. Every entry answers from its
- * own view of the store.
+ * The requests of callers, independent of the wire format: submit a job, query its
+ * state, cancel it, count the pending jobs of a queue. Every entry answers from its own
+ * view of the store.
  */
 
 import {
@@ -38,18 +38,22 @@
 import { STORE_RETRY, retryDeadline } from "./storeRetry.js";
 import type { StoreReachability } from "./StoreReachability.js";
 
+/** Times of the JobService, milliseconds. */
 export const JOB_SERVICE = {
-  /** A refused caller is asked to come back after this. */
+  /** Retry delay that a refused caller is given. */
   retryAfterMs: 1_000,
-  /** A view older than this does not prove that a job does not exist. */
+  /** A job that is missing in a view older than this may exist nevertheless. */
   maxViewAgeMs: 2_600,
-  /** Longest wait for a fresh view; the store answers in some milliseconds when it is well. */
+  /** Longest wait for a fresh view; a healthy store answers within some milliseconds. */
   viewRefreshTimeoutMs: 400,
-  /** An answer is sent this long before the caller stops waiting for it. */
+  /** The response is sent this long before the caller stops waiting for it. */
   responseMarginMs: 120,
 } as const;
 
-/** `unknown` callers may repeat at once; `refused` was not and never will be run. */
+/**
+ * Result of a submit or a cancel. After `unknown` the caller may repeat the request at
+ * once; a `refused` request was not carried out and never will be.
+ */
 export type JobRequestOutcome =
   | { readonly kind: "accepted" }
   | {
@@ -60,6 +64,7 @@
   | { readonly kind: "unknown"; readonly reason: string }
   | { readonly kind: "no-such-job" };
 
+/** Result of a state query. */
 export type JobStateOutcome =
   | { readonly kind: "known"; readonly state: JobStateName }
   | { readonly kind: "no-such-job" }
@@ -88,8 +93,8 @@
     retryAfterMs: JOB_SERVICE.retryAfterMs,
   }) as const;
 
-/** What of the queue must hold for the job even when the queue is dropped. */
-const termsOf = ({
+/** The queue's settings that apply to the job even after the queue has been removed. */
+const jobTermsOf = ({
   service,
   priority,
   maxAttempts,
@@ -108,13 +113,13 @@
 export class JobService {
   constructor(private readonly options: JobServiceOptions) {}
 
-  /** Whether callers can be served at all. */
+  /** Whether the configuration and the jobs have been read, so that callers can be served. */
   get isReady(): boolean {
     const { config, jobsFollower } = this.options;
     return config.current !== undefined && jobsFollower.loaded;
   }
 
-  /** Whether jobs can be kept now; callers are better off elsewhere while not. */
+  /** Whether jobs can be persisted now; if not, callers should use another entry. */
   get isStoreReachable(): boolean {
     return this.options.storeReachability.isReachable;
   }
@@ -127,39 +132,39 @@
     return this.options.config.current?.maxBodyBytes;
   }
 
-  /** @param deadline when the caller stops waiting, on the clock's steady time */
+  /** @param deadline when the caller stops waiting, in monotonic time */
   async submit(
     queue: QueueSpec,
     spec: JobSpec,
     deadline: Monotonic,
   ): Promise<JobRequestOutcome> {
     const { view, jobsWriter, clock, metrics } = this.options;
-    const began = clock.monotonic();
+    const startedAt = clock.monotonic();
     const known = view.get(spec.id);
     if (known) {
       const isSame = known.accepted.spec.queue === spec.queue;
       const outcome = isSame
         ? ({ kind: "accepted" } as const)
-        : refused("the id belongs to a job of another queue");
-      return this.note("submit", spec.id, outcome, began);
+        : refused("the job id is used by a job of another queue");
+      return this.recordOutcome("submit", spec.id, outcome, startedAt);
     }
-    const terms = termsOf(queue);
+    const terms = jobTermsOf(queue);
     const job: AcceptedJob = { spec, acceptedAt: clock.now(), terms };
     const record = { key: spec.id, value: encodeJob(job) };
-    const outcome = await this.keep(jobsWriter, record, deadline, () =>
+    const outcome = await this.persist(jobsWriter, record, deadline, () =>
       view.addAccepted(job),
     );
     if (outcome.kind === "accepted") {
-      metrics.latency("submit").record(clock.monotonic() - began);
+      metrics.latency("submit").record(clock.monotonic() - startedAt);
     }
-    return this.note("submit", spec.id, outcome, began);
+    return this.recordOutcome("submit", spec.id, outcome, startedAt);
   }
 
   /**
-   * How the job stands. A job that this entry does not know is looked for in the
-   * store first: another entry may have accepted it a moment ago.
+   * The state of a job. If the view does not contain the job, it is refreshed from the
+   * store first, because another entry may have accepted the job a moment ago.
    *
-   * @param deadline when the caller stops waiting, on the clock's steady time
+   * @param deadline when the caller stops waiting, in monotonic time
    */
   async state(
     queue: QueueKey,
@@ -168,27 +173,28 @@
   ): Promise<JobStateOutcome> {
     const known = this.knownState(queue, id);
     if (known) return known;
-    await this.refreshJobs(deadline);
-    return this.knownState(queue, id) ?? this.unknownJob(id);
+    await this.refreshView(deadline);
+    return this.knownState(queue, id) ?? this.stateOfMissingJob(id);
   }
 
   /**
-   * How a job stands that is to be cancelled. It is denied only when the store
-   * was asked since the cancel came: a caller who is told that no such job exists
-   * takes it as cancelled, while another entry may have accepted it since.
+   * The state of a job that is to be cancelled. `no-such-job` is returned only if the
+   * view was read from the store after the cancel arrived: a caller that receives it
+   * considers the job cancelled, while another entry may have accepted the job since
+   * the last read.
    */
-  private async stateToCancel(
+  private async stateForCancel(
     queue: QueueKey,
     id: JobId,
     deadline: Monotonic,
   ): Promise<JobStateOutcome> {
     const { clock, jobsFollower } = this.options;
-    const began = clock.monotonic();
+    const arrivedAt = clock.monotonic();
     const found = await this.state(queue, id, deadline);
     if (found.kind !== "no-such-job") return found;
     const viewedAt = clock.monotonic() - jobsFollower.ageMs;
-    if (viewedAt >= began) return found;
-    return refused("the store could not be asked whether the job exists");
+    if (viewedAt >= arrivedAt) return found;
+    return refused("the store did not confirm whether the job exists");
   }
 
   private knownState(queue: QueueKey, id: JobId): JobStateOutcome | undefined {
@@ -199,10 +205,10 @@
     return { kind: "known", state };
   }
 
-  /** Waits until the view is fresh, or until the caller must be answered. */
-  private async refreshJobs(deadline: Monotonic): Promise<void> {
-    const { clock, jobsFollower, storeReachability: reach } = this.options;
-    if (!reach.isReachable) return;
+  /** Waits until the view is fresh, or until the response to the caller is due. */
+  private async refreshView(deadline: Monotonic): Promise<void> {
+    const { clock, jobsFollower, storeReachability } = this.options;
+    if (!storeReachability.isReachable) return;
     const waitMs = Math.min(
       JOB_SERVICE.viewRefreshTimeoutMs,
       deadline - clock.monotonic() - JOB_SERVICE.responseMarginMs,
@@ -216,12 +222,12 @@
     abort.abort();
   }
 
-  private unknownJob(id: JobId): JobStateOutcome {
+  private stateOfMissingJob(id: JobId): JobStateOutcome {
     const { logger, jobsFollower } = this.options;
     const viewAge = Math.round(jobsFollower.ageMs);
     if (viewAge > JOB_SERVICE.maxViewAgeMs) {
       logger.info("job.state-unsure", { job: id, viewAge });
-      return refused("the view of the store is too old to tell");
+      return refused("the view of the store is too old to find the job");
     }
     logger.info("job.not-found", { job: id, viewAge });
     return { kind: "no-such-job" };
@@ -232,17 +238,17 @@
     id: JobId,
     deadline: Monotonic,
   ): Promise<JobRequestOutcome> {
-    const began = this.options.clock.monotonic();
-    const found = await this.stateToCancel(queue, id, deadline);
-    const outcome = await this.cancelFound(found, id, deadline);
-    return this.note("cancel", id, outcome, began);
+    const startedAt = this.options.clock.monotonic();
+    const found = await this.stateForCancel(queue, id, deadline);
+    const outcome = await this.cancelByState(found, id, deadline);
+    return this.recordOutcome("cancel", id, outcome, startedAt);
   }
 
   /**
-   * A job that does not exist may still come: a caller that got no answer to it
-   * may cancel it before its record is kept. The cancel waits for it in the store.
+   * The cancel of a job that does not exist is persisted, too: a caller that received no
+   * response to its submit may cancel the job before the record of the job is persisted.
    */
-  private async cancelFound(
+  private async cancelByState(
     found: JobStateOutcome,
     id: JobId,
     deadline: Monotonic,
@@ -252,25 +258,25 @@
         return found;
       case "known":
         if (isFinalState(found.state)) return { kind: "accepted" };
-        return this.keepCancel(id, deadline);
+        return this.persistCancel(id, deadline);
       case "no-such-job": {
         const { view } = this.options;
-        // One of another queue is not the caller's to cancel by this one.
+        // A job of another queue cannot be cancelled through this queue.
         if (view.get(id) || view.isCancelled(id)) return found;
-        const outcome = await this.keepCancel(id, deadline);
+        const outcome = await this.persistCancel(id, deadline);
         return outcome.kind === "accepted" ? found : outcome;
       }
     }
   }
 
-  private keepCancel(
+  private persistCancel(
     id: JobId,
     deadline: Monotonic,
   ): Promise<JobRequestOutcome> {
     const { view, cancelsWriter, clock } = this.options;
     const at = clock.now();
     const record = { key: id, value: encodeCancel(at) };
-    return this.keep(cancelsWriter, record, deadline, () =>
+    return this.persist(cancelsWriter, record, deadline, () =>
       view.addCancel(id, at),
     );
   }
@@ -279,38 +285,42 @@
     return this.options.view.countUnstartedJobs(queue);
   }
 
-  /** Writes the record, again for a while where the store turns it away. */
-  private async keep(
+  /** Writes the record, and retries for a while if the store refuses it. */
+  private async persist(
     writer: TopicWriter,
     record: KeyedRecord,
     deadline: Monotonic,
-    onKept: () => void,
+    onPersisted: () => void,
   ): Promise<JobRequestOutcome> {
     const { clock } = this.options;
-    const lastTryAt =
+    const lastAttemptAt =
       retryDeadline(clock.monotonic(), deadline) - STORE_RETRY.retryMs;
-    for (let tries = 1; ; tries += 1) {
-      const outcome = await this.settle(writer.write(record), deadline, onKept);
-      // A refused record was not kept and never will be: it may be written anew.
+    for (let attempts = 1; ; attempts += 1) {
+      const outcome = await this.awaitWrite(
+        writer.write(record),
+        deadline,
+        onPersisted,
+      );
+      // A refused record was not persisted and never will be, so it may be written again.
       if (outcome.kind !== "refused") return outcome;
-      if (clock.monotonic() > lastTryAt) {
-        const { retryAfterMs } = tries > 1 ? STORE_RETRY : JOB_SERVICE;
+      if (clock.monotonic() > lastAttemptAt) {
+        const { retryAfterMs } = attempts > 1 ? STORE_RETRY : JOB_SERVICE;
         return { ...outcome, retryAfterMs };
       }
       await sleep(clock, STORE_RETRY.retryMs);
     }
   }
 
-  /** Waits for a write, and gives it up when the caller does. */
-  private async settle(
+  /** Waits for a write until it is persisted, refused, or the caller's response is due. */
+  private async awaitWrite(
     write: PendingWrite,
     deadline: Monotonic,
-    onKept: () => void,
+    onPersisted: () => void,
   ): Promise<JobRequestOutcome> {
     const { clock } = this.options;
-    const kept = write.persisted.then(
+    const persisted = write.persisted.then(
       (): JobRequestOutcome => {
-        onKept();
+        onPersisted();
         return { kind: "accepted" };
       },
       (err: unknown): JobRequestOutcome =>
@@ -319,7 +329,7 @@
           : { kind: "unknown", reason: describeError(err) },
     );
     let cancelTimer = (): void => undefined;
-    const gaveUp = new Promise<JobRequestOutcome>((resolve) => {
+    const timedOut = new Promise<JobRequestOutcome>((resolve) => {
       const waitMs =
         deadline - clock.monotonic() - JOB_SERVICE.responseMarginMs;
       const timer = clock.after(waitMs, () => {
@@ -329,16 +339,16 @@
       });
       cancelTimer = () => timer.cancel();
     });
-    const outcome = await Promise.race([kept, gaveUp]);
+    const outcome = await Promise.race([persisted, timedOut]);
     cancelTimer();
     return outcome;
   }
 
-  private note<T extends JobRequestOutcome | JobStateOutcome>(
+  private recordOutcome<T extends JobRequestOutcome | JobStateOutcome>(
     request: "submit" | "cancel",
     job: JobId,
     outcome: T,
-    began: Monotonic,
+    startedAt: Monotonic,
   ): JobRequestOutcome {
     const { logger, metrics, clock, config, jobsFollower } = this.options;
     metrics.count("caller_requests", { request, outcome: outcome.kind });
@@ -346,7 +356,7 @@
       job,
       outcome: outcome.kind,
       reason: "reason" in outcome ? outcome.reason : undefined,
-      tookMs: Math.round(clock.monotonic() - began),
+      tookMs: Math.round(clock.monotonic() - startedAt),
       config: config.current?.version,
       viewAge: Math.round(jobsFollower.ageMs),
     });
--- a/packages/entry/src/jobs/Leadership.ts
+++ b/packages/entry/src/jobs/Leadership.ts
@@ -1,6 +1,7 @@
 /**
- * What this entry does while it leads: fences former leaders off, rebuilds the
- * view of all jobs, then runs the job engine until leadership is lost.
+ * Runs the terms in which this entry leads. A term fences the previous leaders, reads
+ * the state of all jobs from the store, then runs the job engine until leadership is
+ * lost.
  */
 
 import {
@@ -32,8 +33,8 @@
 
 const LEADERSHIP = {
   producer: "leader",
-  /** How often jobs that ended long ago are looked for. */
-  sweepEveryMs: 5_000,
+  /** How often expired jobs are searched for and removed. */
+  cleanupIntervalMs: 5_000,
 } as const;
 
 export interface LeadershipOptions {
@@ -41,9 +42,9 @@
   readonly view: JobView;
   readonly config: ConfigHolder;
   readonly zones: EvacuatedZones;
-  /** Of all that decisions rest on: jobs, what became of them, hosts, the operator's records. */
+  /** Followers of all topics that decisions depend on: jobs, progress, hosts, operator records. */
   readonly followers: readonly TopicFollower[];
-  /** The entry's own writers of jobs and cancels; used to drop old ones. */
+  /** The entry's own writers of jobs and cancels; used to remove expired records. */
   readonly jobsWriter: TopicWriter;
   readonly cancelsWriter: TopicWriter;
   readonly clock: Clock;
@@ -52,19 +53,21 @@
   readonly leadershipTtlMs: number;
   readonly leaseMs: number;
   readonly stopMs: number;
-  /** Jobs that ended are kept this long. */
+  /** How long ended jobs are retained. */
   readonly endedJobRetentionMs: number;
   readonly progressBatchWindowMs: number;
   readonly order: string;
   readonly placer: string;
   readonly policy: SchedulingPolicy;
-  /** Undefined where the platform has no such service. */
+  /** Undefined if the platform has no permit service. */
   readonly permits: PermitService | undefined;
+  /** Whether the leadership lease is unexpired, so that this entry may decide. */
   readonly mayDecide: () => boolean;
-  /** Called when the writes of this leader are refused for good. */
+  /** Called when the current term has failed, for example because its writes are fenced. */
   readonly onTermFailed: (reason: string) => void;
 }
 
+/** The epoch and the engine of a term in which this entry leads. */
 export interface ActiveTerm {
   readonly epoch: Epoch;
   readonly engine: JobEngine;
@@ -75,7 +78,7 @@
 
   constructor(private readonly options: LeadershipOptions) {}
 
-  /** Undefined while this entry does not lead, or has not read its view yet. */
+  /** Undefined while this entry does not lead, or has not yet read the state of all jobs. */
   get activeTerm(): ActiveTerm | undefined {
     const { term } = this;
     if (!term?.engine) return undefined;
@@ -87,7 +90,7 @@
     const term = new Term(this.options, epoch);
     this.term = term;
     term.run().catch((err: unknown) => {
-      // A term that was ended fails late, and says nothing of the next one.
+      // A term that has been ended may fail later; that does not concern the next term.
       if (this.term !== term) return;
       const error = describeError(err);
       this.options.logger.warn("leader.term-failed", { epoch, error });
@@ -101,13 +104,13 @@
   }
 }
 
-/** One time of leading, under one epoch. */
+/** One term of leadership, under one epoch. */
 class Term {
   engine: JobEngine | undefined;
   private readonly abort = new AbortController();
   private readonly writers: readonly TopicWriter[];
   private readonly progressWriter: TopicWriter;
-  private readonly learntWriter: TopicWriter;
+  private readonly learnedWriter: TopicWriter;
   private readonly hostsWriter: TopicWriter;
   private readonly unsubscribes: Unsubscribe[] = [];
 
@@ -127,7 +130,7 @@
         batchWindowMs: 0,
         retriesRefusedBatches: true,
       });
-    this.learntWriter = writerOf(TOPICS.learned);
+    this.learnedWriter = writerOf(TOPICS.learned);
     this.progressWriter = writerOf(TOPICS.progress);
     this.hostsWriter = writerOf(TOPICS.hosts);
     this.writers = [this.progressWriter, this.hostsWriter];
@@ -136,32 +139,35 @@
   async run(): Promise<void> {
     const { signal } = this.abort;
     const { logger, clock, followers, metrics } = this.options;
-    const began = clock.monotonic();
+    const startedAt = clock.monotonic();
     await Promise.all(
       this.writers.map((writer) => writer.fenceLowerEpochs(signal)),
     );
     await Promise.all(followers.map((follower) => follower.catchUp(signal)));
     if (signal.aborted) return;
-    const tookMs = clock.monotonic() - began;
-    this.engine = this.buildEngine(began);
+    const tookMs = clock.monotonic() - startedAt;
+    this.engine = this.buildEngine(startedAt);
     metrics.latency("takeover").record(tookMs);
     logger.info("leader.ready", {
       epoch: this.epoch,
       tookMs: Math.round(tookMs),
       hosts: this.options.view.roster.size,
     });
-    this.sweepLater();
-    await this.restoreLearnt(this.engine);
+    this.scheduleCleanup();
+    await this.restoreLearned(this.engine);
   }
 
-  /** Not waited for before the first starts: to know less only costs some worth. */
-  private async restoreLearnt(engine: JobEngine): Promise<void> {
+  /**
+   * Restores what previous leaders learned. The first starts do not wait for this, because
+   * missing estimates only cost some utility.
+   */
+  private async restoreLearned(engine: JobEngine): Promise<void> {
     const { store, logger } = this.options;
     try {
       const { records } = await store.readNewest(TOPICS.learned);
       if (this.abort.signal.aborted) return;
       engine.restoreLearned(
-        records.flatMap((record) => this.readLearnt(record)),
+        records.flatMap((record) => this.decodeLearnedRecord(record)),
       );
     } catch (err) {
       const error = describeError(err);
@@ -169,7 +175,7 @@
     }
   }
 
-  private readLearnt({ key, value }: KeyedRecord): LearnedRecord[] {
+  private decodeLearnedRecord({ key, value }: KeyedRecord): LearnedRecord[] {
     if (!value) return [];
     try {
       return [decodeLearned(key, value)];
@@ -180,14 +186,14 @@
     }
   }
 
-  private keepLearnt(record: LearnedRecord): void {
+  private persistLearned(record: LearnedRecord): void {
     const { logger, mayDecide } = this.options;
     if (!mayDecide()) return;
     const key = learnedKeyOf(record);
-    this.learntWriter
+    this.learnedWriter
       .write({ key, value: encodeLearned(record) })
       .persisted.catch((err: unknown) => {
-        // Written again while more is learnt; the next leader misses little.
+        // The record is written again with the next update, so the next leader misses little.
         logger.info("learnt.not-kept", { key, error: describeError(err) });
       });
   }
@@ -196,8 +202,8 @@
     this.abort.abort();
     for (const unsubscribe of this.unsubscribes) unsubscribe();
     this.engine?.stop();
-    const reason = new Error("this entry leads no more");
-    for (const writer of [...this.writers, this.learntWriter]) {
+    const reason = new Error("this entry is no longer the leader");
+    for (const writer of [...this.writers, this.learnedWriter]) {
       writer.close(reason);
     }
   }
@@ -232,13 +238,13 @@
       mayDecide: () => !this.abort.signal.aborted && mayDecide(),
       queueOf: (queue) => config.getQueue(queue),
       isEvacuated: (zone) => zones.has(zone),
-      persistLearned: (record) => this.keepLearnt(record),
+      persistLearned: (record) => this.persistLearned(record),
       permits: this.options.permits,
     });
     for (const { accepted, cancelled, progress } of view.all()) {
       engine.addJob(accepted, progress);
-      const ended = progress !== undefined && isFinalState(progress.state);
-      if (cancelled && !ended) engine.cancelJob(accepted.spec.id);
+      const hasEnded = progress !== undefined && isFinalState(progress.state);
+      if (cancelled && !hasEnded) engine.cancelJob(accepted.spec.id);
     }
     this.unsubscribes.push(
       view.changes.on((change) => {
@@ -248,19 +254,22 @@
         }
         const { id } = change.job.spec;
         engine.addJob(change.job, undefined);
-        // The two topics are read apart: the cancel may have come first.
+        // The two topics are read independently, so the cancel may have arrived first.
         if (view.get(id)?.cancelled) engine.cancelJob(id);
       }),
       config.changes.on(() => engine.handleOperatorChange()),
       zones.changes.on(() => engine.handleOperatorChange()),
     );
     engine.start();
-    this.tellNewJobsLater(gate);
+    this.scheduleViewRefresh(gate);
     return engine;
   }
 
-  /** Reads the view once more when no former leader decides: later jobs are new. */
-  private tellNewJobsLater(gate: TakeoverGate): void {
+  /**
+   * Reads the topics once more after the authority of the previous leader has expired.
+   * Jobs that arrive after that read cannot have been started by a previous leader.
+   */
+  private scheduleViewRefresh(gate: TakeoverGate): void {
     const { clock, followers, logger } = this.options;
     const { signal } = this.abort;
     const waitMs = gate.authorityExpiresBy - clock.monotonic();
@@ -268,9 +277,9 @@
       if (signal.aborted) return;
       Promise.all(followers.map((follower) => follower.catchUp(signal))).then(
         () => gate.markViewCurrent(clock.monotonic()),
-        // The term is over; until then the gate treats all jobs as old ones.
+        // The term has ended. Without this read the gate treats all jobs as old.
         (err: unknown) =>
-          logger.info("leader.view-not-read", {
+          logger.info("leader.view-refresh-failed", {
             epoch: this.epoch,
             error: describeError(err),
           }),
@@ -278,46 +287,49 @@
     });
   }
 
-  private sweepLater(): void {
-    this.options.clock.after(LEADERSHIP.sweepEveryMs, () => {
+  private scheduleCleanup(): void {
+    this.options.clock.after(LEADERSHIP.cleanupIntervalMs, () => {
       if (this.abort.signal.aborted) return;
-      if (this.options.mayDecide()) this.sweep();
-      this.sweepLater();
+      if (this.options.mayDecide()) this.removeExpiredJobs();
+      this.scheduleCleanup();
     });
   }
 
-  /** Drops what the store need not keep of jobs that ended long ago. */
-  private sweep(): void {
+  /** Removes the records of jobs whose retention time is over from the store. */
+  private removeExpiredJobs(): void {
     const { engine } = this;
     if (!engine) return;
-    const { view, clock, endedJobRetentionMs: keepEndedMs } = this.options;
-    for (const id of engine.expiredJobs(keepEndedMs)) {
+    const { view, clock, endedJobRetentionMs } = this.options;
+    for (const id of engine.expiredJobs(endedJobRetentionMs)) {
       engine.forgetJob(id);
-      this.dropJob(id).catch((err: unknown) => this.noteNotDropped(err));
+      this.deleteJob(id).catch((err: unknown) => this.logDeleteFailure(err));
     }
-    const before = clock.now() - keepEndedMs;
+    const before = clock.now() - endedJobRetentionMs;
     for (const id of view.cancelsWithoutJob(before)) {
-      this.dropCancel(id).catch((err: unknown) => this.noteNotDropped(err));
+      this.deleteCancel(id).catch((err: unknown) => this.logDeleteFailure(err));
     }
   }
 
-  private async dropCancel(id: JobId): Promise<void> {
+  private async deleteCancel(id: JobId): Promise<void> {
     await this.options.cancelsWriter.write({ key: id, value: undefined })
       .persisted;
   }
 
-  /** The job goes before its progress: without that it would be run again. */
-  private async dropJob(id: JobId): Promise<void> {
+  /**
+   * Deletes the job record before its progress record: a job without a progress record
+   * would be run again.
+   */
+  private async deleteJob(id: JobId): Promise<void> {
     const { jobsWriter, logger } = this.options;
     const tombstone = { key: id, value: undefined };
     await jobsWriter.write(tombstone).persisted;
-    await this.dropCancel(id);
+    await this.deleteCancel(id);
     await this.progressWriter.write(tombstone).persisted;
     logger.info("job.forgotten", { job: id });
   }
 
-  private noteNotDropped(err: unknown): void {
-    // The next leader finds it again and drops it then.
+  private logDeleteFailure(err: unknown): void {
+    // The next leader finds the job again and deletes it then.
     this.options.logger.warn("job.not-dropped", { error: describeError(err) });
   }
 }
--- a/packages/entry/src/jobs/SideServer.ts
+++ b/packages/entry/src/jobs/SideServer.ts
@@ -1,4 +1,4 @@
-/** Takes the connections of sides; only the entry that leads lets them attach. */
+/** Accepts connections of sides; only the leading entry lets them attach. */
 
 import { createServer, type Server, type Socket } from "node:net";
 import {
@@ -25,12 +25,12 @@
 import { ENGINE, type HostSession } from "@rackspan/scheduling";
 import type { ActiveTerm } from "./Leadership.js";
 
-const SERVER = {
-  /** Sides report at least twice a second; longer silence ends the connection. */
-  silenceMs: 4_000,
+const SIDE_SERVER = {
+  /** Silence after which a connection is closed; sides report at least twice a second. */
+  idleTimeoutMs: 4_000,
   maxConnections: 2_000,
-  /** Time for the store to keep that a worker is over; its side says it again then. */
-  noteMs: 700,
+  /** How long to wait until the store persists a worker's end; the side retries after that. */
+  persistTimeoutMs: 700,
 } as const;
 
 export class NotLeadingError extends RackspanError {
@@ -43,13 +43,16 @@
   }
 }
 
-/** The end of a worker that a next leader may still wait for. */
+/**
+ * The end of a worker is not persisted yet, so the next leader could still wait for the
+ * worker's leases.
+ */
 export class WorkerEndNotPersistedError extends RackspanError {
   readonly kind = "not-noted";
   constructor(instance: WorkerInstance) {
     super({
-      what: `the store does not keep yet that worker ${instance} is over`,
-      remedy: "say it again after a pause, to the entry that leads then",
+      what: `the end of worker ${instance} is not persisted in the store yet`,
+      remedy: "report it again after a pause, to the entry that leads then",
     });
   }
 }
@@ -68,27 +71,27 @@
 
 export class SideServer {
   private readonly server: Server;
-  private readonly peers = new Set<SideSession>();
-  /** The connection of each host that attached last. */
+  private readonly sessions = new Set<SideSession>();
+  /** The most recently attached session of each host. */
   private readonly byHost = new Map<HostId, SideSession>();
 
   constructor(private readonly options: SideServerOptions) {
     this.server = createServer((socket) => this.accept(socket));
-    this.server.maxConnections = SERVER.maxConnections;
+    this.server.maxConnections = SIDE_SERVER.maxConnections;
   }
 
   start(): Promise<void> {
     const { logger } = this.options;
-    // Such as too many open files; later connections may work again.
+    // For example too many open files; later connections may succeed.
     this.server.on("error", (err) =>
       logger.error("sides.listener-failed", { error: describeError(err) }),
     );
     return listenOn(this.server, this.options.listen);
   }
 
-  /** Closes all connections, so that sides look for the next leader at once. */
+  /** Closes all connections, so that sides search for the next leader at once. */
   disconnectAll(reason: string): void {
-    for (const peer of this.peers) peer.close(reason);
+    for (const session of this.sessions) session.close(reason);
   }
 
   stop(): Promise<void> {
@@ -97,36 +100,37 @@
   }
 
   private accept(socket: Socket): void {
-    const peer = new SideSession(socket, {
+    const session = new SideSession(socket, {
       ...this.options,
-      onAttach: (host) => this.replaceFormer(host, peer),
+      onAttach: (host) => this.closePrevious(host, session),
     });
-    this.peers.add(peer);
-    void peer.closed.then(() => this.drop(peer));
+    this.sessions.add(session);
+    void session.closed.then(() => this.remove(session));
   }
 
   /**
-   * Ends the host's connection before: what comes late over one that its side has
-   * given up may concern a former life of the worker. When requests to attach
-   * came out of order, this ends the one in use, and its side attaches anew.
+   * Closes the host's previous connection: late messages over a connection that its side
+   * has abandoned may concern a previous incarnation of the worker. If attach requests
+   * arrived out of order, this closes the connection in use, and its side attaches again.
    */
-  private replaceFormer(host: HostId, peer: SideSession): void {
-    const former = this.byHost.get(host);
-    this.byHost.set(host, peer);
-    if (former !== peer) former?.close("the host attached anew");
+  private closePrevious(host: HostId, session: SideSession): void {
+    const previous = this.byHost.get(host);
+    this.byHost.set(host, session);
+    if (previous !== session)
+      previous?.close("the host attached over another connection");
   }
 
-  private drop(peer: SideSession): void {
-    this.peers.delete(peer);
-    const { host } = peer;
-    if (host !== undefined && this.byHost.get(host) === peer) {
+  private remove(session: SideSession): void {
+    this.sessions.delete(session);
+    const { host } = session;
+    if (host !== undefined && this.byHost.get(host) === session) {
       this.byHost.delete(host);
     }
   }
 }
 
 interface SideSessionOptions extends SideServerOptions {
-  /** Called when the connection is the host's from now on. */
+  /** Called when the host has attached over this connection. */
   readonly onAttach: (host: HostId) => void;
 }
 
@@ -134,7 +138,7 @@
 class SideSession implements HostSession {
   readonly closed: Promise<void>;
   private readonly connection: SideConnection;
-  private attached: Attached | undefined;
+  private attachment: Attachment | undefined;
 
   constructor(
     socket: Socket,
@@ -149,40 +153,42 @@
         attach: ({ host, availabilityZone }) =>
           this.attach(host, availabilityZone),
         report: (report) => {
-          const { host, zone, leading } = this.current();
-          return leading.engine.handleReport(host, zone, report);
+          const { host, zone, term } = this.requireAttachment();
+          return term.engine.handleReport(host, zone, report);
         },
         workerGone: async ({ instance, lostRuns, unheardEnds }) => {
-          const { host, leading } = this.current();
-          const { engine } = leading;
-          const noted = engine.handleWorkerGone(
+          const { host, term } = this.requireAttachment();
+          const { engine } = term;
+          const persisted = engine.handleWorkerGone(
             host,
             instance,
             lostRuns,
             unheardEnds,
           );
-          const tooLate = sleep(clock, SERVER.noteMs).then(() => false);
-          if (await Promise.race([noted, tooLate])) return {};
+          const timedOut = sleep(clock, SIDE_SERVER.persistTimeoutMs).then(
+            () => false,
+          );
+          if (await Promise.race([persisted, timedOut])) return {};
           throw new WorkerEndNotPersistedError(instance);
         },
         workerSilent: ({ overInMs, neverBegun }) => {
-          const { host, leading } = this.current();
-          const { engine } = leading;
+          const { host, term } = this.requireAttachment();
+          const { engine } = term;
           const grants = engine.handleWorkerSilent(host, overInMs, neverBegun);
           return { grants };
         },
         ping: () => ({}),
       },
-      idleTimeoutMs: SERVER.silenceMs,
+      idleTimeoutMs: SIDE_SERVER.idleTimeoutMs,
       clock,
       logger,
     });
     this.closed = this.connection.closed.then((reason) => this.detach(reason));
   }
 
-  /** The host that has attached over this connection, if one has. */
+  /** The host that has attached over this connection, if any. */
   get host(): HostId | undefined {
-    return this.attached?.host;
+    return this.attachment?.host;
   }
 
   close(reason: string): void {
@@ -209,39 +215,44 @@
     host: HostId,
     zone: AvailabilityZone,
   ): { epoch: ActiveTerm["epoch"] } {
-    const leading = this.options.activeTerm();
-    if (!leading) throw new NotLeadingError();
-    this.attached = { host, zone, leading };
-    leading.engine.attach(host, this);
+    const activeTerm = this.options.activeTerm();
+    if (!activeTerm) throw new NotLeadingError();
+    this.attachment = { host, zone, term: activeTerm };
+    activeTerm.engine.attach(host, this);
     this.options.onAttach(host);
-    this.options.logger.info("host.attached", { host, epoch: leading.epoch });
-    return { epoch: leading.epoch };
+    this.options.logger.info("host.attached", {
+      host,
+      epoch: activeTerm.epoch,
+    });
+    return { epoch: activeTerm.epoch };
   }
 
   /**
-   * @throws NotLeadingError when the entry leads no more, or under another epoch,
-   *   or when the connection was ended while the call was on its way here
+   * The host's attachment, which calls other than `attach` require.
+   *
+   * @throws NotLeadingError if the entry no longer leads, leads under another epoch, or
+   *   if the connection was closed while the call was in flight
    */
-  private current(): Attached {
-    const { attached } = this;
-    const leading = this.options.activeTerm();
-    const isSame = leading?.engine === attached?.leading.engine;
-    if (!attached || !isSame || !this.connection.isOpen) {
+  private requireAttachment(): Attachment {
+    const { attachment } = this;
+    const activeTerm = this.options.activeTerm();
+    const isSameTerm = activeTerm?.engine === attachment?.term.engine;
+    if (!attachment || !isSameTerm || !this.connection.isOpen) {
       throw new NotLeadingError();
     }
-    return attached;
+    return attachment;
   }
 
   private detach(reason: string): void {
-    if (!this.attached) return;
-    const { host, leading } = this.attached;
-    leading.engine.detach(host, this);
+    if (!this.attachment) return;
+    const { host, term } = this.attachment;
+    term.engine.detach(host, this);
     this.options.logger.warn("host.detached", { host, reason });
   }
 }
 
-interface Attached {
+interface Attachment {
   readonly host: HostId;
   readonly zone: AvailabilityZone;
-  readonly leading: ActiveTerm;
+  readonly term: ActiveTerm;
 }
--- a/packages/entry/src/jobs/StoredRoster.ts
+++ b/packages/entry/src/jobs/StoredRoster.ts
@@ -1,4 +1,7 @@
-/** Keeps in the store which workers may hold leases, so that a next leader waits for them. */
+/**
+ * Persists which workers may hold leases, so that the next leader waits until those
+ * leases have expired.
+ */
 
 import {
   describeError,
@@ -10,10 +13,10 @@
 import { encodeHost, type Roster, type TopicWriter } from "@rackspan/state";
 
 export class StoredRoster implements HostRoster {
-  private readonly kept: Map<HostId, WorkerInstance | undefined>;
-  /** What this leader wrote last of a host; undefined once it removed it. */
-  private readonly written = new Map<HostId, WorkerInstance | undefined>();
-  /** By host: whether the store keeps its last removal. */
+  private readonly persisted: Map<HostId, WorkerInstance | undefined>;
+  /** The last value that this leader wrote for a host; undefined for a removal. */
+  private readonly lastWritten = new Map<HostId, WorkerInstance | undefined>();
+  /** By host: whether its last removal has been persisted. */
   private readonly removals = new Map<HostId, Promise<boolean>>();
 
   constructor(
@@ -21,25 +24,26 @@
     private readonly logger: Logger,
     roster: Roster,
   ) {
-    this.kept = new Map(roster);
+    this.persisted = new Map(roster);
   }
 
   recordedInstance(host: HostId): WorkerInstance | undefined {
-    return this.kept.get(host);
+    return this.persisted.get(host);
   }
 
   async persist(host: HostId, instance: WorkerInstance): Promise<void> {
-    this.written.set(host, instance);
+    this.lastWritten.set(host, instance);
     this.removals.delete(host);
     await this.writer.write({ key: host, value: encodeHost(instance) })
       .persisted;
-    // Removed or replaced while it was on its way: the store ends with that.
-    if (this.written.get(host) === instance) this.kept.set(host, instance);
+    // If the host was removed or replaced during the write, the later write wins.
+    if (this.lastWritten.get(host) === instance)
+      this.persisted.set(host, instance);
   }
 
   remove(host: HostId): void {
-    this.kept.delete(host);
-    this.written.set(host, undefined);
+    this.persisted.delete(host);
+    this.lastWritten.set(host, undefined);
     this.removals.set(host, this.writeRemoval(host));
   }
 
@@ -52,7 +56,7 @@
       await this.writer.write({ key: host, value: undefined }).persisted;
       return true;
     } catch (err) {
-      // A host that stays listed only delays a next leader's first starts.
+      // A host that stays listed only delays the first starts of the next leader.
       const error = describeError(err);
       this.logger.warn("roster.not-removed", { host, error });
       return false;
--- a/packages/entry/src/openTunnel.ts
+++ b/packages/entry/src/openTunnel.ts
@@ -1,4 +1,4 @@
-/** Opens an upgraded connection from a caller to an endpoint. */
+/** Opens an upgraded connection between a caller and an endpoint. */
 
 import type { IncomingMessage } from "node:http";
 import type { Duplex } from "node:stream";
@@ -22,7 +22,7 @@
   readonly request: CallerRequest;
 }
 
-/** @returns nothing once the connections are joined, else why they are not */
+/** @returns undefined once the connections are joined, otherwise the problem */
 export const openTunnel = async (
   options: OpenTunnelOptions,
 ): Promise<Problem | undefined> => {
@@ -30,8 +30,8 @@
   const { id, match, timeoutMs } = request;
   const cancellation = new Cancellation();
   const timer = clock.after(timeoutMs, () => cancellation.cancel("deadline"));
-  const onGone = (): void => cancellation.cancel("caller-gone");
-  socket.on("close", onGone);
+  const onDisconnect = (): void => cancellation.cancel("caller-gone");
+  socket.on("close", onDisconnect);
   const outgoing = {
     id,
     service: match.service,
@@ -43,27 +43,27 @@
     body: undefined,
     deadline: clock.monotonic() + timeoutMs,
     onUpgrade: (
-      answer: IncomingMessage,
+      response: IncomingMessage,
       upstream: Duplex,
       upstreamHead: Buffer,
     ) => {
       metrics.count("tunnels_opened");
-      joinSockets({ answer, socket, head, upstream, upstreamHead });
+      joinSockets({ answer: response, socket, head, upstream, upstreamHead });
     },
   };
   try {
     const result = await loop.run(outgoing, cancellation);
     if (result.kind === "refused") return result.problem;
-    if (result.answer.statusCode === STATUS_SWITCHING_PROTOCOLS) {
+    if (result.response.statusCode === STATUS_SWITCHING_PROTOCOLS) {
       socket.on("close", () => result.release(true));
       return undefined;
     }
     result.release(true);
-    result.answer.destroy();
+    result.response.destroy();
     return { ...notSwitched, requestId: id };
   } finally {
     timer.cancel();
-    socket.off("close", onGone);
+    socket.off("close", onDisconnect);
   }
 };
 
--- a/packages/entry/src/operatorHandlers.ts
+++ b/packages/entry/src/operatorHandlers.ts
@@ -1,4 +1,4 @@
-/** What an entry does for each call of an operator. */
+/** The handlers of operator calls. */
 
 import {
   firstShortage,
@@ -26,7 +26,7 @@
   OPERATOR_METHODS,
   type OperatorMethods,
   type OperatorStatus,
-  type OperatorVerdict,
+  type OperationResult,
   type UnitSummary,
 } from "./operatorMethods.js";
 import type { SideDirectory } from "./SideDirectory.js";
@@ -50,8 +50,8 @@
   readonly kind = "unknown-host";
   constructor(host: HostId) {
     super({
-      what: `no host ${host} is known here`,
-      remedy: "see rackspan status for the hosts that are",
+      what: `host ${host} is unknown to this entry`,
+      remedy: "see rackspan status for the known hosts",
     });
   }
 }
@@ -60,18 +60,18 @@
   readonly kind = "not-running";
   constructor(unit: UnitId) {
     super({
-      what: `${unit} does not run now`,
-      remedy: "see rackspan get units for those that do",
+      what: `unit ${unit} is not running`,
+      remedy: "see rackspan get units for the running units",
     });
   }
 }
 
-/** No host that is known could ever hold the job. */
+/** The job requests more of a resource than any known host has. */
 export class NeverFitsError extends RackspanError {
   readonly kind = "never-fits";
   constructor(job: string, amount: string) {
     super({
-      what: `${job} asks for more ${amount} than any host has`,
+      what: `job ${job} requests more ${amount} than any host has`,
       remedy: `lower "${amount}" or split the job`,
     });
   }
@@ -85,20 +85,20 @@
     apply: async ({ operator, base, changes }) => {
       checkPolicies(changes);
       const record = { type: "apply", operator, base, changes } as const;
-      return toVerdict(await appender.submit(record, appendTimeoutMs));
+      return toOperationResult(await appender.submit(record, appendTimeoutMs));
     },
     get: () => ({
       version: fold.config.version,
       declarations: fold.config.all().map(({ declaration }) => declaration),
     }),
     submit: async ({ job }) => {
-      checkFitsSomewhere(job, sides);
-      return toVerdict(
+      checkFitsSomeHost(job, sides);
+      return toOperationResult(
         await appender.submit({ type: "submit", job }, appendTimeoutMs),
       );
     },
     cancel: async ({ unit }) =>
-      toVerdict(
+      toOperationResult(
         await appender.submit({ type: "cancel", unit }, appendTimeoutMs),
       ),
     units: ({ prefix, limit }) => ({ units: listUnits(fold, prefix, limit) }),
@@ -109,7 +109,7 @@
       if (!view) throw new UnknownHostError(host);
       const { generation } = view;
       const record = { type: "hostDraining", host, generation } as const;
-      return toVerdict(await appender.submit(record, appendTimeoutMs));
+      return toOperationResult(await appender.submit(record, appendTimeoutMs));
     },
     throttle: async ({ unit: id, share }) => {
       const unit = fold.units.get(id);
@@ -119,21 +119,23 @@
       return { host: side.record.host as string };
     },
     fence: async ({ host }) => {
-      const generation = highestClaimed(fold, host);
+      const generation = highestClaimedGeneration(fold, host);
       const record = {
         type: "hostEnded",
         host,
         generation,
         certifiedBy: "operator",
       } as const;
-      return toVerdict(await appender.submit(record, appendTimeoutMs));
+      return toOperationResult(await appender.submit(record, appendTimeoutMs));
     },
   };
 };
 
-const toVerdict = (verdict: ApplyResult): OperatorVerdict => ({ ...verdict });
+const toOperationResult = (result: ApplyResult): OperationResult => ({
+  ...result,
+});
 
-/** @throws PolicyError for the first program that may not be published */
+/** @throws PolicyError for the first policy program that does not compile */
 const checkPolicies = (changes: readonly Change[]): void => {
   for (const change of changes) {
     if (change.action !== "put" || change.declaration.kind !== "policy")
@@ -142,11 +144,8 @@
   }
 };
 
-/** @throws NeverFitsError; a job that some host may hold later is let through */
-const checkFitsSomewhere = (
-  job: JobDeclaration,
-  sides: SideDirectory,
-): void => {
+/** @throws NeverFitsError unless some host has the capacity for the job, even if not free now */
+const checkFitsSomeHost = (job: JobDeclaration, sides: SideDirectory): void => {
   const hosts = sides.views().filter(({ ready }) => ready);
   const shortages = hosts.map(({ capacity }) =>
     firstShortage(job.resources, capacity),
@@ -160,8 +159,8 @@
   }
 };
 
-/** @throws UnknownHostError when nothing is claimed there */
-const highestClaimed = (fold: Fold, host: HostId): HostGeneration => {
+/** @throws UnknownHostError if no unit is claimed by the host */
+const highestClaimedGeneration = (fold: Fold, host: HostId): HostGeneration => {
   const generations = fold.units
     .claimedBy(host)
     .flatMap(({ claim }) => (claim ? [claim.generation] : []));
@@ -201,10 +200,10 @@
   fold,
   follower,
   appender,
-  isReady: ready,
+  isReady,
 }: OperatorHandlersOptions) => ({
   entry: host as string,
-  ready: ready(),
+  ready: isReady(),
   configVersion: fold.config.version as number,
   logPosition: follower.position as number,
   logSilentMs: Math.min(follower.sinceLastReadMs, Number.MAX_SAFE_INTEGER),
@@ -225,7 +224,7 @@
       claimed: fold.units.unfinishedCount - open,
       finished: fold.units.finishedUnits().length,
     },
-    peers: await askPeers(options),
+    peers: await queryPeers(options),
     refusals: refusals.map(({ labels, value }) => ({
       reason: labels["reason"] ?? "",
       outcome: labels["outcome"] ?? "",
@@ -234,7 +233,7 @@
   };
 };
 
-const askPeers = ({ host, hostList }: OperatorHandlersOptions) => {
+const queryPeers = ({ host, hostList }: OperatorHandlersOptions) => {
   const others = hostList
     .liveEntries()
     .filter((record) => record.host !== host);
--- a/packages/entry/src/operatorMethods.ts
+++ b/packages/entry/src/operatorMethods.ts
@@ -1,4 +1,4 @@
-/** Calls of operators, and of entries to each other, at an entry's control address. */
+/** RPC methods at an entry's control address, for operators and other entries. */
 
 import { z } from "zod";
 import {
@@ -11,13 +11,13 @@
 import { resourcesSchema } from "@rackspan/common";
 import { changeSchema, declarationSchema, jobSchema } from "@rackspan/state";
 
-const verdictSchema = z.object({
+const operationResultSchema = z.object({
   accepted: z.boolean(),
   sequence: z.number(),
   reason: z.string().optional(),
   detail: z.string().optional(),
 });
-export type OperatorVerdict = z.infer<typeof verdictSchema>;
+export type OperationResult = z.infer<typeof operationResultSchema>;
 
 const unitSummarySchema = z.object({
   unit: z.string(),
@@ -45,7 +45,7 @@
 const entryStatusSchema = z.object({
   entry: z.string(),
   ready: z.boolean(),
-  /** Configuration in force at this entry. */
+  /** Version of the configuration that is in force at this entry. */
   configVersion: z.number(),
   logPosition: z.number(),
   logSilentMs: z.number(),
@@ -60,7 +60,7 @@
     claimed: z.number(),
     finished: z.number(),
   }),
-  /** The other entries that the host list shows; those that did not answer have no status. */
+  /** The other entries in the host list; an entry that did not answer has no status. */
   peers: z.array(
     z.object({ host: z.string(), status: entryStatusSchema.optional() }),
   ),
@@ -77,9 +77,9 @@
       base: countSchema<Sequence>(),
       changes: z.array(changeSchema).min(1).max(10_000),
     }),
-    result: verdictSchema,
+    result: operationResultSchema,
   },
-  /** The configuration in force here, and its version as the base of changes. */
+  /** The configuration in force at this entry, and its version as the base for changes. */
   get: {
     params: z.strictObject({}),
     result: z.object({
@@ -87,10 +87,13 @@
       declarations: z.array(declarationSchema),
     }),
   },
-  submit: { params: z.strictObject({ job: jobSchema }), result: verdictSchema },
+  submit: {
+    params: z.strictObject({ job: jobSchema }),
+    result: operationResultSchema,
+  },
   cancel: {
     params: z.strictObject({ unit: idSchema<UnitId>() }),
-    result: verdictSchema,
+    result: operationResultSchema,
   },
   units: {
     params: z.strictObject({
@@ -103,9 +106,9 @@
   status: { params: z.strictObject({}), result: statusSchema },
   drain: {
     params: z.strictObject({ host: idSchema<HostId>() }),
-    result: verdictSchema,
+    result: operationResultSchema,
   },
-  /** Limits the running attempt of a unit; its next attempt starts unlimited. */
+  /** Limits the processor share of a unit's running attempt; the next attempt is not limited. */
   throttle: {
     params: z.strictObject({
       unit: idSchema<UnitId>(),
@@ -115,7 +118,7 @@
   },
   fence: {
     params: z.strictObject({ host: idSchema<HostId>() }),
-    result: verdictSchema,
+    result: operationResultSchema,
   },
 } as const;
 
--- a/packages/entry/src/relayEvents.ts
+++ b/packages/entry/src/relayEvents.ts
@@ -1,6 +1,6 @@
 /**
- * Passes a stream of server-sent events on, event by event, so that it can go on
- * from another endpoint between two events.
+ * Relays a stream of server-sent events event by event, so that it can continue from
+ * another endpoint between two events.
  * Source: the HTML standard, "Server-sent events".
  */
 
@@ -13,15 +13,15 @@
 const ID_LINE = /^id:[ ]?([^\0\r\n]*)/m;
 const MAX_EVENT_CHARS = 1_048_576;
 
-/** Where a watch stands; lives longer than the connection to one endpoint. */
+/** Position of a watch in its event stream; outlives the connection to one endpoint. */
 export interface WatchPosition {
   lastEventId: string | undefined;
 }
 
-/** Asked between two events. */
+/** Called between two events. */
 export type ShouldMove = () => boolean;
 
-const writeOut = (to: ServerResponse, text: string): Promise<void> =>
+const writeAndDrain = (to: ServerResponse, text: string): Promise<void> =>
   new Promise((resolve) => {
     if (to.destroyed || to.write(text)) {
       resolve();
@@ -36,7 +36,7 @@
     to.on("close", done);
   });
 
-/** Ends when the sender ends, when the receiver is gone, or when it is to move. */
+/** Ends when the sender ends, when the receiver has disconnected, or when the watch moves. */
 export const relayEvents = async (
   from: IncomingMessage,
   to: ServerResponse,
@@ -56,7 +56,7 @@
         const length = end.index + end[0].length;
         const event = pending.slice(0, length);
         pending = pending.slice(length);
-        await writeOut(to, event);
+        await writeAndDrain(to, event);
         position.lastEventId = ID_LINE.exec(event)?.[1] ?? position.lastEventId;
         if (to.destroyed) return "receiver-gone";
         if (shouldMove()) return "moved";
--- a/packages/entry/src/sideRequest.ts
+++ b/packages/entry/src/sideRequest.ts
@@ -1,4 +1,4 @@
-/** The head of a request from an entry to a side. */
+/** Headers and connection of a request from an entry to a side. */
 
 import { Agent } from "node:http";
 import type { Incarnation, RequestId, ServiceName } from "@rackspan/common";
@@ -10,7 +10,7 @@
 } from "@rackspan/protocol";
 import type { RequestClass } from "@rackspan/state";
 
-export interface OwnHeaders {
+export interface SideHeaderValues {
   readonly id: RequestId;
   readonly service: ServiceName;
   readonly class: RequestClass;
@@ -23,7 +23,7 @@
   readonly rawHeaders: readonly string[];
   readonly body: Buffer | BodyStream | undefined;
   readonly upgrade: boolean;
-  readonly own: OwnHeaders;
+  readonly values: SideHeaderValues;
 }
 
 const NEVER_FORWARDED = [HEADER.REQUEST_ID, HEADER.TIMEOUT, "expect"] as const;
@@ -32,13 +32,13 @@
   ...INTERNAL_HEADERS,
   ...NEVER_FORWARDED,
 ]);
-/** A kept body gets its length anew. */
+/** The length of a buffered body is set again. */
 const DROPPED_WITH_BODY: ReadonlySet<string> = new Set([
   ...DROPPED,
   "content-length",
 ]);
 
-const valueOf = (
+const headerValue = (
   rawHeaders: readonly string[],
   name: string,
 ): string | undefined => {
@@ -52,35 +52,35 @@
   rawHeaders,
   body,
   upgrade,
-  own,
+  values,
 }: SideHeadersOptions): string[] => {
   const add = [
     HEADER.SERVICE,
-    own.service,
+    values.service,
     HEADER.CLASS,
-    own.class,
+    values.class,
     HEADER.INCARNATION,
-    own.incarnation,
+    values.incarnation,
     HEADER.REQUEST_ID,
-    own.id,
+    values.id,
     HEADER.ATTEMPT,
-    String(own.attempt),
+    String(values.attempt),
     HEADER.TIMEOUT,
-    String(own.timeoutMs),
+    String(values.timeoutMs),
   ];
   if (upgrade) {
     add.push(
       "Connection",
       "upgrade",
       "Upgrade",
-      valueOf(rawHeaders, "upgrade") ?? "",
+      headerValue(rawHeaders, "upgrade") ?? "",
     );
   }
   if (Buffer.isBuffer(body)) {
     add.push("Content-Length", String(body.length));
     return forwardHeaders(rawHeaders, { drop: DROPPED_WITH_BODY, add });
   }
-  if (body && valueOf(rawHeaders, "content-length") === undefined) {
+  if (body && headerValue(rawHeaders, "content-length") === undefined) {
     add.push("Transfer-Encoding", "chunked");
   }
   return forwardHeaders(rawHeaders, { drop: DROPPED, add });
@@ -89,9 +89,9 @@
 const sharedAgent = new Agent({ keepAlive: true, keepAliveMsecs: 5_000 });
 
 /**
- * A kept connection may turn out closed just as a request is written to it, and
- * nobody can tell then whether it was read. So requests that may run once only
- * take a fresh one.
+ * The agent for a request. A keep-alive connection may be closed while a request is being
+ * written to it, and then it is unknown whether the request was read. So requests that
+ * may run only once use a new connection.
  */
 export const agentFor = (request: {
   readonly repeatable: boolean;
--- a/packages/entry/tests/sideServer.test.ts
+++ b/packages/entry/tests/sideServer.test.ts
@@ -1,4 +1,4 @@
-/** Which of a host's connections the leader listens to, over real sockets. */
+/** Which of a host's connections the leader accepts reports from, over real sockets. */
 
 import { once } from "node:events";
 import { connect, createServer } from "node:net";
@@ -33,9 +33,9 @@
 const TIMEOUT_MS = 1_000;
 const ADDRESS = processLoopbackAddress(1);
 
-const reportOf = (life: string): HostReport => ({
+const reportOf = (instance: string): HostReport => ({
   worker: {
-    instance: brand<WorkerInstance>(life),
+    instance: brand<WorkerInstance>(instance),
     service: brand<ServiceName>("kaigi"),
     labels: [],
     rack: "",
@@ -52,7 +52,7 @@
   lostRuns: [],
 });
 
-/** What an engine is told, and through which session it would give orders. */
+/** Records the reports that an engine receives, and the session that it would send orders to. */
 class EngineProbe {
   readonly reported: WorkerInstance[] = [];
   session: HostSession | undefined;
@@ -109,11 +109,11 @@
 const attach = (side: SideConnection) =>
   side.call("attach", { host: HOST, availabilityZone: ZONE }, TIMEOUT_MS);
 
-const report = (side: SideConnection, life: string) =>
-  side.call("report", reportOf(life), TIMEOUT_MS);
+const report = (side: SideConnection, instance: string) =>
+  side.call("report", reportOf(instance), TIMEOUT_MS);
 
 const withServer = async (
-  play: (listen: ListenAddress, probe: EngineProbe) => Promise<void>,
+  run: (listen: ListenAddress, probe: EngineProbe) => Promise<void>,
 ): Promise<void> => {
   const listen = { address: ADDRESS, port: await freePort() };
   const probe = new EngineProbe();
@@ -129,33 +129,37 @@
   });
   await server.start();
   try {
-    await play(listen, probe);
+    await run(listen, probe);
   } finally {
     await server.stop();
   }
 };
 
-// It speaks of the worker's former life, and would end the runs of the present one.
-test("a report over a connection that its side has replaced is not taken", async () => {
+// Such a report is about the previous incarnation of the worker, and would end the runs of
+// the current one.
+test("a report over a connection that its side has replaced is refused", async () => {
   await withServer(async (listen, probe) => {
     const old = await openSide(listen);
     await attach(old);
-    await report(old, "first life");
+    await report(old, "first incarnation");
     const present = await openSide(listen);
     await attach(present);
-    await report(present, "second life");
-    const late = await report(old, "first life").then(
+    await report(present, "second incarnation");
+    const late = await report(old, "first incarnation").then(
       () => "taken",
       () => "refused",
     );
     expect(late).toEqual("refused");
-    expect(probe.reported.map(String)).toEqual(["first life", "second life"]);
+    expect(probe.reported.map(String)).toEqual([
+      "first incarnation",
+      "second incarnation",
+    ]);
     present.close("the test is over");
   });
 });
 
-// Otherwise reports are answered and leases renewed, but no order reaches the host.
-test("a host whose connections attached out of order gets a connection for orders again", async () => {
+// Otherwise reports would be answered and leases renewed, but no order would reach the host.
+test("a host whose connections attached out of order has a session for orders or reattaches", async () => {
   await withServer(async (listen, probe) => {
     const present = await openSide(listen);
     await attach(present);
