--- a/packages/protocol/src/Attempt.ts
+++ b/packages/protocol/src/Attempt.ts
@@ -89,14 +89,14 @@
       headers: headers as unknown as Record<string, string>,
     });
     this.response = new Promise((resolve, reject) => {
-      let answered = false;
+      let hasResponse = false;
       this.req.on("response", (answer) => {
-        answered = true;
+        hasResponse = true;
         resolve(answer);
       });
       if (onUpgrade) {
         this.req.on("upgrade", (answer, socket, head) => {
-          answered = true;
+          hasResponse = true;
           resolve(answer);
           onUpgrade(answer, socket, head);
         });
@@ -104,12 +104,12 @@
       this.req.on("error", (err) => reject(this.failure(err)));
       this.req.on("close", () => {
         // Errors are costly to create: none is where the answer has come.
-        if (!answered) reject(this.failure(undefined));
+        if (!hasResponse) reject(this.failure(undefined));
       });
     });
     // A caller that gave up does not look at the answer any more.
     this.response.catch(() => undefined);
-    this.noteConnection();
+    this.trackConnection();
     this.sendBody();
   }
 
@@ -122,7 +122,7 @@
     return new AttemptFailedError(this.connected, this.options.address, cause);
   }
 
-  private noteConnection(): void {
+  private trackConnection(): void {
     this.req.on("socket", (socket) => {
       if (!socket.connecting) this.connected = true;
       else socket.once("connect", () => (this.connected = true));
--- a/packages/protocol/src/ConfirmedHttpClient.ts
+++ b/packages/protocol/src/ConfirmedHttpClient.ts
@@ -25,7 +25,7 @@
    * Asks over a new connection which process answers.
    * @throws when it is not the one that is meant; the call is not sent then
    */
-  readonly confirmPeer: (ask: SendProbe) => Promise<void>;
+  readonly confirmPeer: (sendProbe: SendProbe) => Promise<void>;
 }
 
 export interface ConfirmedHttpClientOptions {
@@ -133,12 +133,12 @@
     confirmPeer: confirm,
   }: ConfirmedCall): Promise<void> {
     this.peer = undefined;
-    await confirm((call) => this.ask(call));
+    await confirm((call) => this.probe(call));
     this.peer = peer;
   }
 
   /** What is asked here takes no effect that the call itself depends on. */
-  private async ask(call: HttpCall): Promise<HttpResponse> {
+  private async probe(call: HttpCall): Promise<HttpResponse> {
     const admits = (socket: Socket): boolean => {
       this.socket = socket;
       return true;
--- a/packages/protocol/src/HttpClient.ts
+++ b/packages/protocol/src/HttpClient.ts
@@ -9,7 +9,7 @@
 
 const DEFAULT_TIMEOUT_MS = 5_000;
 const DEFAULT_MAX_SOCKETS = 16;
-const MAX_ANSWER_BYTES = 64 * 1024 * 1024;
+const MAX_RESPONSE_BYTES = 64 * 1024 * 1024;
 
 const clock = new SystemClock({ keepsProcessAlive: true });
 
@@ -65,7 +65,7 @@
     const url = this.urlOf(call.path);
     const res = await this.send(url, call);
     try {
-      const body = await readBody(res, MAX_ANSWER_BYTES);
+      const body = await readBody(res, MAX_RESPONSE_BYTES);
       return { status: res.statusCode ?? 0, body };
     } catch (err) {
       throw new LostAnswerError(`the answer of ${url} broke off`, err);
--- a/packages/protocol/src/JsonRpcConnection.ts
+++ b/packages/protocol/src/JsonRpcConnection.ts
@@ -54,7 +54,7 @@
   readonly closed: Promise<string>;
   private readonly peer: JSONRPCServerAndClient;
   private chunks: Buffer[] = [];
-  private gathered = 0;
+  private bufferedBytes = 0;
   private endReason: string | undefined;
 
   constructor(
@@ -160,19 +160,19 @@
       this.chunks.push(rest.subarray(0, end));
       const line = Buffer.concat(this.chunks).toString("utf8");
       this.chunks = [];
-      this.gathered = 0;
+      this.bufferedBytes = 0;
       rest = rest.subarray(end + 1);
-      this.take(line);
+      this.handleLine(line);
     }
     if (rest.length === 0) return;
     this.chunks.push(rest);
-    this.gathered += rest.length;
-    if (this.gathered > JSON_RPC_CONNECTION_LIMITS.maxLineBytes) {
+    this.bufferedBytes += rest.length;
+    if (this.bufferedBytes > JSON_RPC_CONNECTION_LIMITS.maxLineBytes) {
       this.close("a message is too long");
     }
   }
 
-  private take(line: string): void {
+  private handleLine(line: string): void {
     let message: unknown;
     try {
       message = JSON.parse(line);
--- a/packages/protocol/src/hostMethods.ts
+++ b/packages/protocol/src/hostMethods.ts
@@ -83,13 +83,13 @@
 /** A run that may have begun in a life of the worker that has crashed since. */
 export type LostRun = z.output<typeof lostRunSchema>;
 
-const neverBegunSchema = z.array(z.object(runShape));
+const neverStartedSchema = z.array(z.object(runShape));
 
 /**
  * Runs whose ends a worker had listed before it crashed. No leader may have taken note
  * of them; told for as long as lost runs are. Absent from an older side.
  */
-const unheardEndsSchema = z.array(z.object(runShape)).optional();
+const unreportedEndsSchema = z.array(z.object(runShape)).optional();
 
 const reportSchema = z.object({
   worker: workerSchema,
@@ -106,19 +106,19 @@
    * Runs of former lives that were told as lost, and that never began: the answers to
    * their orders came later. Absent from an older side.
    */
-  neverBegun: neverBegunSchema.optional(),
+  neverBegun: neverStartedSchema.optional(),
   /**
    * For how long a start that was sent to another life may yet be carried out by this
    * one, milliseconds. Its lease is by the clock of that life, so it may be the longest.
    * Absent from an older side.
    */
   formerStartsForMs: z.number().min(0).optional(),
-  unheardEnds: unheardEndsSchema,
+  unheardEnds: unreportedEndsSchema,
 });
 
 export type HostReport = z.output<typeof reportSchema>;
 
-const disturbanceSchema = z.object({
+const interferenceWeightSchema = z.object({
   /** Image of the serving task. */
   serving: z.string(),
   /** Image of the filling task. */
@@ -128,7 +128,7 @@
 });
 
 /** How much one image disturbs another, as the leader has learnt from all hosts. */
-export type InterferenceWeight = z.output<typeof disturbanceSchema>;
+export type InterferenceWeight = z.output<typeof interferenceWeightSchema>;
 
 const grantSchema = z.object({
   /** Time on the worker's clock until which its tasks may run; absent for none. */
@@ -136,7 +136,7 @@
   /** Ends up to this number are kept; the worker may forget them. */
   acknowledged: z.number(),
   /** Pairs of images on this host; those left out do not disturb. */
-  disturbances: z.array(disturbanceSchema).optional(),
+  disturbances: z.array(interferenceWeightSchema).optional(),
 });
 
 export type Grant = z.output<typeof grantSchema>;
@@ -159,7 +159,7 @@
     params: z.object({
       instance: idSchema<WorkerInstance>(),
       lostRuns: z.array(lostRunSchema).default([]),
-      unheardEnds: unheardEndsSchema,
+      unheardEnds: unreportedEndsSchema,
     }),
     result: z.object({}),
   },
@@ -175,7 +175,7 @@
        */
       overInMs: z.number().min(0).optional(),
       /** As in a report, of which there are none while the worker is silent. */
-      neverBegun: neverBegunSchema.optional(),
+      neverBegun: neverStartedSchema.optional(),
     }),
     /** Whether this leader may still grant leases. */
     result: z.object({ grants: z.boolean() }),
@@ -184,7 +184,7 @@
   ping: { params: z.object({}), result: z.object({}) },
 };
 
-const natureSchema = z.object({
+const interferenceProfileSchema = z.object({
   kind: z.enum(["serving", "filling", "plain"]),
   /** Tail latency below which a serving task is to stay, milliseconds; else 0. */
   tailTargetMs: z.number(),
@@ -194,7 +194,7 @@
 });
 
 /** How a task behaves beside others; the side paces by it. */
-export type InterferenceProfile = z.output<typeof natureSchema>;
+export type InterferenceProfile = z.output<typeof interferenceProfileSchema>;
 
 const callResultSchema = z.discriminatedUnion("kind", [
   z.object({ kind: z.literal("ok"), at: numberOf<WorkerTime>() }),
@@ -232,7 +232,7 @@
   ticket: z.string().optional(),
   /** Pace at which a filling task begins, percent; an older leader names none. */
   firstPercent: z.number().min(0).max(FULL_PACE).default(FULL_PACE),
-  nature: natureSchema,
+  nature: interferenceProfileSchema,
 });
 
 export type StartTaskCall = z.output<typeof startSchema>;
@@ -263,7 +263,10 @@
   describe: {
     params: z.object({
       tasks: z.array(
-        z.object({ task: idSchema<JobTaskId>(), nature: natureSchema }),
+        z.object({
+          task: idSchema<JobTaskId>(),
+          nature: interferenceProfileSchema,
+        }),
       ),
     }),
     result: z.object({}),
--- a/packages/protocol/src/joinSockets.ts
+++ b/packages/protocol/src/joinSockets.ts
@@ -14,7 +14,7 @@
   readonly upstreamHead: Buffer;
 }
 
-const upgradeAnswer = (answer: IncomingMessage): string => {
+const upgradeResponseHead = (answer: IncomingMessage): string => {
   const lines = [`HTTP/1.1 ${answer.statusCode} ${answer.statusMessage ?? ""}`];
   const { rawHeaders } = answer;
   for (let i = 0; i + 1 < rawHeaders.length; i += 2) {
@@ -29,7 +29,7 @@
   socket.on("close", () => upstream.destroy());
   upstream.on("error", () => upstream.destroy());
   upstream.on("close", () => socket.destroy());
-  socket.write(upgradeAnswer(answer));
+  socket.write(upgradeResponseHead(answer));
   if (upstreamHead.length > 0) socket.write(upstreamHead);
   if (head.length > 0) upstream.write(head);
   socket.pipe(upstream);
--- a/packages/protocol/src/relayResponse.ts
+++ b/packages/protocol/src/relayResponse.ts
@@ -11,7 +11,7 @@
 }
 
 /** Trailers that may be passed on; the head must have been written. */
-const passTrailers = (from: IncomingMessage, to: ServerResponse): void => {
+const forwardTrailers = (from: IncomingMessage, to: ServerResponse): void => {
   const pairs: [string, string][] = [];
   const { rawTrailers } = from;
   for (let i = 0; i + 1 < rawTrailers.length; i += 2) {
@@ -47,7 +47,7 @@
     from.on("end", () => {
       if (!from.complete) return finish("broken");
       if (to.destroyed) return;
-      passTrailers(from, to);
+      forwardTrailers(from, to);
       to.end();
     });
     from.on("error", () => finish("broken"));
--- a/packages/protocol/src/rpc.ts
+++ b/packages/protocol/src/rpc.ts
@@ -93,7 +93,7 @@
 
   /** Handles one HTTP request to `RPC_PATH`. */
   async handle(req: IncomingMessage, res: ServerResponse): Promise<void> {
-    const answer = await this.answer(req);
+    const answer = await this.respond(req);
     const body = JSON.stringify(answer);
     res.writeHead(200, {
       "content-type": "application/json",
@@ -102,7 +102,7 @@
     res.end(body);
   }
 
-  private async answer(req: IncomingMessage): Promise<JSONRPCResponse | null> {
+  private async respond(req: IncomingMessage): Promise<JSONRPCResponse | null> {
     let call: unknown;
     try {
       call = JSON.parse((await readBody(req, MAX_CALL_BYTES)).toString("utf8"));
--- a/packages/protocol/src/startTimeout.ts
+++ b/packages/protocol/src/startTimeout.ts
@@ -7,7 +7,7 @@
 import type { Clock, Timer } from "@rackspan/common";
 
 /** Timers are late by as much in a process that does not stand still. */
-const LEAST_STANDSTILL_MS = 2;
+const MIN_SUSPENSION_MS = 2;
 
 /** Waits at most twice `timeoutMs`, and longer only while the process stands still. */
 export const startTimeout = (
@@ -16,16 +16,16 @@
   onTimeout: () => void,
 ): Timer => {
   let timer: Timer | undefined;
-  let leftToGiveMs = timeoutMs;
+  let extensionLeftMs = timeoutMs;
   const wait = (ms: number): void => {
     const dueAt = clock.monotonic() + ms;
     timer = clock.after(ms, () => {
-      const lateMs = Math.min(clock.monotonic() - dueAt, leftToGiveMs);
-      if (lateMs < LEAST_STANDSTILL_MS) {
+      const lateMs = Math.min(clock.monotonic() - dueAt, extensionLeftMs);
+      if (lateMs < MIN_SUSPENSION_MS) {
         onTimeout();
         return;
       }
-      leftToGiveMs -= lateMs;
+      extensionLeftMs -= lateMs;
       wait(lateMs);
     });
   };
--- a/packages/protocol/tests/confirmedHttpClient.test.ts
+++ b/packages/protocol/tests/confirmedHttpClient.test.ts
@@ -17,7 +17,7 @@
 /** For calls that get no answer. */
 const TIMEOUT_MS = 300;
 /** For calls that get one, however busy the machine is. */
-const PATIENT_MS = 30_000;
+const LONG_TIMEOUT_MS = 30_000;
 
 const ADDRESS = processLoopbackAddress(1);
 
@@ -25,14 +25,14 @@
 
 /** A process that says its name when it is asked for it, and notes all other calls. */
 class NamedProcess {
-  asked = 0;
+  probes = 0;
   calls = 0;
   answers = true;
   private readonly server: Server;
 
   constructor(name: string) {
     this.server = createServer((req, res) => {
-      if (req.url === "/name") this.asked += 1;
+      if (req.url === "/name") this.probes += 1;
       else this.calls += 1;
       if (this.answers) res.end(name);
     });
@@ -52,14 +52,14 @@
   }
 }
 
-const callFor = (peer: string, timeoutMs = PATIENT_MS): ConfirmedCall => ({
+const callFor = (peer: string, timeoutMs = LONG_TIMEOUT_MS): ConfirmedCall => ({
   method: "POST",
   path: "/act",
   body: "{}",
   timeoutMs,
   peer,
-  confirmPeer: async (ask) => {
-    const { body } = await ask({
+  confirmPeer: async (sendProbe) => {
+    const { body } = await sendProbe({
       method: "GET",
       path: "/name",
       timeoutMs,
@@ -85,7 +85,7 @@
 test("a connection is confirmed once, and then used for call after call", async (t) => {
   const { client, first } = await startBoth(t);
   for (let at = 0; at < 5; at += 1) await client.call(callFor("first"));
-  expect([first.asked, first.calls]).toEqual([1, 5]);
+  expect([first.probes, first.calls]).toEqual([1, 5]);
 });
 
 test("a call does not reach the process that has taken the place of the one meant", async (t) => {
@@ -95,7 +95,7 @@
   // The first try may go over the connection that was closed a moment ago.
   await expect(client.call(callFor("first"))).toBeRejected();
   await expect(client.call(callFor("first"))).toBeRejectedWith(OtherPeerError);
-  expect([second.asked > 0, second.calls]).toEqual([true, 0]);
+  expect([second.probes > 0, second.calls]).toEqual([true, 0]);
   await client.call(callFor("second"));
   expect(second.calls).toEqual(1);
 });
@@ -107,7 +107,7 @@
   await client
     .call(callFor("first"))
     .catch(() => client.call(callFor("first")));
-  expect(first.asked).toEqual(2);
+  expect(first.probes).toEqual(2);
 });
 
 test("a call whose connection cannot be confirmed in time was not sent", async (t) => {
--- a/packages/protocol/tests/httpClient.test.ts
+++ b/packages/protocol/tests/httpClient.test.ts
@@ -20,7 +20,7 @@
 /** For calls that get no answer. */
 const TIMEOUT_MS = 150;
 /** For calls that get one, however busy the machine is. */
-const PATIENT_MS = 30_000;
+const LONG_TIMEOUT_MS = 30_000;
 const KEPT_OPEN = 4;
 
 const METER_TICK_MS = 10;
@@ -28,19 +28,19 @@
 /** Milliseconds for which this process ran, without those for which it stood still. */
 const startRunMeter = (t: TestContext): (() => number) => {
   let ranMs = 0;
-  let lookedAt = performance.now();
-  const look = (): number => {
+  let updatedAt = performance.now();
+  const update = (): number => {
     const now = performance.now();
-    ranMs += Math.min(now - lookedAt, 2 * METER_TICK_MS);
-    lookedAt = now;
+    ranMs += Math.min(now - updatedAt, 2 * METER_TICK_MS);
+    updatedAt = now;
     return ranMs;
   };
-  const timer = setInterval(look, METER_TICK_MS);
+  const timer = setInterval(update, METER_TICK_MS);
   t.after(() => clearInterval(timer));
-  return look;
+  return update;
 };
 
-const createSilencingServer = async () => {
+const createStallingServer = async () => {
   const silent = new Set<Socket>();
   const waiting: ServerResponse[] = [];
   let gathers = true;
@@ -52,14 +52,14 @@
   server.listen(0, "127.0.0.1");
   await once(server, "listening");
   /** Answers what is waiting, then never speaks on those connections again. */
-  const fallSilent = (): void => {
+  const stopResponding = (): void => {
     gathers = false;
     for (const res of waiting) {
       if (res.socket) silent.add(res.socket);
       res.end("first");
     }
   };
-  return { server, waiting, fallSilent };
+  return { server, waiting, stopResponding };
 };
 
 /** A client with one connection at a time, and the paths that its server was asked for. */
@@ -82,7 +82,7 @@
 };
 
 test("connections that fell silent cost one time-out, not one each", async (t) => {
-  const { server, waiting, fallSilent } = await createSilencingServer();
+  const { server, waiting, stopResponding } = await createStallingServer();
   t.after(async () => {
     server.closeAllConnections();
     await closeServer(server);
@@ -90,12 +90,12 @@
   const client = new HttpClient({ baseUrl: `http://${addressOf(server)}` });
   const call = (timeoutMs: number) =>
     client.call({ method: "GET", path: "/", timeoutMs });
-  const first = Array.from({ length: KEPT_OPEN }, () => call(PATIENT_MS));
+  const first = Array.from({ length: KEPT_OPEN }, () => call(LONG_TIMEOUT_MS));
   while (waiting.length < KEPT_OPEN) await new Promise(setImmediate);
-  fallSilent();
+  stopResponding();
   await Promise.all(first);
   const outcomes: string[] = [];
-  for (const timeoutMs of [TIMEOUT_MS, PATIENT_MS]) {
+  for (const timeoutMs of [TIMEOUT_MS, LONG_TIMEOUT_MS]) {
     const outcome = await call(timeoutMs).then(
       ({ body }) => body.toString("utf8"),
       () => "no answer",
@@ -120,7 +120,7 @@
   await expect(call("/behind", TIMEOUT_MS)).toBeRejectedWith(ConnectError);
   expect(readRunMs() < 3 * TIMEOUT_MS).toEqual(true);
   await silent;
-  const { body } = await call("/next", PATIENT_MS);
+  const { body } = await call("/next", LONG_TIMEOUT_MS);
   expect(body.toString("utf8")).toEqual("answered");
   expect(paths).toEqual(["/silent", "/next"]);
 });
@@ -135,7 +135,7 @@
   const call = (path: string, timeoutMs: number) =>
     client.call({ method: "POST", path, timeoutMs });
   for (const path of ["/broken", "/silent"]) {
-    await call("/answered", PATIENT_MS);
+    await call("/answered", LONG_TIMEOUT_MS);
     await expect(call(path, TIMEOUT_MS)).toBeRejectedWith(LostAnswerError);
     expect(paths.at(-1)).toEqual(path);
   }
--- a/packages/protocol/tests/processSuspension.test.ts
+++ b/packages/protocol/tests/processSuspension.test.ts
@@ -12,42 +12,43 @@
 } from "@rackspan/protocol";
 
 const TIMEOUT_MS = 500;
-const STANDSTILL_MS = 2 * TIMEOUT_MS;
+const SUSPENSION_MS = 2 * TIMEOUT_MS;
 const ANSWER_LIMIT_MS = 30_000;
-const PATIENT_MS = 30_000;
+const LONG_TIMEOUT_MS = 30_000;
 
 const CALL: HttpCall = { method: "GET", path: "/", timeoutMs: TIMEOUT_MS };
 
-const PATIENT_CALL: HttpCall = { ...CALL, timeoutMs: PATIENT_MS };
+const LONG_CALL: HttpCall = { ...CALL, timeoutMs: LONG_TIMEOUT_MS };
 
-const createWord = (): Int32Array => new Int32Array(new SharedArrayBuffer(4));
+const createSharedInt = (): Int32Array =>
+  new Int32Array(new SharedArrayBuffer(4));
 
-const standStill = (): void =>
-  void Atomics.wait(createWord(), 0, 0, STANDSTILL_MS);
+const blockThread = (): void =>
+  void Atomics.wait(createSharedInt(), 0, 0, SUSPENSION_MS);
 
 const startServer = async (t: TestContext) => {
-  const answered = createWord();
+  const answered = createSharedInt();
   const thread = new Worker(new URL("./answeringThread.js", import.meta.url), {
     workerData: answered,
   });
   t.after(() => thread.terminate());
   const [address] = (await once(thread, "message")) as [string];
   /** Stands still until that answer has lain in the socket past its time. */
-  const standStillPast = (answer: number): void => {
+  const blockUntilOverdue = (answer: number): void => {
     Atomics.wait(answered, 0, answer - 1, ANSWER_LIMIT_MS);
-    standStill();
+    blockThread();
   };
-  return { baseUrl: `http://${address}`, standStillPast };
+  return { baseUrl: `http://${address}`, blockUntilOverdue };
 };
 
 test("an answer that came while the process stood still is not lost", async (t) => {
-  const { baseUrl, standStillPast } = await startServer(t);
+  const { baseUrl, blockUntilOverdue } = await startServer(t);
   const client = new HttpClient({ baseUrl });
   t.after(() => client.close());
-  await client.call(PATIENT_CALL);
+  await client.call(LONG_CALL);
   const late = client.call(CALL);
   // The call is sent by then, and no socket has been read since.
-  setImmediate(() => standStillPast(2));
+  setImmediate(() => blockUntilOverdue(2));
   expect((await late).body.toString("utf8")).toEqual("answered");
 });
 
@@ -56,22 +57,22 @@
   const client = new HttpClient({ baseUrl });
   t.after(() => client.close());
   const late = client.call(CALL);
-  standStill();
+  blockThread();
   expect((await late).body.toString("utf8")).toEqual("answered");
 });
 
 test("a call that stood still behind another one gets its connection", async (t) => {
-  const { baseUrl, standStillPast } = await startServer(t);
+  const { baseUrl, blockUntilOverdue } = await startServer(t);
   const client = new ConfirmedHttpClient({ baseUrl, maxSockets: 1 });
   const call: ConfirmedCall = {
     ...CALL,
     peer: "the only one",
-    confirmPeer: async (ask) => void (await ask(PATIENT_CALL)),
+    confirmPeer: async (sendProbe) => void (await sendProbe(LONG_CALL)),
   };
-  const patient = { ...call, ...PATIENT_CALL };
-  await client.call(patient);
-  const calls = [client.call(patient), client.call(call)];
-  setImmediate(() => standStillPast(3));
+  const longCall = { ...call, ...LONG_CALL };
+  await client.call(longCall);
+  const calls = [client.call(longCall), client.call(call)];
+  setImmediate(() => blockUntilOverdue(3));
   const answers = await Promise.all(calls);
   expect(answers.map(({ status }) => status)).toEqual([200, 200]);
 });
--- a/packages/state/src/Appender.ts
+++ b/packages/state/src/Appender.ts
@@ -69,7 +69,7 @@
   private readonly queue: Pending[] = [];
   private readonly awaitingFold = new Map<number, Pending>();
   private readonly queued = new ChangeSignal();
-  private readonly foldMoved = new ChangeSignal();
+  private readonly foldAdvanced = new ChangeSignal();
   private nextNumber = 0;
   private lastAppendAt: Monotonic = -Infinity;
 
@@ -128,7 +128,7 @@
     } catch (err) {
       if (!(err instanceof AbortedError)) throw err;
     } finally {
-      this.refuseQueued();
+      this.expirePending();
     }
   }
 
@@ -147,7 +147,7 @@
     items.forEach((item, index) =>
       this.awaitingFold.set(batch.first + index, item),
     );
-    await this.sendUntilKept(batch, signal);
+    await this.appendUntilPersisted(batch, signal);
   }
 
   private takeBatch(): readonly Pending[] {
@@ -169,39 +169,41 @@
    * drops when it saw them before. What surely has not landed is sent anew,
    * without the records whose callers were told that they are refused.
    */
-  private async sendUntilKept(
+  private async appendUntilPersisted(
     first: SentBatch,
     signal: AbortSignal,
   ): Promise<void> {
     const { clock, random, logger } = this.options;
     let batch = first;
     let retryMs: number = APPENDER_DEFAULTS.retryMs;
-    let mayHaveLanded = false;
-    while (batch.items.length > 0 && !this.wasApplied(batch)) {
+    let mayBeAppended = false;
+    while (batch.items.length > 0 && !this.isApplied(batch)) {
       markInDoubt(batch, true);
       const result = await this.appendOnce(batch);
       if (result === "kept") return;
-      mayHaveLanded ||= result === "unknown";
+      mayBeAppended ||= result === "unknown";
       logger.warn("append.retry", {
         result,
         first: batch.first,
         records: batch.items.length,
       });
-      if (!mayHaveLanded) markInDoubt(batch, false);
-      else if (await this.seenWithin(batch, APPENDER_DEFAULTS.readBackMs))
+      if (!mayBeAppended) markInDoubt(batch, false);
+      else if (await this.isAppliedWithin(batch, APPENDER_DEFAULTS.readBackMs))
         return;
       await sleep(clock, jitter(random, retryMs), signal);
       retryMs = Math.min(retryMs * 2, APPENDER_DEFAULTS.maxRetryMs);
-      if (!mayHaveLanded) batch = this.withoutDone(batch);
+      if (!mayBeAppended) batch = this.withoutDone(batch);
     }
   }
 
   /** Only for a batch of which nothing can have landed: its numbers are used again. */
   private withoutDone({ first, items }: SentBatch): SentBatch {
     items.forEach((_, index) => this.awaitingFold.delete(first + index));
-    const kept = items.filter((item) => !item.done);
-    kept.forEach((item, index) => this.awaitingFold.set(first + index, item));
-    return { first, items: kept };
+    const remaining = items.filter((item) => !item.done);
+    remaining.forEach((item, index) =>
+      this.awaitingFold.set(first + index, item),
+    );
+    return { first, items: remaining };
   }
 
   private async appendOnce(
@@ -225,31 +227,34 @@
     }
   }
 
-  private wasApplied({ first, items }: SentBatch): boolean {
+  private isApplied({ first, items }: SentBatch): boolean {
     const last = first + items.length - 1;
     return this.options.fold.lastNumberOf(this.options.writer) >= last;
   }
 
-  private async seenWithin(batch: SentBatch, ms: number): Promise<boolean> {
+  private async isAppliedWithin(
+    batch: SentBatch,
+    ms: number,
+  ): Promise<boolean> {
     const { clock } = this.options;
     const end = clock.monotonic() + ms;
-    while (!this.wasApplied(batch)) {
+    while (!this.isApplied(batch)) {
       const left = end - clock.monotonic();
       if (left <= 0) return false;
-      await this.foldMoved.wait(clock, left);
+      await this.foldAdvanced.wait(clock, left);
     }
     return true;
   }
 
-  private onApplied({ writer, number, result: verdict }: AppliedRecord): void {
+  private onApplied({ writer, number, result: result }: AppliedRecord): void {
     if (writer !== this.options.writer) return;
-    this.foldMoved.notify();
+    this.foldAdvanced.notify();
     const item = this.awaitingFold.get(number);
     this.awaitingFold.delete(number);
     if (!item || item.done) return;
     item.done = true;
     item.timer.cancel();
-    item.settle(verdict);
+    item.settle(result);
   }
 
   private expire(item: Pending): void {
@@ -267,7 +272,7 @@
     );
   }
 
-  private refuseQueued(): void {
+  private expirePending(): void {
     for (const item of [...this.queue, ...this.awaitingFold.values()]) {
       item.timer.cancel();
       this.expire(item);
--- a/packages/state/src/EvacuatedZones.ts
+++ b/packages/state/src/EvacuatedZones.ts
@@ -26,12 +26,12 @@
     return this.since.has(zone);
   }
 
-  /** @param isAsked whether the operator asks for it; else the zone is taken back */
-  setEvacuated(zone: AvailabilityZone, isAsked: boolean): void {
-    if (isAsked === this.has(zone)) return;
+  /** @param isEvacuated whether the operator asks for it; else the zone is taken back */
+  setEvacuated(zone: AvailabilityZone, isEvacuated: boolean): void {
+    if (isEvacuated === this.has(zone)) return;
     const { clock, logger, metrics } = this.options;
     const now = clock.now();
-    if (isAsked) {
+    if (isEvacuated) {
       this.since.set(zone, now);
       logger.info("zone.evacuated", { zone, evacuated: this.since.size });
     } else {
--- a/packages/state/src/Fold.ts
+++ b/packages/state/src/Fold.ts
@@ -20,7 +20,7 @@
 import { jobSpec, jobUnitId } from "./units.js";
 
 /** Writers whose last number is remembered, to drop what they repeat. */
-const WRITERS_KEPT = 4_096;
+const MAX_WRITERS = 4_096;
 
 export interface AppliedRecord {
   readonly writer: Incarnation;
@@ -53,7 +53,7 @@
   readonly requests = new RequestFold();
   /** Emits each record right after it was applied. */
   readonly applied = new Emitter<AppliedRecord>();
-  private readonly writers = new BoundedMap<Incarnation, number>(WRITERS_KEPT);
+  private readonly writers = new BoundedMap<Incarnation, number>(MAX_WRITERS);
   private count = 0;
 
   constructor(private readonly options: FoldOptions = {}) {}
@@ -74,8 +74,8 @@
       const repeated = number <= this.lastNumberOf(writer);
       if (repeated && this.options.ignoreDuplicates !== false) return;
       this.writers.set(writer, number);
-      const verdict = this.apply(record);
-      this.applied.emit({ writer, number, record, result: verdict });
+      const result = this.apply(record);
+      this.applied.emit({ writer, number, record, result: result });
     });
   }
 
--- a/packages/state/src/JobView.ts
+++ b/packages/state/src/JobView.ts
@@ -83,12 +83,12 @@
 
   /** Cancels taken before the given time of day whose jobs have not come. */
   cancelsWithoutJob(before: Instant): JobId[] {
-    const never: JobId[] = [];
+    const ids: JobId[] = [];
     for (const [id, at] of this.cancels) {
-      const hasCome = this.jobs.has(id) || this.unreadable.has(id);
-      if (at < before && !hasCome) never.push(id);
+      const hasArrived = this.jobs.has(id) || this.unreadable.has(id);
+      if (at < before && !hasArrived) ids.push(id);
     }
-    return never;
+    return ids;
   }
 
   /** Jobs of the queue of which no task has begun. */
@@ -172,9 +172,9 @@
   }
 
   /** @returns whether the record could be read */
-  private decode(key: string, take: () => void): boolean {
+  private decode(key: string, apply: () => void): boolean {
     try {
-      take();
+      apply();
       return true;
     } catch (err) {
       const { logger, metrics } = this.options;
--- a/packages/state/src/LogFollower.ts
+++ b/packages/state/src/LogFollower.ts
@@ -51,7 +51,7 @@
   private reachedEnd = false;
   private lastReadAt: Monotonic = -Infinity;
   private failure: Error | undefined;
-  private readonly moved = new ChangeSignal();
+  private readonly changed = new ChangeSignal();
 
   constructor(private readonly options: LogFollowerOptions) {}
 
@@ -77,7 +77,7 @@
 
   /** Resolves at the next change of position, readiness or fault, or after `ms`. */
   waitForChange(ms: number): Promise<void> {
-    return this.moved.wait(this.options.clock, ms);
+    return this.changed.wait(this.options.clock, ms);
   }
 
   /** Follows until the signal ends it, or until the past is lost. */
@@ -91,7 +91,7 @@
         retryMs = RETRY_MS;
       } catch (err) {
         if (signal.aborted || err instanceof AbortedError) return;
-        if (isFinal(err)) return this.fail(err as Error);
+        if (isPermanent(err)) return this.fail(err as Error);
         this.options.metrics.count("log_read_errors");
         logger.warn("log.read-failed", { error: describeError(err) });
         await sleep(clock, jitter(random, retryMs), signal).catch(
@@ -105,7 +105,7 @@
   private async readOnce(signal: AbortSignal): Promise<void> {
     const { log, fold, clock } = this.options;
     const waitMs = this.reachedEnd ? READ_WAIT_MS : 0;
-    const page = await this.readOrExplain(() =>
+    const page = await this.readWithinRetention(() =>
       log.read(RECORD_STREAM, { from: this.from, waitMs, signal }),
     );
     this.lastReadAt = clock.monotonic();
@@ -115,11 +115,11 @@
     }
     this.from = offset(Math.max(this.from, page.next));
     if (page.entries.length === 0) this.reachedEnd = true;
-    this.moved.notify();
+    this.changed.notify();
   }
 
   /** A reader that fell behind retention cannot go on: entries are missing. */
-  private async readOrExplain<T>(read: () => Promise<T>): Promise<T> {
+  private async readWithinRetention<T>(read: () => Promise<T>): Promise<T> {
     try {
       return await read();
     } catch (err) {
@@ -131,10 +131,10 @@
 
   private async restore(): Promise<void> {
     const { fold, logger, snapshots, peers } = this.options;
-    const kept = await settle(snapshots.load());
+    const fromLog = await settle(snapshots.load());
     const fromPeer = await settle(peers.fetchNewest());
-    const best = highest(kept.value, fromPeer.value);
-    if (!best && kept.error) throw kept.error;
+    const best = newerOf(fromLog.value, fromPeer.value);
+    if (!best && fromLog.error) throw fromLog.error;
     if (best) {
       fold.restore(best.state);
       this.from = best.covered;
@@ -151,7 +151,7 @@
     this.failure = err;
     this.options.metrics.count("log_follow_failed");
     this.options.logger.error("state.lost", { error: describeError(err) });
-    this.moved.notify();
+    this.changed.notify();
   }
 }
 
@@ -168,7 +168,7 @@
   }
 };
 
-const highest = (
+const newerOf = (
   a: Snapshot | undefined,
   b: Snapshot | undefined,
 ): Snapshot | undefined => {
@@ -176,5 +176,5 @@
   return a.covered >= b.covered ? a : b;
 };
 
-const isFinal = (err: unknown): boolean =>
+const isPermanent = (err: unknown): boolean =>
   err instanceof HistoryLostError || err instanceof UnreadableEntryError;
--- a/packages/state/src/OperatorView.ts
+++ b/packages/state/src/OperatorView.ts
@@ -48,7 +48,7 @@
   applyRecords(records: readonly KeyedRecord[]): void {
     for (const record of records) {
       try {
-        this.adopt(this.options.decoder.decode(record));
+        this.apply(this.options.decoder.decode(record));
       } catch (err) {
         const error = describeError(err);
         const { key } = record;
@@ -57,7 +57,7 @@
     }
   }
 
-  private adopt(record: OperatorRecord | undefined): void {
+  private apply(record: OperatorRecord | undefined): void {
     const { config, zones } = this.options;
     switch (record?.kind) {
       case undefined:
--- a/packages/state/src/TopicFollower.ts
+++ b/packages/state/src/TopicFollower.ts
@@ -42,12 +42,12 @@
 export class TopicFollower {
   private readonly abort = new AbortController();
   private next: number | undefined;
-  private confirmedAt: Monotonic | undefined;
+  private completeAt: Monotonic | undefined;
   private answeredAt: Monotonic = -Infinity;
   private reachable = true;
   private task: Promise<void> | undefined;
   /** Keys that were handed on with a value and not dropped since. */
-  private readonly held = new Set<string>();
+  private readonly knownKeys = new Set<string>();
   private readonly waiters = new Set<() => void>();
   /** Ends the poll that is under way, so that a fresh one can be made. */
   private pollAbort = new AbortController();
@@ -71,8 +71,8 @@
 
   /** Milliseconds since the view was last known to be complete; Infinity before. */
   get ageMs(): number {
-    if (this.confirmedAt === undefined) return Infinity;
-    return this.options.clock.monotonic() - this.confirmedAt;
+    if (this.completeAt === undefined) return Infinity;
+    return this.options.clock.monotonic() - this.completeAt;
   }
 
   /** When the store last answered a poll; -Infinity before. */
@@ -88,7 +88,7 @@
   /** Resolves once everything that the store holds now has been handed on. */
   async catchUp(signal?: AbortSignal): Promise<void> {
     const askedAt = this.options.clock.monotonic();
-    while ((this.confirmedAt ?? -Infinity) < askedAt) {
+    while ((this.completeAt ?? -Infinity) < askedAt) {
       signal?.throwIfAborted();
       this.pollAbort.abort();
       await new Promise<void>((resolve) => this.waiters.add(resolve));
@@ -96,15 +96,15 @@
   }
 
   private async run(): Promise<void> {
-    const { clock, minPollIntervalMs: floorMs } = this.options;
+    const { clock, minPollIntervalMs: minPollIntervalMs } = this.options;
     while (!this.abort.signal.aborted) {
-      const began = clock.monotonic();
-      const worked = await this.step();
+      const startedAt = clock.monotonic();
+      const succeeded = await this.step();
       const pauseMs =
-        worked && this.waiters.size > 0
+        succeeded && this.waiters.size > 0
           ? 0
-          : worked
-            ? floorMs() - (clock.monotonic() - began)
+          : succeeded
+            ? minPollIntervalMs() - (clock.monotonic() - startedAt)
             : FOLLOW.retryMs;
       if (pauseMs > 0) await this.pauseFor(pauseMs);
     }
@@ -121,12 +121,12 @@
     try {
       if (this.next === undefined) await this.load();
       else await this.poll(this.next);
-      this.noteReachable();
+      this.markReachable();
       return true;
     } catch (err) {
       if (this.abort.signal.aborted) return false;
       if (this.pollAbort.signal.aborted) return true;
-      this.noteFailure(err);
+      this.handleFailure(err);
       return false;
     }
   }
@@ -137,10 +137,10 @@
     // What ended a poll before does not excuse a failure of this reading.
     this.pollAbort = new AbortController();
     const page = await store.readNewest(topic);
-    this.noteUnreadable(page);
-    this.handOn([...this.droppedSince(page), ...page.records]);
+    this.logUnreadable(page);
+    this.passOn([...this.deletedSince(page), ...page.records]);
     this.next = page.next;
-    this.confirm(askedAt);
+    this.markComplete(askedAt);
   }
 
   private async poll(from: number): Promise<void> {
@@ -150,40 +150,40 @@
     this.pollAbort = new AbortController();
     const { signal } = this.pollAbort;
     const page = await store.read({ topic, from, waitMs, signal });
-    this.noteUnreadable(page);
-    if (page.records.length > 0) this.handOn(page.records);
+    this.logUnreadable(page);
+    if (page.records.length > 0) this.passOn(page.records);
     this.next = page.next;
     this.answeredAt = clock.monotonic();
     // An answer holds a megabyte at most: a follower that was cut off reads on.
     const isAtEnd = page.next === from || page.next >= page.end;
-    if (isAtEnd) this.confirm(askedAt);
+    if (isAtEnd) this.markComplete(askedAt);
   }
 
   /**
    * The newest records name no key that was dropped while the follower was cut
    * off. Without this a job that is gone would be held for ever, and run again.
    */
-  private droppedSince(newest: RecordPage): KeyedRecord[] {
+  private deletedSince(newest: RecordPage): KeyedRecord[] {
     const { records, unreadableKeys = [] } = newest;
-    const named = new Set([
+    const listed = new Set([
       ...records.map(({ key }) => key),
       ...unreadableKeys,
     ]);
-    return [...this.held]
-      .filter((key) => !named.has(key))
+    return [...this.knownKeys]
+      .filter((key) => !listed.has(key))
       .map((key) => ({ key, value: undefined }));
   }
 
-  private handOn(records: readonly KeyedRecord[]): void {
+  private passOn(records: readonly KeyedRecord[]): void {
     for (const { key, value } of records) {
-      if (value) this.held.add(key);
-      else this.held.delete(key);
+      if (value) this.knownKeys.add(key);
+      else this.knownKeys.delete(key);
     }
     this.options.onRecords(records);
   }
 
-  private confirm(askedAt: Monotonic): void {
-    this.confirmedAt = askedAt;
+  private markComplete(askedAt: Monotonic): void {
+    this.completeAt = askedAt;
     this.answeredAt = this.options.clock.monotonic();
     const waiters = [...this.waiters];
     this.waiters.clear();
@@ -191,20 +191,20 @@
   }
 
   /** Records of another writer: what the others say holds. */
-  private noteUnreadable({ unreadable = 0, next }: RecordPage): void {
+  private logUnreadable({ unreadable = 0, next }: RecordPage): void {
     if (unreadable === 0) return;
     const { topic, logger } = this.options;
     logger.warn("topic.unreadable", { topic, records: unreadable, next });
   }
 
-  private noteReachable(): void {
+  private markReachable(): void {
     if (this.reachable) return;
     this.reachable = true;
     const { topic, logger } = this.options;
     logger.info("store.regained", { topic, next: this.next });
   }
 
-  private noteFailure(err: unknown): void {
+  private handleFailure(err: unknown): void {
     const { topic, logger } = this.options;
     if (err instanceof RecordsGoneError) {
       // Keyed topics keep each key's newest record: read those again.
--- a/packages/state/src/TopicWriter.ts
+++ b/packages/state/src/TopicWriter.ts
@@ -96,7 +96,7 @@
 
   write(record: KeyedRecord): PendingWrite {
     let queued: QueuedRecord | undefined;
-    const kept = new Promise<number>((resolve, reject) => {
+    const persisted = new Promise<number>((resolve, reject) => {
       const refusal = this.refusal();
       if (refusal) {
         reject(refusal);
@@ -106,7 +106,7 @@
       this.queue.push(queued);
     });
     void this.run();
-    return { persisted: kept, abandon: () => this.abandon(queued) };
+    return { persisted: persisted, abandon: () => this.abandon(queued) };
   }
 
   /**
@@ -151,7 +151,7 @@
   }
 
   /** What has not been sent yet is refused rather than kept waiting. */
-  private refuseWaiting(): void {
+  private rejectQueued(): void {
     const queue = this.queue;
     this.queue = [];
     for (const { reject } of queue) reject(this.stuckError());
@@ -168,9 +168,9 @@
   private async run(): Promise<void> {
     if (this.running) return;
     this.running = true;
-    const { clock, batchWindowMs: gatherMs } = this.options;
+    const { clock, batchWindowMs: batchWindowMs } = this.options;
     while (this.queue.length > 0) {
-      if (gatherMs > 0) await sleep(clock, gatherMs);
+      if (batchWindowMs > 0) await sleep(clock, batchWindowMs);
       const batch = this.takeBatch();
       if (batch.length > 0) await this.sendBatch(batch);
     }
@@ -207,28 +207,28 @@
     signal?: AbortSignal,
   ): Promise<number> {
     const { clock, retriesRefusedBatches: retriesRefused } = this.options;
-    let mayBeKept = false;
+    let mayBePersisted = false;
     let timeoutMs = this.firstTimeoutMs;
     for (;;) {
       signal?.throwIfAborted();
-      if (this.closed && !mayBeKept) throw this.closed;
+      if (this.closed && !mayBePersisted) throw this.closed;
       try {
         return await this.appendOnce(records, timeoutMs);
       } catch (err) {
-        const wanted = err instanceof SequenceError ? err.expected : Infinity;
+        const expected = err instanceof SequenceError ? err.expected : Infinity;
         // The last number kept is below this batch's: no try of it was kept.
-        if (wanted < this.sequence) mayBeKept = false;
-        if (err instanceof SequenceError && !mayBeKept) {
-          this.sequence = wanted;
+        if (expected < this.sequence) mayBePersisted = false;
+        if (err instanceof SequenceError && !mayBePersisted) {
+          this.sequence = expected;
           continue;
         }
         const lost = err instanceof StoreAnswerLostError;
         const refused = err instanceof StoreRefusedError;
-        if (!lost && !refused) throw this.noteFatal(err);
-        mayBeKept ||= lost;
-        if (!mayBeKept && !retriesRefused) throw err;
+        if (!lost && !refused) throw this.closeIfFenced(err);
+        mayBePersisted ||= lost;
+        if (!mayBePersisted && !retriesRefused) throw err;
         if (this.closed) throw err;
-        if (this.isStuck()) this.refuseWaiting();
+        if (this.isStuck()) this.rejectQueued();
         if (lost) timeoutMs = Math.min(WRITER.maxTimeoutMs, 2 * timeoutMs);
       }
       await sleep(clock, WRITER.retryMs);
@@ -247,22 +247,22 @@
       stamp: { producer, epoch, sequence: this.sequence },
       timeoutMs,
     });
-    this.noteAnswered(clock.monotonic() - sentAt);
+    this.adjustTimeout(clock.monotonic() - sentAt);
     // An empty append only sets the epoch and takes no number.
     if (records.length > 0) this.sequence += 1;
     return next;
   }
 
-  private noteAnswered(tookMs: number): void {
+  private adjustTimeout(tookMs: number): void {
     const { firstTimeoutMs, maxTimeoutMs, firstTimeoutFactor } = WRITER;
-    const wantedMs = firstTimeoutFactor * tookMs;
+    const targetMs = firstTimeoutFactor * tookMs;
     this.firstTimeoutMs = Math.min(
       maxTimeoutMs,
-      Math.max(firstTimeoutMs, wantedMs),
+      Math.max(firstTimeoutMs, targetMs),
     );
   }
 
-  private noteFatal(err: unknown): unknown {
+  private closeIfFenced(err: unknown): unknown {
     const { topic, logger, epoch } = this.options;
     logger.warn("writer.closed", { topic, epoch, error: describeError(err) });
     if (err instanceof FencedError) this.close(err);
--- a/packages/state/src/UnitFold.ts
+++ b/packages/state/src/UnitFold.ts
@@ -22,7 +22,7 @@
 export const MAX_FINISHED_JOBS = 20_000;
 
 /** A host up to a generation. */
-interface HostAt {
+interface HostWithGeneration {
   readonly host: HostId;
   readonly generation: HostGeneration;
 }
@@ -30,8 +30,8 @@
 export interface UnitSnapshot {
   readonly units: readonly Unit[];
   readonly finished: readonly Unit[];
-  readonly endedHosts: readonly HostAt[];
-  readonly drainingHosts: readonly HostAt[];
+  readonly endedHosts: readonly HostWithGeneration[];
+  readonly drainingHosts: readonly HostWithGeneration[];
 }
 
 /** Nothing when the record was taken. */
@@ -180,7 +180,7 @@
       const detail = `attempt ${unit.attempt} is ${unit.phase}`;
       return { reason: "not-current", detail };
     }
-    this.free(unit, record.end, record.detail, record.checkpoint);
+    this.endAttempt(unit, record.end, record.detail, record.checkpoint);
     return undefined;
   }
 
@@ -194,7 +194,7 @@
     this.endedHosts.set(host, generation);
     for (const unit of this.claimedBy(host)) {
       if (unit.claim && unit.claim.generation > generation) continue;
-      this.free(unit, "lost", `host ${host} ended`, undefined);
+      this.endAttempt(unit, "lost", `host ${host} ended`, undefined);
     }
     return undefined;
   }
@@ -236,7 +236,7 @@
   }
 
   /** Ends the current attempt, and opens the next one where there is to be one. */
-  private free(
+  private endAttempt(
     unit: Unit,
     end: EndKind,
     detail: string | undefined,
@@ -298,7 +298,7 @@
 
   private addUse(unit: Unit): void {
     const use = this.teamUse.get(unit.spec.team) ?? NO_USE;
-    const resources = addResources(use.resources, heldBy(unit));
+    const resources = addResources(use.resources, claimedResources(unit));
     this.teamUse.set(unit.spec.team, {
       resources,
       jobs: use.jobs + jobCount(unit),
@@ -307,7 +307,7 @@
 
   private removeUse(unit: Unit): void {
     const use = this.teamUse.get(unit.spec.team) ?? NO_USE;
-    const resources = subtractResources(use.resources, heldBy(unit));
+    const resources = subtractResources(use.resources, claimedResources(unit));
     this.teamUse.set(unit.spec.team, {
       resources,
       jobs: use.jobs - jobCount(unit),
@@ -315,10 +315,12 @@
   }
 }
 
-const toList = (hosts: ReadonlyMap<HostId, HostGeneration>): HostAt[] =>
+const toList = (
+  hosts: ReadonlyMap<HostId, HostGeneration>,
+): HostWithGeneration[] =>
   [...hosts].map(([host, generation]) => ({ host, generation }));
 
-const heldBy = (unit: Unit): Resources =>
+const claimedResources = (unit: Unit): Resources =>
   unit.phase === "claimed" ? unit.spec.resources : NO_RESOURCES;
 
 const jobCount = (unit: Unit): number => (unit.spec.kind === "job" ? 1 : 0);
--- a/packages/state/src/jobRecords.ts
+++ b/packages/state/src/jobRecords.ts
@@ -189,7 +189,7 @@
 };
 
 /** Evidence that leaders of earlier versions know: they read no record that has another. */
-const KEPT_EVIDENCE = [
+const STORED_EVIDENCE = [
   "sole",
   "young",
   "unanswered",
@@ -201,7 +201,7 @@
 ] as const;
 
 /** What a run that was lost with its worker says of its task; see CrashLog in jobs. */
-export type CrashEvidence = (typeof KEPT_EVIDENCE)[number] | "doubted";
+export type CrashEvidence = (typeof STORED_EVIDENCE)[number] | "doubted";
 
 const storedProgressSchema = z.object({
   state: z.enum(JOB_STATES),
@@ -220,7 +220,7 @@
     .array(
       z.tuple([
         z.string(),
-        z.array(z.tuple([z.number(), z.enum(KEPT_EVIDENCE)])),
+        z.array(z.tuple([z.number(), z.enum(STORED_EVIDENCE)])),
       ]),
     )
     .default([]),
--- a/packages/state/src/learnedRecords.ts
+++ b/packages/state/src/learnedRecords.ts
@@ -18,7 +18,7 @@
  * comes near the limit; beyond it forecasts would come out as no numbers.
  */
 const logarithm = z.number().min(-50).max(50);
-const spread = z.number().min(-10_000).max(10_000);
+const covarianceTerm = z.number().min(-10_000).max(10_000);
 
 const tailSchema = z.object({
   kind: z.literal("tail"),
@@ -31,7 +31,7 @@
   /** The base, then a weight for each filling image; logarithms. */
   mean: z.array(logarithm),
   /** Lower triangle, row by row. */
-  covariance: z.array(z.array(spread)),
+  covariance: z.array(z.array(covarianceTerm)),
 });
 
 const estimatesSchema = z.object({
@@ -41,14 +41,14 @@
   corrections: z.array(z.tuple([queueSchema, logarithm])),
 });
 
-const learntSchema = z.discriminatedUnion("kind", [
+const learnedSchema = z.discriminatedUnion("kind", [
   tailSchema,
   estimatesSchema,
 ]);
 
 export type LearnedTail = z.output<typeof tailSchema>;
 export type LearnedEstimates = z.output<typeof estimatesSchema>;
-export type LearnedRecord = z.output<typeof learntSchema>;
+export type LearnedRecord = z.output<typeof learnedSchema>;
 
 /** The key under which a record is kept; one for each serving image. */
 export const learnedKeyOf = (record: LearnedRecord): string =>
@@ -59,7 +59,7 @@
 
 /** @throws BadRecordError */
 export const decodeLearned = (key: string, value: Buffer): LearnedRecord =>
-  parseRecord(TOPICS.learned, key, value, learntSchema);
+  parseRecord(TOPICS.learned, key, value, learnedSchema);
 
 /** Milliseconds since the record was written; clocks of hosts may disagree. */
 export const learnedRecordAgeMs = (
--- a/packages/state/src/snapshots.ts
+++ b/packages/state/src/snapshots.ts
@@ -50,7 +50,7 @@
     encode({ v: SNAPSHOT_VERSION, covered, state }, { ignoreUndefined: true }),
   );
 
-const packedSchema = z.object({
+const snapshotSchema = z.object({
   v: z.literal(SNAPSHOT_VERSION),
   covered: countSchema<Offset>(),
   state: z.custom<FoldSnapshot>((value) => typeof value === "object"),
@@ -58,7 +58,7 @@
 
 /** @throws when the bytes are not a snapshot of this version */
 export const decodeSnapshot = (bytes: Uint8Array): Snapshot =>
-  packedSchema.parse(decode(inflateSync(bytes)));
+  snapshotSchema.parse(decode(inflateSync(bytes)));
 
 const encodePart = (part: Part): Buffer => Buffer.from(encode(part));
 
@@ -106,13 +106,13 @@
 
   /** Offset that the newest whole snapshot covers; -1 for none. */
   async newestCoveredOffset(): Promise<number> {
-    await this.readOn();
+    await this.readNewParts();
     return this.newestCovered;
   }
 
   /** @throws LogUnavailableError */
   async load(): Promise<Snapshot | undefined> {
-    await this.readOn();
+    await this.readNewParts();
     for (const parts of this.partsById.values()) {
       if (parts[0]?.covered !== this.newestCovered) continue;
       const bytes = joinParts(parts);
@@ -121,7 +121,7 @@
     return undefined;
   }
 
-  private async readOn(): Promise<void> {
+  private async readNewParts(): Promise<void> {
     for (;;) {
       const page = await this.readPage();
       if (page.entries.length === 0) return;
--- a/packages/state/src/units.ts
+++ b/packages/state/src/units.ts
@@ -63,7 +63,7 @@
   readonly lastDetail?: string | undefined;
 }
 
-const shared = (
+const sharedSpec = (
   declaration: ServiceDeclaration | JobDeclaration | StandingWorkerDeclaration,
 ) => ({
   team: declaration.team,
@@ -75,7 +75,7 @@
   kind: "service",
   priority: "urgent",
   service: declaration.name,
-  ...shared(declaration),
+  ...sharedSpec(declaration),
 });
 
 export const standingWorkerSpec = (
@@ -83,14 +83,14 @@
 ): UnitSpec => ({
   kind: "worker",
   priority: "normal",
-  ...shared(declaration),
+  ...sharedSpec(declaration),
 });
 
 export const jobSpec = (declaration: JobDeclaration): UnitSpec => ({
   kind: "job",
   priority: declaration.priority,
   maxFailures: declaration.maxFailures,
-  ...shared(declaration),
+  ...sharedSpec(declaration),
 });
 
 export const jobUnitId = (name: string): UnitId => unitId(`job/${name}`);
--- a/packages/state/src/updateUnits.ts
+++ b/packages/state/src/updateUnits.ts
@@ -17,7 +17,7 @@
 const replicasOf = (declaration: Declaration | undefined): number =>
   declaration && "replicas" in declaration ? declaration.replicas : 0;
 
-const runsSame = (a: Declaration | undefined, b: Replicated): boolean =>
+const isSpecUnchanged = (a: Declaration | undefined, b: Replicated): boolean =>
   a !== undefined &&
   a.kind === b.kind &&
   JSON.stringify([a.resources, a.program, a.team]) ===
@@ -34,7 +34,7 @@
     kind === "service"
       ? serviceSpec(declaration)
       : standingWorkerSpec(declaration);
-  const keep = runsSame(before, declaration);
+  const keep = isSpecUnchanged(before, declaration);
   for (let replica = 0; replica < replicas; replica += 1) {
     const id = replicaUnitId(kind, name, replica);
     if (keep && units.get(id)?.wanted) continue;
--- a/packages/state/tests/appender.test.ts
+++ b/packages/state/tests/appender.test.ts
@@ -31,12 +31,12 @@
   type Snapshot,
 } from "@rackspan/state";
 
-type Answer = "kept" | "down" | "lost" | "lost-and-dropped";
+type AppendAnswer = "kept" | "down" | "lost" | "lost-and-dropped";
 
 /** A log in memory whose answers the test chooses, one by one. */
 class FakeLog implements LogService {
   readonly streams = new Map<string, { oldest: number; entries: Buffer[] }>();
-  answers: Answer[] = [];
+  answers: AppendAnswer[] = [];
   readsDown = false;
   appends = 0;
 
@@ -66,7 +66,7 @@
     };
   }
 
-  cut(name: string, oldest: number): void {
+  truncate(name: string, oldest: number): void {
     const stream = this.stream(name);
     stream.entries.splice(0, oldest - stream.oldest);
     stream.oldest = oldest;
@@ -127,7 +127,7 @@
     void appender.run(stop.signal);
   };
   /** Moves time on in small steps, so that both tasks take their turns. */
-  const pass = async (ms: number): Promise<void> => {
+  const advance = async (ms: number): Promise<void> => {
     for (let at = 0; at < ms; at += 20) await clock.advance(20);
   };
   return {
@@ -135,7 +135,7 @@
     appender,
     follower,
     start,
-    pass,
+    advance,
     stop: () => stop.abort(),
   };
 };
@@ -150,7 +150,7 @@
     process.appender.submit(submit(name), 5_000),
   );
   process.start();
-  await process.pass(200);
+  await process.advance(200);
   expect((await Promise.all(verdicts)).map(({ accepted }) => accepted)).toEqual(
     [true, true, false],
   );
@@ -165,7 +165,7 @@
     const process = createProcess(log);
     process.start();
     const verdict = settled(process.appender.submit(submit("a"), 60_000));
-    await process.pass(10_000);
+    await process.advance(10_000);
     expect(await verdict).toLooseEqual({ accepted: true, sequence: 1 });
     expect(Number(process.fold.sequence)).toEqual(1);
     process.stop();
@@ -174,15 +174,15 @@
 
 test("while the log is down a record is refused as not appended, and never appears later", async () => {
   const log = new FakeLog();
-  log.answers = Array<Answer>(30).fill("down");
+  log.answers = Array<AppendAnswer>(30).fill("down");
   const process = createProcess(log);
   process.start();
   const refused = settled(process.appender.submit(submit("a"), 1_000));
-  await process.pass(1_500);
+  await process.advance(1_500);
   expect(await refused).toBeA(AppendRefusedError);
   log.answers = [];
   const next = settled(process.appender.submit(submit("b"), 60_000));
-  await process.pass(20_000);
+  await process.advance(20_000);
   expect(await next).toLooseEqual({ accepted: true, sequence: 1 });
   expect(
     [...process.fold.units.unfinishedUnits()].map(({ id }) => String(id)),
@@ -192,14 +192,14 @@
 
 test("a record that was refused does not land with others of its batch", async () => {
   const log = new FakeLog();
-  log.answers = Array<Answer>(6).fill("down");
+  log.answers = Array<AppendAnswer>(6).fill("down");
   const process = createProcess(log);
-  const impatient = settled(process.appender.submit(submit("a"), 300));
-  const patient = settled(process.appender.submit(submit("b"), 60_000));
+  const shortTimeout = settled(process.appender.submit(submit("a"), 300));
+  const longTimeout = settled(process.appender.submit(submit("b"), 60_000));
   process.start();
-  await process.pass(30_000);
-  expect(await impatient).toBeA(AppendRefusedError);
-  expect(await patient).toLooseEqual({ accepted: true, sequence: 1 });
+  await process.advance(30_000);
+  expect(await shortTimeout).toBeA(AppendRefusedError);
+  expect(await longTimeout).toLooseEqual({ accepted: true, sequence: 1 });
   expect(
     [...process.fold.units.unfinishedUnits()].map(({ id }) => String(id)),
   ).toEqual(["job/b"]);
@@ -218,10 +218,10 @@
   const process = createProcess(log);
   process.start();
   const unknown = settled(process.appender.submit(submit("a"), 500));
-  await process.pass(1_000);
+  await process.advance(1_000);
   expect(await unknown).toBeA(AppendUnknownError);
   release();
-  await process.pass(500);
+  await process.advance(500);
   expect(process.fold.units.unfinishedCount).toEqual(1);
   process.stop();
 });
@@ -231,13 +231,13 @@
   log.answers = ["lost"];
   const process = createProcess(log);
   process.start();
-  await process.pass(100);
+  await process.advance(100);
   log.readsDown = true;
   const unknown = settled(process.appender.submit(submit("a"), 500));
-  await process.pass(2_000);
+  await process.advance(2_000);
   expect(await unknown).toBeA(AppendUnknownError);
   log.readsDown = false;
-  await process.pass(5_000);
+  await process.advance(5_000);
   expect(process.fold.units.unfinishedCount).toEqual(1);
   process.stop();
 });
@@ -251,7 +251,7 @@
     AppendRefusedError,
   );
   process.start();
-  await process.pass(200);
+  await process.advance(200);
   expect(
     (await Promise.all(waiting)).every(
       (verdict) => !(verdict instanceof Error),
@@ -264,7 +264,7 @@
   const first = createProcess(log);
   first.start();
   const verdict = first.appender.submit(submit("old"), 5_000);
-  await first.pass(300);
+  await first.advance(300);
   await verdict;
   const snapshot = {
     covered: first.follower.position,
@@ -279,10 +279,10 @@
   const snapshot = await withSnapshot(log);
   const store = new SnapshotStore(log);
   await store.write(snapshot);
-  log.cut("records", 1);
+  log.truncate("records", 1);
   const second = createProcess(log);
   second.start();
-  await second.pass(300);
+  await second.advance(300);
   expect(second.follower.fault).toEqual(undefined);
   expect(
     [...second.fold.units.unfinishedUnits()].map(({ id }) => String(id)),
@@ -297,10 +297,10 @@
     covered: offset(0),
     state: new Fold().toSnapshot(),
   });
-  log.cut("records", 1);
+  log.truncate("records", 1);
   const second = createProcess(log, () => snapshot);
   second.start();
-  await second.pass(300);
+  await second.advance(300);
   expect([
     Number(second.follower.position),
     second.fold.units.unfinishedCount,
@@ -311,10 +311,10 @@
 test("where the past is gone the process says so and does not start empty", async () => {
   const log = new FakeLog();
   await withSnapshot(log);
-  log.cut("records", 1);
+  log.truncate("records", 1);
   const second = createProcess(log);
   second.start();
-  await second.pass(300);
+  await second.advance(300);
   expect(second.follower.fault).toBeA(HistoryLostError);
   expect(second.follower.caughtUp).toEqual(false);
   second.stop();
--- a/packages/state/tests/followerBehind.test.ts
+++ b/packages/state/tests/followerBehind.test.ts
@@ -41,17 +41,17 @@
       timeoutMs: 100,
     });
   }
-  let knownThen: number | undefined;
-  void follower.catchUp().then(() => (knownThen = known.length));
+  let knownAtCatchUp: number | undefined;
+  void follower.catchUp().then(() => (knownAtCatchUp = known.length));
   await clock.advance(1_000);
-  expect(knownThen).toEqual(RECORDS);
+  expect(knownAtCatchUp).toEqual(RECORDS);
   const stopped = follower.stop();
   await clock.advance(2_000);
   await stopped;
 });
 
 /** A store that is asked for all keys, and turns the asker away. */
-const turnsAway = (clock: ManualClock) => {
+const createRefusingStore = (clock: ManualClock) => {
   let calls = 0;
   const readNewest = async (): Promise<never> => {
     calls += 1;
@@ -65,7 +65,7 @@
 // The wish for a fresh view ends a poll; a refused reading of all keys is no such end.
 test("a follower that is turned away pauses, also while somebody waits for its view", async () => {
   const clock = new ManualClock();
-  const { store, calls } = turnsAway(clock);
+  const { store, calls } = createRefusingStore(clock);
   const follower = new TopicFollower({
     topic: TOPIC,
     store,
--- a/packages/state/tests/foreignRecords.test.ts
+++ b/packages/state/tests/foreignRecords.test.ts
@@ -29,7 +29,7 @@
 const RECORDS = 10_000;
 const JOB = brand<JobId>("5c0e7a21d94b36f8");
 const HOST = brand<HostId>("h1");
-const LIFE = brand<WorkerInstance>("i-1");
+const INCARNATION = brand<WorkerInstance>("i-1");
 
 const PROGRESS: ProgressRecord = {
   ...BEGUN_PROGRESS,
@@ -44,7 +44,7 @@
   const job = plainJob({ id: JOB, acceptedAt: 0, steps: [{ taskCount: 9 }] });
   view.applyJobRecords([{ key: JOB, value: encodeJob(job) }]);
   view.applyProgressRecords([{ key: JOB, value: encodeProgress(PROGRESS) }]);
-  view.applyHostRecords([{ key: HOST, value: encodeHost(LIFE) }]);
+  view.applyHostRecords([{ key: HOST, value: encodeHost(INCARNATION) }]);
   return view;
 };
 
--- a/packages/state/tests/operatorView.test.ts
+++ b/packages/state/tests/operatorView.test.ts
@@ -38,8 +38,8 @@
 const setUp = () => {
   const clock = new ManualClock();
   const lines: string[] = [];
-  const note = (event: string): void => void lines.push(event);
-  const logger = { ...silentLogger, info: note, error: note } as Logger;
+  const logEvent = (event: string): void => void lines.push(event);
+  const logger = { ...silentLogger, info: logEvent, error: logEvent } as Logger;
   const metrics = new Metrics();
   const zones = new EvacuatedZones({ clock, logger, metrics });
   const changes: AvailabilityZone[] = [];
@@ -49,14 +49,17 @@
   return { clock, lines, zones, changes, view };
 };
 
-const asked = (key: string): KeyedRecord => ({ key, value: Buffer.from("{}") });
-const takenBack = (key: string): KeyedRecord => ({ key, value: undefined });
+const evacuate = (key: string): KeyedRecord => ({
+  key,
+  value: Buffer.from("{}"),
+});
+const endEvacuation = (key: string): KeyedRecord => ({ key, value: undefined });
 
 test("a zone is evacuated until its record is taken away, each told once", () => {
   const { view, zones, changes, lines } = setUp();
-  view.applyRecords([asked(A), asked(A), asked(B)]);
+  view.applyRecords([evacuate(A), evacuate(A), evacuate(B)]);
   expect([zones.has(A), zones.has(B)]).toEqual([true, true]);
-  view.applyRecords([takenBack(A), takenBack(A)]);
+  view.applyRecords([endEvacuation(A), endEvacuation(A)]);
   expect([zones.has(A), zones.has(B)]).toEqual([false, true]);
   expect(changes).toEqual([A, B, A]);
   expect(lines).toEqual([
@@ -68,7 +71,7 @@
 
 test("a record that cannot be read leaves those beside it standing", () => {
   const { view, zones, lines } = setUp();
-  view.applyRecords([asked("?"), asked(A)]);
+  view.applyRecords([evacuate("?"), evacuate(A)]);
   expect(zones.has(A)).toEqual(true);
   expect(lines).toEqual(["operator.unreadable", "zone.evacuated"]);
 });
@@ -76,20 +79,20 @@
 test("a zone that is taken back while a follower has lost the history is open again", async () => {
   const { clock, view, zones } = setUp();
   const store = new MemoryStore(clock);
-  let isForgetful = false;
-  const forgetful: RecordStore = {
+  let isTruncated = false;
+  const truncatedStore: RecordStore = {
     append: (req) => store.append(req),
     readNewest: (topic) => store.readNewest(topic),
     read: async (req) => {
       const answer = await store.read(req);
-      if (!isForgetful) return answer;
-      isForgetful = false;
+      if (!isTruncated) return answer;
+      isTruncated = false;
       throw new RecordsGoneError(req.topic, req.from, answer.end);
     },
   };
   const follower = new TopicFollower({
     topic: TOPICS.config,
-    store: forgetful,
+    store: truncatedStore,
     clock,
     logger: silentLogger,
     minPollIntervalMs: () => 20,
@@ -103,12 +106,12 @@
       stamp: { producer: "operator", epoch: 1, sequence: (sequence += 1) },
       timeoutMs: 0,
     });
-  await write([asked(A), asked(B)]);
+  await write([evacuate(A), evacuate(B)]);
   follower.start();
   await clock.advance(100);
   expect([zones.has(A), zones.has(B)]).toEqual([true, true]);
-  isForgetful = true;
-  await write([takenBack(A)]);
+  isTruncated = true;
+  await write([endEvacuation(A)]);
   await clock.advance(3_000);
   expect([zones.has(A), zones.has(B)]).toEqual([false, true]);
   const stopped = follower.stop();
--- a/packages/state/tests/progressRecords.test.ts
+++ b/packages/state/tests/progressRecords.test.ts
@@ -23,8 +23,8 @@
 };
 
 test("evidence that earlier leaders cannot read is kept as one that they know", () => {
-  const kept = encodeProgress(RECORD);
-  const { crashes } = JSON.parse(kept.toString()) as ProgressRecord;
+  const encoded = encodeProgress(RECORD);
+  const { crashes } = JSON.parse(encoded.toString()) as ProgressRecord;
   expect(crashes).toEqual([
     [
       "0.0.0",
@@ -34,7 +34,7 @@
       ],
     ],
   ]);
-  expect(decodeProgress("job", kept)).toEqual(RECORD);
+  expect(decodeProgress("job", encoded)).toEqual(RECORD);
 });
 
 test("what is doubted of one gang member is not doubted of another with that run", () => {
--- a/packages/state/tests/slowStore.test.ts
+++ b/packages/state/tests/slowStore.test.ts
@@ -15,7 +15,7 @@
   carriedOut = 0;
   /** The time that each append was given, in order. */
   readonly timeouts: number[] = [];
-  private turn: Promise<unknown> = Promise.resolve();
+  private lastAppend: Promise<unknown> = Promise.resolve();
 
   constructor(
     private readonly clock: ManualClock,
@@ -24,17 +24,17 @@
 
   append = (req: AppendRequest): Promise<number> => {
     this.timeouts.push(req.timeoutMs);
-    const answer = this.turn.then(async () => {
+    const answer = this.lastAppend.then(async () => {
       await sleep(this.clock, this.appendMs);
       this.carriedOut += 1;
       return this.store.append(req);
     });
-    this.turn = answer.catch(() => undefined);
-    const gaveUp = sleep(this.clock, req.timeoutMs).then(() => {
+    this.lastAppend = answer.catch(() => undefined);
+    const timedOut = sleep(this.clock, req.timeoutMs).then(() => {
       throw new StoreAnswerLostError("no answer in time");
     });
-    gaveUp.catch(() => undefined);
-    return Promise.race([answer, gaveUp]);
+    timedOut.catch(() => undefined);
+    return Promise.race([answer, timedOut]);
   };
 }
 
--- a/packages/state/tests/topicFollower.test.ts
+++ b/packages/state/tests/topicFollower.test.ts
@@ -16,7 +16,7 @@
 const TOPIC = brand<TopicName>("jobs");
 
 /** A store whose old records can be let go, so that followers must read it anew. */
-class ForgetfulStore {
+class TruncatedStore {
   oldest = 0;
 
   constructor(private readonly store: MemoryStore) {}
@@ -40,7 +40,7 @@
 const setUp = () => {
   const clock = new ManualClock();
   const memory = new MemoryStore(clock);
-  const store = new ForgetfulStore(memory);
+  const store = new TruncatedStore(memory);
   let sequence = 0;
   const write = async (key: string, value: Buffer | undefined) => {
     sequence += 1;
--- a/packages/state/tests/topicWriter.test.ts
+++ b/packages/state/tests/topicWriter.test.ts
@@ -95,20 +95,21 @@
 
 // The store may know their numbers from the former leader, and take them for repeats.
 test("the first records of a new leader are not taken for repeats of the former one's", async () => {
-  for (const former of [1, 3, 5, 7]) {
+  for (const previousCount of [1, 3, 5, 7]) {
     const { clock, writer, writerOf, keys } = setUp({ retriesRefused: true });
-    const wanted: string[] = [];
-    const keep = async (by: TopicWriter, key: string): Promise<void> => {
-      wanted.push(key);
+    const expectedKeys: string[] = [];
+    const persist = async (by: TopicWriter, key: string): Promise<void> => {
+      expectedKeys.push(key);
       const { persisted: kept } = by.write(record(key));
       await clock.advance(100);
       await kept;
     };
-    for (let at = 0; at < former; at += 1) await keep(writer, `former-${at}`);
+    for (let at = 0; at < previousCount; at += 1)
+      await persist(writer, `former-${at}`);
     const next = writerOf(2);
     await next.fenceLowerEpochs();
-    for (let at = 0; at < 7; at += 1) await keep(next, `next-${at}`);
-    expect(keys()).toEqual(wanted);
+    for (let at = 0; at < 7; at += 1) await persist(next, `next-${at}`);
+    expect(keys()).toEqual(expectedKeys);
   }
 });
 
