--- a/packages/ports/src/HttpLogService.ts
+++ b/packages/ports/src/HttpLogService.ts
@@ -67,7 +67,7 @@
   }
 }
 
-/** Only these two say for certain that the entry was not kept. */
+/** Only these two errors guarantee that the entry was not appended. */
 const wasNotAppended = (err: unknown): boolean =>
   err instanceof ConnectError ||
   (err instanceof StatusError && err.status === STATUS_UNAVAILABLE);
--- a/packages/ports/src/hostList.ts
+++ b/packages/ports/src/hostList.ts
@@ -1,4 +1,4 @@
-/** Port to the platform's host list, which lags behind reality. */
+/** Port to the platform's host list, whose data may be out of date. */
 
 import { z } from "zod";
 import {
@@ -13,9 +13,12 @@
 export const hostRecordSchema = z.object({
   host: idSchema<HostId>(),
   generation: countSchema<HostGeneration>(),
-  /** `entry` hosts take callers in; `endpoint` hosts run tasks beside a side process. */
+  /**
+   * `entry` hosts accept callers; `endpoint` hosts run tasks,
+   * managed by a side process.
+   */
   role: z.enum(["entry", "endpoint"]),
-  /** IP and port of our process on that host. */
+  /** IP and port of the rackspan process on that host. */
   address: z.string().min(1).max(100),
   availabilityZone: idSchema<AvailabilityZone>(),
   rack: idSchema<Rack>(),
@@ -24,7 +27,7 @@
 
 export type HostRecord = z.infer<typeof hostRecordSchema>;
 
-/** A host that is replaced shows a higher generation; one that is gone is absent. */
+/** Lists the hosts. A replaced host has a higher generation; a removed one is absent. */
 export interface HostList {
   /** @throws HostListUnavailableError */
   list(signal?: AbortSignal): Promise<readonly HostRecord[]>;
--- a/packages/ports/src/logService.ts
+++ b/packages/ports/src/logService.ts
@@ -9,9 +9,9 @@
 
 export interface LogPage {
   readonly entries: readonly LogEntry[];
-  /** Offset from which to read on. */
+  /** Offset at which the next read continues. */
   readonly next: Offset;
-  /** The lowest offset that is still kept. */
+  /** The lowest offset that is still stored. */
   readonly oldest: Offset;
 }
 
@@ -25,13 +25,13 @@
 export interface LogService {
   /**
    * @returns the offset of the new entry
-   * @throws LogUnavailableError when the entry was not and will not be kept
-   * @throws LogAnswerLostError when it may have been kept
+   * @throws LogUnavailableError when the entry was not appended and never will be
+   * @throws LogAnswerLostError when the entry may have been appended
    */
   append(stream: string, data: Buffer): Promise<Offset>;
   /**
    * @throws LogUnavailableError when the log cannot be read now
-   * @throws RetentionError when `from` is older than what is kept
+   * @throws RetentionError when `from` is below the oldest stored offset
    */
   read(stream: string, options: ReadOptions): Promise<LogPage>;
 }
@@ -60,7 +60,7 @@
   }
 }
 
-/** The past that was asked for is no longer kept. */
+/** The requested entries are no longer stored. */
 export class RetentionError extends RackspanError {
   readonly kind = "log-retention";
   constructor(
@@ -69,7 +69,7 @@
     readonly oldest: Offset,
   ) {
     super({
-      what: `stream ${stream} no longer keeps offset ${from}; its oldest is ${oldest}`,
+      what: `stream ${stream} no longer stores offset ${from}; its oldest is ${oldest}`,
       remedy: "restore from a snapshot or from a peer",
     });
   }
--- a/packages/ports/src/permitService.ts
+++ b/packages/ports/src/permitService.ts
@@ -1,35 +1,36 @@
 /**
- * Port to the service that permits hosts to run a step, for queues whose policy
- * only it knows. What it says of a host and a step never changes, but a ticket
- * holds for a time only, and for one life of the worker.
+ * Port to the service that decides which hosts may run a step, for queues whose
+ * policy only this service has. Its decision for a host and a step never
+ * changes, but a ticket is valid for a limited time only, and for one
+ * incarnation of the worker.
  */
 
 import { RackspanError, Registry, type WorkerInstance } from "@rackspan/common";
 
-/** Lets all tasks of the step start on that life of the worker. */
+/** Permits all tasks of the step to start in that incarnation of the worker. */
 export interface Permit {
   readonly instance: WorkerInstance;
-  /** Handed to the worker with each start. */
+  /** Sent to the worker with each start. */
   readonly ticket: string;
 }
 
 export interface PermitResponse {
-  /** Of the workers named, those that may run the step. */
+  /** Those of the requested workers that may run the step. */
   readonly permits: readonly Permit[];
-  /** Milliseconds for which the tickets hold. */
+  /** Milliseconds for which the tickets are valid. */
   readonly validMs: number;
 }
 
 export interface PermitRequest {
-  /** Job, occurrence and number of the step, as task ids begin. */
+  /** Job, occurrence and number of the step: the prefix of its task ids. */
   readonly step: string;
-  /** At most `PERMIT_LIMITS.maxNamed`. */
+  /** At most `PERMIT_LIMITS.maxWorkersPerRequest`. */
   readonly instances: readonly WorkerInstance[];
   readonly timeoutMs: number;
 }
 
 export const PERMIT_LIMITS = {
-  /** Workers named in one request; the service takes no more. */
+  /** Maximum number of workers in one request; the service accepts no more. */
   maxWorkersPerRequest: 100,
 } as const;
 
@@ -41,7 +42,7 @@
 export class PermitsUnavailableError extends RackspanError {
   readonly kind = "permits-unavailable";
   constructor(what: string, cause?: unknown) {
-    super({ what, remedy: "ask again after a pause", cause });
+    super({ what, remedy: "repeat the request after a pause", cause });
   }
 }
 
--- a/packages/ports/src/platformClients.ts
+++ b/packages/ports/src/platformClients.ts
@@ -1,6 +1,6 @@
 /**
- * Plug-in points for the platform's three services: a client of another wire
- * format registers itself here, and settings choose it by its name.
+ * Plug-in points for the platform's three services: a client for another wire
+ * format registers itself here and is selected by name in the settings.
  */
 
 import { Registry } from "@rackspan/common";
--- a/packages/ports/src/recordStore.ts
+++ b/packages/ports/src/recordStore.ts
@@ -1,17 +1,17 @@
 /**
- * Port to the platform's store: topics of records with offsets, of which keyed
- * topics keep the newest record of each key for good, and groups whose members
- * share the partitions of a topic.
+ * Port to the platform's store: topics of records with offsets, and groups
+ * whose members share the partitions of a topic. Keyed topics keep the newest
+ * record of each key permanently.
  */
 
 import { RackspanError, type Brand, type Epoch } from "@rackspan/common";
 
-/** Name of a topic; the store's client knows how a keyed one is marked. */
+/** Name of a topic; the store client defines how a keyed topic is marked. */
 export type TopicName = Brand<string, "TopicName">;
 
 export interface KeyedRecord {
   readonly key: string;
-  /** Absent when the key was dropped. */
+  /** Absent when the key was deleted. */
   readonly value: Buffer | undefined;
 }
 
@@ -19,17 +19,20 @@
   readonly offset: number;
 }
 
-/** Marks an append so that the store takes it once, and never from a deposed writer. */
+/**
+ * Identifies an append, so that the store persists it only once and
+ * rejects replaced writers.
+ */
 export interface ProducerStamp {
   readonly producer: string;
   readonly epoch: number;
-  /** Rises by one with each append of this producer and epoch. */
+  /** Increases by one with each append of this producer and epoch. */
   readonly sequence: number;
 }
 
 export interface AppendRequest {
   readonly topic: TopicName;
-  /** May be empty: the store then only takes note of the stamp's epoch. */
+  /** May be empty: the store then only records the epoch of the stamp. */
   readonly records: readonly KeyedRecord[];
   readonly stamp: ProducerStamp;
   readonly timeoutMs: number;
@@ -37,7 +40,7 @@
 
 export interface ReadRequest {
   readonly topic: TopicName;
-  /** Offset of the first record wanted. */
+  /** Offset of the first record to read. */
   readonly from: number;
   /** Milliseconds to wait for a record when there is none yet. */
   readonly waitMs: number;
@@ -46,39 +49,39 @@
 
 export interface RecordPage {
   readonly records: readonly StoredRecord[];
-  /** Offset from which to read on. */
+  /** Offset at which the next read continues. */
   readonly next: number;
-  /** Records left out, since they name no key that can be read; none when absent. */
+  /** Number of records left out because their keys cannot be read; none when absent. */
   readonly unreadable?: number;
   /**
-   * Keys that stand in the store with a value that cannot be read, so that they are
-   * not taken for dropped ones; none when absent.
+   * Keys whose stored value cannot be read, so that they are not taken for
+   * deleted ones; none when absent.
    */
   readonly unreadableKeys?: readonly string[];
 }
 
 export interface ReadResponse extends RecordPage {
-  /** Offset behind the last record that the store had; an answer may end before. */
+  /** Offset after the last record in the store; the page may end earlier. */
   readonly end: number;
 }
 
 export interface RecordStore {
   /**
-   * @returns the offset behind the last record
-   * @throws StoreRefusedError when nothing was and will be kept
-   * @throws StoreAnswerLostError when the records may be kept, now or later
-   * @throws FencedError when a writer of a higher epoch was seen
-   * @throws SequenceError when the stamp's number does not follow the last
+   * @returns the offset after the last record
+   * @throws StoreRefusedError when nothing was persisted and never will be
+   * @throws StoreAnswerLostError when the records may be persisted, now or later
+   * @throws FencedError when a writer of a higher epoch has written
+   * @throws SequenceError when the stamp's number does not follow the last one
    */
   append(req: AppendRequest): Promise<number>;
   /**
-   * @throws RecordsGoneError when records from `from` on are no longer kept
-   * @throws StoreRefusedError or StoreAnswerLostError when it cannot be read now
+   * @throws RecordsGoneError when records from `from` on are no longer stored
+   * @throws StoreRefusedError or StoreAnswerLostError when the topic cannot be read now
    */
   read(req: ReadRequest): Promise<ReadResponse>;
   /**
-   * The newest record of each key. Changes made meanwhile may be missing: read
-   * on from `next`, which was taken before the first page.
+   * Returns the newest record of each key. Changes made during the call may be
+   * missing: read on from `next`, which was determined before the first page.
    */
   readNewest(topic: TopicName): Promise<RecordPage>;
 }
@@ -87,16 +90,16 @@
   readonly group: string;
   readonly member: string;
   readonly topic: TopicName;
-  /** Milliseconds of silence after which the store drops the member. */
+  /** Milliseconds without a message after which the store removes the member. */
   readonly ttlMs: number;
-  /** The last one heard; 0 at first. */
+  /** The last generation received; 0 at first. */
   readonly generation: Epoch;
   readonly timeoutMs: number;
 }
 
 export interface JoinResponse {
   readonly generation: Epoch;
-  /** Whether the topic's only partition belongs to this member. */
+  /** Whether this member owns the topic's only partition. */
   readonly ownsPartition: boolean;
 }
 
@@ -105,11 +108,11 @@
   join(req: JoinRequest): Promise<JoinResponse>;
   /** @throws StoreRefusedError or StoreAnswerLostError */
   leave(group: string, member: string): Promise<void>;
-  /** The member that owns the topic's only partition, if any does. */
+  /** Returns the member that owns the topic's only partition, if any. */
   owner(group: string, topic: TopicName): Promise<string | undefined>;
 }
 
-/** Nothing was done, and nothing will be. */
+/** The call had no effect and never will. */
 export class StoreRefusedError extends RackspanError {
   readonly kind = "store-refused";
   constructor(what: string, cause?: unknown) {
@@ -121,7 +124,7 @@
   }
 }
 
-/** The call may have taken effect, or may still do so. */
+/** The call may have taken effect, or still may. */
 export class StoreAnswerLostError extends RackspanError {
   readonly kind = "store-answer-lost";
   constructor(what: string, cause?: unknown) {
@@ -141,7 +144,7 @@
   }
 }
 
-/** The stamp's number does not follow the last one that the store took. */
+/** The stamp's number does not follow the last one that the store accepted. */
 export class SequenceError extends RackspanError {
   readonly kind = "bad-sequence";
   constructor(
@@ -149,13 +152,13 @@
     readonly expected: number,
   ) {
     super({
-      what: `topic ${topic} wants number ${expected} next`,
-      remedy: "go on from the number wanted",
+      what: `topic ${topic} expects number ${expected} next`,
+      remedy: "continue with the expected number",
     });
   }
 }
 
-/** The records from the wanted offset on are no longer kept. */
+/** The records from the requested offset on are no longer stored. */
 export class RecordsGoneError extends RackspanError {
   readonly kind = "records-gone";
   constructor(
@@ -164,7 +167,7 @@
     readonly oldest: number,
   ) {
     super({
-      what: `topic ${topic} no longer keeps offset ${from}; its oldest is ${oldest}`,
+      what: `topic ${topic} no longer stores offset ${from}; its oldest is ${oldest}`,
       remedy: "read the newest record of each key instead",
     });
   }
--- a/packages/ports/src/storeClients.ts
+++ b/packages/ports/src/storeClients.ts
@@ -1,4 +1,7 @@
-/** Plug-in points for the store and for the workers that run the tasks of jobs. */
+/**
+ * Plug-in points for clients of the store and of the workers that
+ * run the tasks of jobs.
+ */
 
 import { Registry } from "@rackspan/common";
 import type { GroupMembership, RecordStore } from "./recordStore.js";
@@ -18,7 +21,7 @@
 export interface TaskHostClientOptions {
   /** `IP:PORT` of the worker. */
   readonly address: string;
-  /** Milliseconds without an answer after which a call is given up. */
+  /** Milliseconds without an answer after which a call fails. */
   readonly callTimeoutMs: number;
 }
 
--- a/packages/ports/src/taskHost.ts
+++ b/packages/ports/src/taskHost.ts
@@ -1,6 +1,6 @@
 /**
- * Port to the worker of one host as the job engine uses it: tasks run there
- * under one lease, which ends at a time of the worker's own clock.
+ * Port to the worker of one host, as used by the job engine: tasks run there under
+ * one lease, which ends at a time of the worker's own clock.
  */
 
 import {
@@ -12,7 +12,7 @@
   type WorkerTime,
 } from "@rackspan/common";
 
-/** How a run ended: `lapsed` for want of a lease, `broken` and `alone` for gangs. */
+/** How a run ended: `lapsed` because its lease expired, `broken` and `alone` for gangs. */
 export type RunOutcome =
   "done" | "failed" | "stopped" | "lapsed" | "broken" | "alone";
 
@@ -21,7 +21,7 @@
   readonly run: RunNumber;
 }
 
-/** Tells runs of one task apart; for keys of maps. */
+/** Unique key of a run, for maps. */
 export const runKeyOf = ({ task, run }: RunRef): string => `${task}#${run}`;
 
 export interface RunningTask extends RunRef {
@@ -30,14 +30,14 @@
   /** 0 to 100. */
   readonly progressPercent: number;
   /**
-   * Over the last half second: the tail latency in milliseconds of a task that
-   * serves, the thousandths of a core in use of any other.
+   * Over the last half second: the tail latency in milliseconds for a serving task,
+   * thousandths of a core in use for any other.
    */
   readonly reading: number;
 }
 
 export interface EndedRun extends RunRef {
-  /** Rises from 1 within one life of the worker. */
+  /** Increases from 1 within one incarnation of the worker. */
   readonly number: number;
   readonly outcome: RunOutcome;
   readonly checkpoint: string;
@@ -45,11 +45,11 @@
 
 export interface RunStart extends RunRef {
   readonly spec: string;
-  /** A run that has not begun by then never does. */
+  /** A run that has not started by then never starts. */
   readonly leaseUntil: WorkerTime;
   readonly epoch: Epoch;
   readonly checkpoint: string;
-  /** Ticket of a permit, where the queue asks for one. */
+  /** Ticket of a permit, where the queue requires one. */
   readonly ticket?: string;
 }
 
@@ -65,7 +65,7 @@
   readonly epoch: Epoch;
   /** Ends up to this number may be forgotten by the worker. */
   readonly acknowledged: number;
-  /** Extends the lease of everything that runs; never shortens it. */
+  /** Extends the lease of all running tasks; never shortens it. */
   readonly leaseUntil?: WorkerTime;
   /** Milliseconds to wait for an end. */
   readonly waitMs: number;
@@ -74,14 +74,14 @@
 export interface PollResponse {
   readonly at: WorkerTime;
   readonly running: readonly RunningTask[];
-  /** In the worker's order, from the first that it was not let forget. */
+  /** In the worker's order, from the first end that has not been acknowledged. */
   readonly ended: readonly EndedRun[];
-  /** Whether more may have ended: workers list only so many at once. */
+  /** Whether more runs may have ended: workers list only a limited number at once. */
   readonly hasMoreEnds: boolean;
 }
 
 export interface PaceOrder extends RunRef {
-  /** Share at which the task may work, 0 to 100. */
+  /** Pace at which the task may work, percent from 0 to 100. */
   readonly percent: number;
   readonly epoch: Epoch;
 }
@@ -89,7 +89,7 @@
 /** All calls: @throws WorkerReplacedError, WorkerSilentError or TaskRefusedError. */
 export interface TaskHost {
   start(instance: WorkerInstance, order: RunStart): Promise<StartOutcome>;
-  /** Bars the run for good, also when it had not begun. */
+  /** Stops the run and fences it permanently, even if it has not started. */
   stop(
     instance: WorkerInstance,
     run: RunRef,
@@ -98,29 +98,32 @@
   poll(instance: WorkerInstance, order: PollRequest): Promise<PollResponse>;
   pace(instance: WorkerInstance, order: PaceOrder): Promise<void>;
   /**
-   * Whether that life refuses the start for certain, whenever it comes, and takes no
-   * lease from it. Absent where the client cannot tell.
+   * Whether that incarnation is guaranteed to reject the start,
+   * whenever it arrives, and takes no lease from it. Absent where the
+   * client cannot determine this.
    */
   rejectsStart?(instance: WorkerInstance, run: RunRef): boolean;
 }
 
-/** Another life of the worker answers at its address: the old one is gone. */
+/**
+ * Another incarnation of the worker answers at its address: the previous one has ended.
+ */
 export class WorkerReplacedError extends RackspanError {
   readonly kind = "worker-replaced";
   constructor(instance: WorkerInstance) {
     super({
-      what: `worker ${instance} is gone, another life answers at its address`,
-      remedy: "wait until the new life registers",
+      what: `worker ${instance} has ended, another incarnation answers at its address`,
+      remedy: "wait until the new incarnation registers",
     });
   }
 }
 
-/** No answer: the call may have been carried out, or may be later. */
+/** No answer: the call may have been carried out, or may still be. */
 export class WorkerSilentError extends RackspanError {
   readonly kind = "worker-silent";
   /**
-   * @param mayHaveArrived false when no connection was made: the worker has done
-   *   nothing, and never will
+   * @param mayHaveArrived false when no connection was made: the worker has
+   *   done nothing and never will
    */
   constructor(
     what: string,
--- a/packages/ports/src/worker.ts
+++ b/packages/ports/src/worker.ts
@@ -11,7 +11,10 @@
   type TaskId,
 } from "@rackspan/common";
 
-/** A side's own notes on a task; the worker keeps them unread beside the lease. */
+/**
+ * Notes of a side on a task; the worker stores them with the lease
+ * without interpreting them.
+ */
 export const taskNotesSchema = z.record(z.string(), z.string());
 
 export const workerTaskSchema = z.object({
@@ -65,14 +68,15 @@
 export type UsageSample = z.infer<typeof usageSampleSchema>;
 
 /**
- * Each call names the side's incarnation; the worker obeys only the one that
- * took it over last, so a paused old side process cannot act any more.
+ * Each call names the incarnation of the side. The worker accepts calls
+ * only from the one that last took it over, so a suspended old side
+ * process can no longer act.
  */
 export interface Worker {
   takeOver(owner: Incarnation): Promise<WorkerState>;
   list(owner: Incarnation): Promise<WorkerState>;
   start(owner: Incarnation, order: StartOrder): Promise<WorkerTask>;
-  /** Extends the leases of all named tasks; answers with the state of every task. */
+  /** Extends the leases of the given tasks; returns the state of every task. */
   renew(
     owner: Incarnation,
     tasks: readonly TaskId[],
@@ -82,12 +86,12 @@
   stop(owner: Incarnation, task: TaskId, checkpoint: boolean): Promise<void>;
   /** Limits a task to this share of its processors, in (0, 1]. */
   throttle(owner: Incarnation, task: TaskId, share: number): Promise<void>;
-  /** Drops a task that has ended from the worker's list. */
+  /** Removes an ended task from the worker's list. */
   forget(owner: Incarnation, task: TaskId): Promise<void>;
   usage(): Promise<readonly UsageSample[]>;
 }
 
-/** The worker refused: the call had no effect. */
+/** The worker refused the call, which had no effect. */
 export class WorkerRefusedError extends RackspanError {
   readonly kind = "worker-refused";
   constructor(what: string) {
@@ -95,7 +99,7 @@
   }
 }
 
-/** The call may have had an effect; the worker's list tells. */
+/** The call may have had an effect; the worker's list of tasks shows it. */
 export class WorkerOutcomeUnknownError extends RackspanError {
   readonly kind = "worker-unknown";
   constructor(cause: unknown) {
--- a/packages/protocol/src/Attempt.ts
+++ b/packages/protocol/src/Attempt.ts
@@ -1,4 +1,4 @@
-/** One attempt of a request: sent to one address, answered once or failed. */
+/** One attempt of a request: it is sent to one address and gets one response, or fails. */
 
 import {
   request,
@@ -10,7 +10,7 @@
 import { RackspanError } from "@rackspan/common";
 import type { RawHeaders } from "./headers.js";
 
-/** `IP:PORT` of our process or of an endpoint. */
+/** `IP:PORT` of a rackspan process or of an endpoint. */
 export interface SocketAddress {
   readonly host: string;
   readonly port: number;
@@ -26,10 +26,10 @@
   return { host: text.slice(0, at).replace(/^\[|\]$/g, ""), port };
 };
 
-/** A body that is passed on as it arrives, and so can be sent once only. */
+/** A body that is streamed as it arrives, and so can be sent only once. */
 export interface BodyStream {
   readonly stream: Readable;
-  /** Whether the stream has come to its proper end. */
+  /** Whether the stream has been received to its end. */
   readonly isComplete: () => boolean;
 }
 
@@ -37,32 +37,32 @@
 
 export interface AttemptOptions {
   readonly address: SocketAddress;
-  /** `false` takes a fresh connection, which cannot be half closed already. */
+  /** `false` opens a new connection, which cannot be half closed already. */
   readonly agent: Agent | false;
   readonly method: string;
   readonly path: string;
   /** Flat list of end-to-end headers. */
   readonly headers: RawHeaders;
   readonly body: Buffer | BodyStream | undefined;
-  /** Called for an answer that switches protocols; without it such an answer fails. */
+  /** Called for a response that switches protocols; without it, such a response fails. */
   readonly onUpgrade?: (
-    answer: IncomingMessage,
+    response: IncomingMessage,
     socket: Duplex,
     head: Buffer,
   ) => void;
 }
 
-/** The attempt got no answer. */
+/** The attempt got no response. */
 export class AttemptFailedError extends RackspanError {
   readonly kind = "attempt-failed";
   constructor(
-    /** False only when not one byte was sent. */
+    /** False only when not a single byte was sent. */
     readonly mayHaveRun: boolean,
     address: SocketAddress,
     cause: unknown,
   ) {
     super({
-      what: `no answer from ${address.host}:${address.port}`,
+      what: `no response from ${address.host}:${address.port}`,
       remedy: mayHaveRun
         ? "find out whether the request ran before repeating it"
         : "try another endpoint",
@@ -72,7 +72,10 @@
 }
 
 export class Attempt {
-  /** The head of the answer; 101 when protocols were switched. @throws AttemptFailedError */
+  /**
+   * Head of the response; its status is 101 when protocols were switched.
+   * @throws AttemptFailedError
+   */
   readonly response: Promise<IncomingMessage>;
   private readonly req: ClientRequest;
   private connected = false;
@@ -85,35 +88,37 @@
       agent,
       method,
       path,
-      // Node takes a flat list here, which keeps order, spelling and repeats.
+      // Node accepts a flat list here, which preserves order,
+      // spelling and repeated headers.
       headers: headers as unknown as Record<string, string>,
     });
     this.response = new Promise((resolve, reject) => {
       let hasResponse = false;
-      this.req.on("response", (answer) => {
+      this.req.on("response", (response) => {
         hasResponse = true;
-        resolve(answer);
+        resolve(response);
       });
       if (onUpgrade) {
-        this.req.on("upgrade", (answer, socket, head) => {
+        this.req.on("upgrade", (response, socket, head) => {
           hasResponse = true;
-          resolve(answer);
-          onUpgrade(answer, socket, head);
+          resolve(response);
+          onUpgrade(response, socket, head);
         });
       }
       this.req.on("error", (err) => reject(this.failure(err)));
       this.req.on("close", () => {
-        // Errors are costly to create: none is where the answer has come.
+        // Errors are expensive to create, so none is created once a
+        // response has arrived.
         if (!hasResponse) reject(this.failure(undefined));
       });
     });
-    // A caller that gave up does not look at the answer any more.
+    // Avoids an unhandled rejection when the caller no longer waits for the response.
     this.response.catch(() => undefined);
     this.trackConnection();
     this.sendBody();
   }
 
-  /** Closes the connection, which also tells the other side that no answer is awaited. */
+  /** Closes the connection, which also shows the other end that no response is awaited. */
   cancel(): void {
     this.req.destroy();
   }
@@ -135,11 +140,11 @@
       this.req.end(body);
       return;
     }
-    const { stream, isComplete: isWhole } = body;
-    // A sender that breaks off must not look like the end of the body.
+    const { stream, isComplete } = body;
+    // A sender that aborts must not look like the end of the body.
     stream.on("error", () => this.req.destroy());
     stream.on("close", () => {
-      if (!isWhole()) this.req.destroy();
+      if (!isComplete()) this.req.destroy();
     });
     stream.pipe(this.req);
   }
--- a/packages/protocol/src/ConfirmedHttpClient.ts
+++ b/packages/protocol/src/ConfirmedHttpClient.ts
@@ -1,8 +1,8 @@
 /**
- * HTTP calls to one of the processes that stand at an address one after the other. A
- * connection never outlives the process at its other end, so each new one is confirmed
- * before anything else is sent over it: a call reaches the process that is meant, or
- * none, also when another one took its place a moment ago.
+ * HTTP calls to one of several processes that use the same address one after the
+ * other. A connection never outlives the process at its other end, so each new
+ * connection is confirmed before anything else is sent over it: a call reaches the
+ * intended process or none, even when another process has just replaced it.
  */
 
 import type { Socket } from "node:net";
@@ -15,15 +15,15 @@
 
 const clock = new SystemClock({ keepsProcessAlive: true });
 
-/** Sends a call over the connection that is to be confirmed. */
+/** Sends a call over the connection that is being confirmed. */
 export type SendProbe = (call: HttpCall) => Promise<HttpResponse>;
 
 export interface ConfirmedCall extends HttpCall {
-  /** Names the process that is meant. */
+  /** Identifies the intended process. */
   readonly peer: string;
   /**
-   * Asks over a new connection which process answers.
-   * @throws when it is not the one that is meant; the call is not sent then
+   * Checks over a new connection which process answers.
+   * @throws when it is not the intended one; the call is not sent then
    */
   readonly confirmPeer: (sendProbe: SendProbe) => Promise<void>;
 }
@@ -31,12 +31,15 @@
 export interface ConfirmedHttpClientOptions {
   /** `http://IP:PORT`, without a trailing slash. */
   readonly baseUrl: string;
-  /** Connections kept open to the other process. */
+  /** Maximum number of connections to the other process. */
   readonly maxSockets: number;
 }
 
 export class ConfirmedHttpClient {
-  /** Those used last at the end: they are the most likely to be confirmed. */
+  /**
+   * Idle connections. The most recently used ones are last, and the
+   * most likely to be confirmed.
+   */
   private readonly idle: PeerConnection[];
   private readonly waiting = new Set<(free: PeerConnection) => void>();
 
@@ -49,7 +52,7 @@
   }
 
   /**
-   * Returns answers of any status.
+   * Returns responses of any status.
    * @throws ConnectError when nothing of the call was sent
    * @throws LostAnswerError when the call may have taken effect
    */
@@ -58,7 +61,7 @@
     try {
       return await connection.call(call);
     } catch (err) {
-      // Connections kept beside a silent one may have fallen silent too.
+      // The other idle connections may have stopped responding too.
       if (err instanceof LostAnswerError) this.closeIdle();
       throw err;
     } finally {
@@ -84,7 +87,7 @@
       };
       const timer = startTimeout(clock, timeoutMs, () => {
         this.waiting.delete(take);
-        const cause = new Error(`no connection free in ${timeoutMs} ms`);
+        const cause = new Error(`no free connection within ${timeoutMs} ms`);
         reject(new ConnectError(this.options.baseUrl, cause));
       });
       this.waiting.add(take);
@@ -102,7 +105,7 @@
   }
 }
 
-/** One connection at a time, and which process is known to be at its other end. */
+/** One connection at a time, and the process that is confirmed to be at its other end. */
 class PeerConnection {
   private readonly http: HttpClient;
   private socket: Socket | undefined;
@@ -128,23 +131,20 @@
     });
   }
 
-  private async confirm({
-    peer,
-    confirmPeer: confirm,
-  }: ConfirmedCall): Promise<void> {
+  private async confirm({ peer, confirmPeer }: ConfirmedCall): Promise<void> {
     this.peer = undefined;
-    await confirm((call) => this.probe(call));
+    await confirmPeer((call) => this.probe(call));
     this.peer = peer;
   }
 
-  /** What is asked here takes no effect that the call itself depends on. */
+  /** The requests sent here have no effect on which the call itself depends. */
   private async probe(call: HttpCall): Promise<HttpResponse> {
-    const admits = (socket: Socket): boolean => {
+    const acceptsSocket = (socket: Socket): boolean => {
       this.socket = socket;
       return true;
     };
     try {
-      return await this.http.call({ ...call, acceptsSocket: admits });
+      return await this.http.call({ ...call, acceptsSocket });
     } catch (err) {
       if (!(err instanceof LostAnswerError)) throw err;
       throw new ConnectError(this.baseUrl, err);
--- a/packages/protocol/src/HttpClient.ts
+++ b/packages/protocol/src/HttpClient.ts
@@ -1,4 +1,7 @@
-/** HTTP calls over Node's http, with bounded answers and a typed error for each failure. */
+/**
+ * HTTP calls over Node's http, with size-limited responses and a
+ * typed error for each failure.
+ */
 
 import { Agent, request, type IncomingMessage } from "node:http";
 import type { Socket } from "node:net";
@@ -19,12 +22,12 @@
   readonly body?: Buffer | string;
   readonly headers?: Readonly<Record<string, string>>;
   /**
-   * Milliseconds until the call is given up and its connection is closed; those for
-   * which this process stood still when they were over are given again.
+   * Milliseconds after which the call fails and its connection is closed; extended
+   * when this process was suspended as they elapsed, by the time of the suspension.
    */
   readonly timeoutMs?: number;
   readonly signal?: AbortSignal;
-  /** Whether the call may be sent over that connection; any when left out. */
+  /** Whether the call may be sent over the given connection; any connection if absent. */
   readonly acceptsSocket?: (socket: Socket) => boolean;
 }
 
@@ -36,7 +39,7 @@
 export interface HttpClientOptions {
   /** `http://IP:PORT`, without a trailing slash. */
   readonly baseUrl: string;
-  /** Connections kept open to the other process. */
+  /** Maximum number of connections to the other process. */
   readonly maxSockets?: number;
 }
 
@@ -57,7 +60,7 @@
   }
 
   /**
-   * Returns answers of any status.
+   * Returns responses of any status.
    * @throws ConnectError when nothing was sent
    * @throws LostAnswerError when the call may have taken effect
    */
@@ -68,7 +71,7 @@
       const body = await readBody(res, MAX_RESPONSE_BYTES);
       return { status: res.statusCode ?? 0, body };
     } catch (err) {
-      throw new LostAnswerError(`the answer of ${url} broke off`, err);
+      throw new LostAnswerError(`the response of ${url} was incomplete`, err);
     }
   }
 
@@ -77,8 +80,8 @@
   }
 
   /**
-   * A connection that was kept open has fallen silent, so those kept beside it
-   * may have too: without this, each of them costs a call its whole time-out.
+   * Closes the idle connections. Called when a reused connection stops responding,
+   * as the others may have too: each of them would cost a call its whole time-out.
    */
   closeIdle(): void {
     for (const sockets of Object.values(this.agent.freeSockets)) {
@@ -98,15 +101,16 @@
       const timeoutMs = call.timeoutMs ?? DEFAULT_TIMEOUT_MS;
       const timer = startTimeout(clock, timeoutMs, () => {
         if (req.reusedSocket) this.closeIdle();
-        const err = new Error(`no answer within ${timeoutMs} ms`);
-        // Node tells a call without a connection only when one becomes free.
+        const err = new Error(`no response within ${timeoutMs} ms`);
+        // Node reports the error to a call without a connection only
+        // once one becomes free.
         if (!req.socket) reject(new ConnectError(url, err));
         req.destroy(err);
       });
       req.on("socket", (socket) => {
         if (call.acceptsSocket?.(socket) === false) {
-          // Before a byte is written.
-          req.destroy(new Error("the connection before was closed"));
+          // No byte has been written at this point.
+          req.destroy(new Error("the confirmed connection was closed"));
           return;
         }
         if (!socket.connecting) connected = true;
--- a/packages/protocol/src/JsonHttpClient.ts
+++ b/packages/protocol/src/JsonHttpClient.ts
@@ -1,4 +1,4 @@
-/** JSON calls over HTTP: what is sent is serialised, what comes back is checked. */
+/** JSON calls over HTTP: serialises request bodies and validates response bodies. */
 
 import { BadAnswerError, StatusError } from "./errors.js";
 import {
@@ -11,7 +11,7 @@
   readonly body?: unknown;
 }
 
-/** Anything that checks a parsed value; zod schemas do. */
+/** Validates a parsed value; zod schemas implement it. */
 export interface Parser<T> {
   parse(value: unknown): T;
 }
@@ -28,7 +28,7 @@
   /**
    * @throws ConnectError when nothing was sent
    * @throws LostAnswerError when the call may have taken effect
-   * @throws StatusError for an answer of 400 or more
+   * @throws StatusError for a response of status 400 or higher
    * @throws BadAnswerError when the body does not parse
    */
   async call<T>(call: JsonCall, parser: Parser<T>): Promise<T> {
--- a/packages/protocol/src/JsonRpcConnection.ts
+++ b/packages/protocol/src/JsonRpcConnection.ts
@@ -1,6 +1,6 @@
 /**
- * Typed JSON-RPC both ways over one TCP connection, a message a line. Each
- * party may call the other; a connection that stays silent is closed.
+ * Typed JSON-RPC in both directions over one TCP connection, one message per line.
+ * Each peer may call the other; a connection without traffic is closed.
  */
 
 import type { Socket } from "node:net";
@@ -26,7 +26,7 @@
 export const JSON_RPC_CONNECTION_LIMITS = {
   /** A longer message closes the connection. */
   maxLineBytes: 4 * 1024 * 1024,
-  /** More unsent bytes than this close the connection: the peer does not read. */
+  /** More unsent bytes than this close the connection, as the peer does not read. */
   maxUnsentBytes: 8 * 1024 * 1024,
 } as const;
 
@@ -40,7 +40,7 @@
   readonly servedMethods: Served;
   readonly handlers: Handlers<Served>;
   readonly calledMethods: Called;
-  /** Milliseconds without a byte after which the peer is taken as gone. */
+  /** Milliseconds without a received byte after which the peer is considered gone. */
   readonly idleTimeoutMs: number;
   readonly clock: Clock;
   readonly logger: Logger;
@@ -50,7 +50,7 @@
   Served extends MethodTable,
   Called extends MethodTable,
 > {
-  /** Resolves once the connection is closed, with the reason. */
+  /** Resolves with the reason once the connection is closed. */
   readonly closed: Promise<string>;
   private readonly peer: JSONRPCServerAndClient;
   private chunks: Buffer[] = [];
@@ -60,19 +60,14 @@
   constructor(
     private readonly options: JsonRpcConnectionOptions<Served, Called>,
   ) {
-    const {
-      socket,
-      servedMethods: serves,
-      handlers,
-      idleTimeoutMs: silenceMs,
-    } = options;
+    const { socket, servedMethods, handlers, idleTimeoutMs } = options;
     const server = new JSONRPCServer({ errorListener: () => undefined });
     server.mapErrorToJSONRPCErrorResponse = toErrorResponse;
-    registerHandlers(server, serves, handlers);
+    registerHandlers(server, servedMethods, handlers);
     const client = new JSONRPCClient((message) => this.send(message));
     this.peer = new JSONRPCServerAndClient(server, client);
     socket.setNoDelay(true);
-    socket.setTimeout(silenceMs, () => this.close("silent"));
+    socket.setTimeout(idleTimeoutMs, () => this.close("silent"));
     socket.on("data", (chunk: Buffer) => this.receive(chunk));
     socket.on("error", (err) => this.close(describeError(err)));
     socket.on("end", () => this.close("ended by the peer"));
@@ -103,7 +98,7 @@
     return shape.result.parse(result) as ResultOf<Called, M>;
   }
 
-  /** Sends without an answer; lost when the connection is. */
+  /** Sends a notification, which has no answer; it is lost if the connection is. */
   notify<M extends keyof Called & string>(
     method: M,
     params: ParamsOf<Called, M>,
@@ -126,7 +121,7 @@
     let cancelTimer = (): void => undefined;
     const timedOut = new Promise<never>((_, reject) => {
       const err = new LostAnswerError(
-        `${method}: no answer in ${timeoutMs} ms`,
+        `${method}: no answer within ${timeoutMs} ms`,
       );
       const timer = clock.after(timeoutMs, () => reject(err));
       cancelTimer = () => timer.cancel();
@@ -135,7 +130,8 @@
       return await Promise.race([this.peer.request(method, params), timedOut]);
     } catch (err) {
       if (err instanceof LostAnswerError) throw err;
-      if (!this.isOpen) throw new LostAnswerError(`${method}: cut off`, err);
+      if (!this.isOpen)
+        throw new LostAnswerError(`${method}: the connection was closed`, err);
       throw toRemoteError(err);
     } finally {
       cancelTimer();
@@ -177,7 +173,7 @@
     try {
       message = JSON.parse(line);
     } catch (err) {
-      this.close(`not a message: ${describeError(err)}`);
+      this.close(`invalid message: ${describeError(err)}`);
       return;
     }
     this.peer
--- a/packages/protocol/src/MetricsServer.ts
+++ b/packages/protocol/src/MetricsServer.ts
@@ -1,4 +1,4 @@
-/** Answers every HTTP request with the metrics of its process. */
+/** Serves the metrics of its process in response to every HTTP request. */
 
 import { createServer, type Server } from "node:http";
 import type { ListenAddress, Metrics } from "@rackspan/common";
@@ -6,7 +6,7 @@
 
 export interface MetricsServerOptions {
   readonly metrics: Metrics;
-  /** Without an address nothing is served. */
+  /** Nothing is served when undefined. */
   readonly listen: ListenAddress | undefined;
 }
 
--- a/packages/protocol/src/errors.ts
+++ b/packages/protocol/src/errors.ts
@@ -1,4 +1,4 @@
-/** Errors of talking to another process. */
+/** Errors of calls to another process. */
 
 import { RackspanError } from "@rackspan/common";
 
@@ -41,7 +41,7 @@
   }
 }
 
-/** The answer does not have the agreed shape. */
+/** The answer does not have the expected shape. */
 export class BadAnswerError extends RackspanError {
   readonly kind = "bad-answer";
   constructor(url: string, cause: unknown) {
--- a/packages/protocol/src/headers.ts
+++ b/packages/protocol/src/headers.ts
@@ -1,15 +1,15 @@
-/** Header names of the protocol towards callers and between our processes. */
+/** Header names of the protocol with callers and between rackspan processes. */
 
 import type { IncomingHttpHeaders } from "node:http";
 
-/** In lower case, as Node's parser gives them. */
+/** In lower case, as Node's parser returns them. */
 export const HEADER = {
   /** Milliseconds left for the request, counted from its arrival. */
   TIMEOUT: "rackspan-timeout-ms",
   REQUEST_ID: "rackspan-request-id",
-  /** 1 for the first attempt that is sent on for a request. */
+  /** Number of the attempt for a request, from 1. */
   ATTEMPT: "rackspan-attempt",
-  /** `not-run` or `unknown`, on each answer that is not the endpoint's own. */
+  /** `not-run` or `unknown`, on each response that does not come from the endpoint. */
   OUTCOME: "rackspan-outcome",
   REASON: "rackspan-reason",
   IDEMPOTENCY_KEY: "idempotency-key",
@@ -17,15 +17,17 @@
   SERVICE: "rackspan-service",
   /** Entry to side: the class of the request, by its route. */
   CLASS: "rackspan-class",
-  /** Entry to side: the run of the side process that the request is meant for. */
+  /** Entry to side: the incarnation of the side process for which the request is meant. */
   INCARNATION: "rackspan-incarnation",
-  /** Side to entry: slots in use, piggybacked on each answer. */
+  /** Side to entry: number of busy slots, added to each response. */
   BUSY_SLOTS: "rackspan-busy-slots",
-  /** Answer to a repeated key: the recorded outcome of its first use. */
+  /**
+   * Set on the response to a repeated key: it is the recorded outcome of the first use.
+   */
   REPLAYED: "rackspan-replayed",
 } as const;
 
-/** Headers that only our own processes may set; dropped from what others send. */
+/** Headers that only rackspan processes may set; dropped from other senders' messages. */
 export const INTERNAL_HEADERS: ReadonlySet<string> = new Set([
   HEADER.OUTCOME,
   HEADER.REASON,
@@ -37,7 +39,7 @@
   HEADER.REPLAYED,
 ]);
 
-/** Source: RFC 9110, section 7.6.1, and the fields it names as obsolete. */
+/** Source: RFC 9110, section 7.6.1, and the fields that it names as obsolete. */
 const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
   "connection",
   "keep-alive",
@@ -78,8 +80,8 @@
 }
 
 /**
- * The end-to-end headers of a message, in their order and spelling.
- * `Trailer` is kept: it names fields that are forwarded with the body.
+ * Returns the end-to-end headers of a message in their order and spelling.
+ * `Trailer` is kept because it names fields that are forwarded with the body.
  */
 export const forwardHeaders = (
   raw: RawHeaders,
--- a/packages/protocol/src/hostMethods.ts
+++ b/packages/protocol/src/hostMethods.ts
@@ -1,7 +1,7 @@
 /**
- * Calls between a side process and the leading entry. The two are upgraded one
- * after the other: a field that is added later has a default, and fields that are
- * not known are passed over.
+ * Calls between a side process and the leading entry. The two are upgraded
+ * at different times: fields that are added later have defaults, and
+ * unknown fields are ignored.
  */
 
 import { z } from "zod";
@@ -44,73 +44,80 @@
   instance: idSchema<WorkerInstance>(),
   service: idSchema<ServiceName>(),
   labels: z.array(z.string()),
-  /** The label that names its rack; empty when it is not known, as from an older side. */
+  /** The label that names the worker's rack; empty when unknown, as from an older side. */
   rack: z.string().default(""),
   milliCores: z.number(),
   memoryMiB: z.number(),
   accelerators: z.number(),
   draining: z.boolean(),
-  /** Least time until the worker leaves, milliseconds; absent when unknown. */
+  /** Minimum time until the worker leaves, milliseconds; absent when unknown. */
   leavesInMs: z.number().optional(),
 });
 
-/** A worker's description of itself, as its side last heard it. */
+/** A worker's description of itself, as last received by its side. */
 export type WorkerDescription = z.output<typeof workerSchema>;
 
 const lostRunSchema = z.object({
   ...runShape,
-  /** For how long the worker had shown it, milliseconds; absent when it never had. */
+  /**
+   * For how long the worker had reported the run as running, milliseconds;
+   * absent when it never had.
+   */
   workedMs: z.number().optional(),
   /**
-   * Whether the look broke off in which the worker would have told of its end; else it
-   * may have ended before, unheard of. An older side takes each for
-   * one at work.
+   * True when the poll failed that would have reported the run's end. False
+   * when the run may have ended before that without a report. Runs of an
+   * older side count as true.
    */
   wasAtWork: z.boolean().default(true),
   /**
-   * How long before the look at its worker broke off it was ordered, milliseconds: it had
-   * worked for no longer by then. Negative when its worker had stopped answering before
-   * the order. Absent when no look broke off, and from an older side.
+   * Milliseconds between the order and the failure of the worker's poll: the run
+   * had worked for no longer by then. Negative when the worker had stopped
+   * answering before the order. Absent when no poll failed, and from an older side.
    */
   orderedMs: z.number().optional(),
   /**
-   * Whether the order to start it is still being repeated; else its answer is known, or
-   * none will come. It is told again once that is so. Absent from an older side.
+   * Whether the order to start the run is still being repeated; otherwise its
+   * answer is known, or none will come. The run is reported again once that is so.
+   * Absent from an older side.
    */
   isOrderOpen: z.boolean().optional(),
 });
 
-/** A run that may have begun in a life of the worker that has crashed since. */
+/** A run that may have started in an incarnation of the worker that has crashed since. */
 export type LostRun = z.output<typeof lostRunSchema>;
 
 const neverStartedSchema = z.array(z.object(runShape));
 
 /**
- * Runs whose ends a worker had listed before it crashed. No leader may have taken note
- * of them; told for as long as lost runs are. Absent from an older side.
+ * Runs whose ends a worker had listed before it crashed. Possibly no leader has
+ * recorded them; reported for as long as lost runs are. Absent from an older side.
  */
 const unreportedEndsSchema = z.array(z.object(runShape)).optional();
 
 const reportSchema = z.object({
   worker: workerSchema,
-  /** The worker's clock when it gave the lists. */
+  /** The worker's clock when it returned the lists. */
   at: numberOf<WorkerTime>(),
   running: z.array(runningSchema),
-  /** Ends that the leader has not acknowledged to this side yet. */
+  /** Ends that the leader has not yet acknowledged to this side. */
   ended: z.array(endedSchema),
   /** Whether the worker may have more ends, which it lists once these are acknowledged. */
   hasMoreEnds: z.boolean().default(false),
-  /** Runs of former lives that no leader has answered for; none from an older side. */
+  /**
+   * Runs of previous incarnations that no leader has acknowledged;
+   * none from an older side.
+   */
   lostRuns: z.array(lostRunSchema).default([]),
   /**
-   * Runs of former lives that were told as lost, and that never began: the answers to
-   * their orders came later. Absent from an older side.
+   * Runs of previous incarnations that were reported as lost but never started: the
+   * answers to their orders came later. Absent from an older side.
    */
   neverBegun: neverStartedSchema.optional(),
   /**
-   * For how long a start that was sent to another life may yet be carried out by this
-   * one, milliseconds. Its lease is by the clock of that life, so it may be the longest.
-   * Absent from an older side.
+   * Milliseconds for which a start that was sent to another incarnation may still
+   * be carried out by this one. Its lease is by the clock of that incarnation, so
+   * it may be the longest. Absent from an older side.
    */
   formerStartsForMs: z.number().min(0).optional(),
   unheardEnds: unreportedEndsSchema,
@@ -123,25 +130,28 @@
   serving: z.string(),
   /** Image of the filling task. */
   filling: z.string(),
-  /** What one core of it adds to the logarithm of the tail. */
+  /** What one core of the filling task adds to the logarithm of the tail latency. */
   weight: z.number(),
 });
 
-/** How much one image disturbs another, as the leader has learnt from all hosts. */
+/** How much one image slows another, as learned by the leader from all hosts. */
 export type InterferenceWeight = z.output<typeof interferenceWeightSchema>;
 
 const grantSchema = z.object({
-  /** Time on the worker's clock until which its tasks may run; absent for none. */
+  /**
+   * Time on the worker's clock until which its tasks may run; absent
+   * when no lease is granted.
+   */
   leaseUntil: numberOf<WorkerTime>().optional(),
-  /** Ends up to this number are kept; the worker may forget them. */
+  /** Ends up to this number are recorded; the worker may forget them. */
   acknowledged: z.number(),
-  /** Pairs of images on this host; those left out do not disturb. */
+  /** Pairs of images on this host; images that are not listed do not slow each other. */
   disturbances: z.array(interferenceWeightSchema).optional(),
 });
 
 export type Grant = z.output<typeof grantSchema>;
 
-/** Served by the entry that leads. */
+/** Methods served by the leading entry. */
 export const leaderMethods = {
   attach: {
     params: z.object({
@@ -152,8 +162,8 @@
   },
   report: { params: reportSchema, result: grantSchema },
   /**
-   * That life of the worker has ended, and so has all that ran there. Answered once no
-   * next leader will wait for it.
+   * That incarnation of the worker has ended, and so has everything that ran in it.
+   * Answered once no later leader will wait for it.
    */
   workerGone: {
     params: z.object({
@@ -164,36 +174,40 @@
     result: z.object({}),
   },
   /**
-   * The worker does not answer its side, which renews no lease until it has reported
-   * an answer of it to this leader. Repeated for as long as that lasts.
+   * The worker does not answer its side, which renews no lease until
+   * it has reported an answer of the worker to this leader. Repeated
+   * for as long as that lasts.
    */
   workerSilent: {
     params: z.object({
       /**
-       * Milliseconds until every lease that the worker was sent is over for certain;
-       * absent when the side cannot tell.
+       * Milliseconds until every lease that the worker was sent is guaranteed to be
+       * over; absent when the side cannot determine it.
        */
       overInMs: z.number().min(0).optional(),
-      /** As in a report, of which there are none while the worker is silent. */
+      /** As in a report; no reports are sent while the worker is silent. */
       neverBegun: neverStartedSchema.optional(),
     }),
     /** Whether this leader may still grant leases. */
     result: z.object({ grants: z.boolean() }),
   },
-  /** Keeps the connection open while the worker shows nothing. */
+  /** Keeps the connection open while the worker has nothing to report. */
   ping: { params: z.object({}), result: z.object({}) },
 };
 
 const interferenceProfileSchema = z.object({
   kind: z.enum(["serving", "filling", "plain"]),
-  /** Tail latency below which a serving task is to stay, milliseconds; else 0. */
+  /** Tail latency below which a serving task should stay, milliseconds; else 0. */
   tailTargetMs: z.number(),
   image: z.string(),
-  /** What the task asks for, thousandths of a core; 0 from an older leader. */
+  /** Processor demand of the task, thousandths of a core; 0 from an older leader. */
   milliCores: z.number().default(0),
 });
 
-/** How a task behaves beside others; the side paces by it. */
+/**
+ * How a task affects, and is affected by, other tasks on its host;
+ * used by the side for pacing.
+ */
 export type InterferenceProfile = z.output<typeof interferenceProfileSchema>;
 
 const callResultSchema = z.discriminatedUnion("kind", [
@@ -209,17 +223,17 @@
       "unhealthy",
     ]),
   }),
-  /** No answer: the call may have been carried out, or may be later. */
+  /** No answer: the call may have been carried out, or may still be. */
   z.object({ kind: z.literal("silent") }),
-  /** The life of the worker that was meant is over. */
+  /** The intended incarnation of the worker has ended. */
   z.object({ kind: z.literal("replaced") }),
-  /** The host takes no new tasks. */
+  /** The host accepts no new tasks. */
   z.object({ kind: z.literal("draining") }),
 ]);
 
 export type HostCallResult = z.output<typeof callResultSchema>;
 
-/** Percent; the pace of a task that is not slowed. */
+/** Pace of a task that is not slowed, percent. */
 export const FULL_PACE = 100;
 
 const startSchema = z.object({
@@ -230,7 +244,7 @@
   leaseUntil: numberOf<WorkerTime>(),
   checkpoint: z.string(),
   ticket: z.string().optional(),
-  /** Pace at which a filling task begins, percent; an older leader names none. */
+  /** Initial pace of a filling task, percent; absent from an older leader. */
   firstPercent: z.number().min(0).max(FULL_PACE).default(FULL_PACE),
   nature: interferenceProfileSchema,
 });
@@ -245,7 +259,7 @@
 
 export type StopTaskCall = z.output<typeof stopSchema>;
 
-/** Served by the side of each host. */
+/** Methods served by the side of each host. */
 export const hostMethods = {
   startTask: { params: startSchema, result: callResultSchema },
   stopTask: {
--- a/packages/protocol/src/httpServer.ts
+++ b/packages/protocol/src/httpServer.ts
@@ -1,9 +1,9 @@
-/** What all of our listeners share; the first two functions take any TCP server. */
+/** Functions shared by all HTTP servers; the first two accept any TCP server. */
 
 import type { Server, ServerResponse } from "node:http";
 import type { AddressInfo, Server as TcpServer } from "node:net";
 
-/** Resolves once connections are taken; port 0 takes any free one. */
+/** Resolves once the server accepts connections; port 0 selects any free port. */
 export const listenOn = (
   server: TcpServer,
   { port, address }: { readonly port: number; readonly address: string },
@@ -16,13 +16,13 @@
     });
   });
 
-/** `IP:PORT` of a server that listens. */
+/** `IP:PORT` of a listening server. */
 export const addressOf = (server: TcpServer): string => {
   const { address, port } = server.address() as AddressInfo;
   return `${address}:${port}`;
 };
 
-/** Cuts what is open, and resolves once nothing is. */
+/** Closes all open connections and resolves once the server is closed. */
 export const closeServer = async (server: Server): Promise<void> => {
   const closed = new Promise<void>((resolve) => server.close(() => resolve()));
   server.closeAllConnections();
--- a/packages/protocol/src/joinSockets.ts
+++ b/packages/protocol/src/joinSockets.ts
@@ -1,29 +1,31 @@
-/** Joins the two connections of an upgraded request. Source: RFC 9110, section 7.8. */
+/** Connects the two sockets of an upgraded request. Source: RFC 9110, section 7.8. */
 
 import type { IncomingMessage } from "node:http";
 import type { Duplex } from "node:stream";
 
 export interface JoinSocketsOptions {
-  /** The answer that switched protocols. */
+  /** The response that switched protocols. */
   readonly answer: IncomingMessage;
   readonly socket: Duplex;
-  /** Bytes that followed the request's head. */
+  /** Bytes that followed the head of the request. */
   readonly head: Buffer;
   readonly upstream: Duplex;
-  /** Bytes that followed the answer's head. */
+  /** Bytes that followed the head of the response. */
   readonly upstreamHead: Buffer;
 }
 
-const upgradeResponseHead = (answer: IncomingMessage): string => {
-  const lines = [`HTTP/1.1 ${answer.statusCode} ${answer.statusMessage ?? ""}`];
-  const { rawHeaders } = answer;
+const upgradeResponseHead = (response: IncomingMessage): string => {
+  const lines = [
+    `HTTP/1.1 ${response.statusCode} ${response.statusMessage ?? ""}`,
+  ];
+  const { rawHeaders } = response;
   for (let i = 0; i + 1 < rawHeaders.length; i += 2) {
     lines.push(`${rawHeaders[i]}: ${rawHeaders[i + 1]}`);
   }
   return `${lines.join("\r\n")}\r\n\r\n`;
 };
 
-/** From here on bytes pass both ways until either side closes. */
+/** Writes the response head, then forwards bytes both ways until either end closes. */
 export const joinSockets = (options: JoinSocketsOptions): void => {
   const { answer, socket, head, upstream, upstreamHead } = options;
   socket.on("close", () => upstream.destroy());
--- a/packages/protocol/src/outcome.ts
+++ b/packages/protocol/src/outcome.ts
@@ -1,9 +1,9 @@
-/** What a caller may conclude from an answer that is not the endpoint's own. */
+/** What a caller may conclude from a response that does not come from the endpoint. */
 
-/** `not-run`: it was not run and never will be. `unknown`: it may have run. */
+/** `not-run`: the request was not run and never will be. `unknown`: it may have run. */
 export type Outcome = "not-run" | "unknown";
 
-/** Reasons of refusals and failures, as `Rackspan-Reason` and as metric label. */
+/** Reasons of refusals and failures, used in `Rackspan-Reason` and as metric labels. */
 export const REASON = {
   BAD_REQUEST: "bad-request",
   UNKNOWN_SERVICE: "unknown-service",
--- a/packages/protocol/src/problem.ts
+++ b/packages/protocol/src/problem.ts
@@ -1,4 +1,7 @@
-/** Problem bodies by RFC 9457, for every answer that is not an endpoint's own. */
+/**
+ * Problem bodies as of RFC 9457, for every response that does not
+ * come from an endpoint.
+ */
 
 import type { ServerResponse } from "node:http";
 import type { Duplex } from "node:stream";
@@ -12,7 +15,7 @@
   readonly detail: string;
   readonly remedy: string;
   readonly requestId?: string;
-  /** Whole seconds after which a retry makes sense. */
+  /** Seconds after which a retry makes sense, as a whole number. */
   readonly retryAfterS?: number;
 }
 
@@ -46,7 +49,7 @@
   return headers;
 };
 
-/** Sends a problem; does nothing once an answer has begun. */
+/** Sends a problem; does nothing once a response has been started. */
 export const sendProblem = (res: ServerResponse, problem: Problem): void => {
   if (res.headersSent || res.destroyed) return;
   const body = problemBody(problem);
@@ -54,7 +57,7 @@
   res.end(body);
 };
 
-/** Sends a problem on a bare connection, and ends it. */
+/** Sends a problem on a raw socket and ends it. */
 export const endSocketWithProblem = (
   socket: Duplex,
   problem: Problem,
--- a/packages/protocol/src/readBody.ts
+++ b/packages/protocol/src/readBody.ts
@@ -1,4 +1,4 @@
-/** Reads a whole message body within a limit. */
+/** Reads a complete message body of limited size. */
 
 import type { IncomingMessage } from "node:http";
 import { RackspanError } from "@rackspan/common";
@@ -17,7 +17,7 @@
   readonly kind = "body-incomplete";
   constructor(cause?: unknown) {
     super({
-      what: "the body broke off before its end",
+      what: "the body ended prematurely",
       remedy: "send the whole body",
       cause,
     });
@@ -25,8 +25,8 @@
 }
 
 /**
- * @throws BodyTooLargeError past `limit` bytes
- * @throws BodyIncompleteError when the sender went away before the end
+ * @throws BodyTooLargeError when the body exceeds `limit` bytes
+ * @throws BodyIncompleteError when the sender disconnected before the end
  */
 export const readBody = async (
   message: IncomingMessage,
--- a/packages/protocol/src/relayResponse.ts
+++ b/packages/protocol/src/relayResponse.ts
@@ -1,16 +1,16 @@
-/** Passes the body of an answer on, whole or visibly broken. */
+/** Forwards the body of a response. An incomplete body is recognisable as such. */
 
 import type { IncomingMessage, ServerResponse } from "node:http";
 
-/** `broken`: the sender broke off. `receiver-gone`: the receiver closed. */
+/** `broken`: the sender aborted. `receiver-gone`: the receiver closed. */
 export type RelayResult = "whole" | "broken" | "receiver-gone";
 
 export interface RelayOptions {
-  /** Read the answer to its end even when the receiver has gone. */
+  /** Whether to read the response to its end even after the receiver has disconnected. */
   readonly readToEnd?: boolean;
 }
 
-/** Trailers that may be passed on; the head must have been written. */
+/** Forwards the trailers; the head must have been written. */
 const forwardTrailers = (from: IncomingMessage, to: ServerResponse): void => {
   const pairs: [string, string][] = [];
   const { rawTrailers } = from;
@@ -21,8 +21,8 @@
 };
 
 /**
- * Streams with back pressure. A sender that breaks off tears the receiver's
- * connection, so that a part is never taken for the whole.
+ * Streams with back pressure. When the sender aborts, the receiver's connection is
+ * destroyed, so that a partial body is never taken for a complete one.
  */
 export const relayResponse = (
   from: IncomingMessage,
--- a/packages/protocol/src/rpc.ts
+++ b/packages/protocol/src/rpc.ts
@@ -1,4 +1,7 @@
-/** Typed JSON-RPC calls between our processes, over HTTP POST, by json-rpc-2.0. */
+/**
+ * Typed JSON-RPC calls between rackspan processes over HTTP POST,
+ * based on json-rpc-2.0.
+ */
 
 import type { IncomingMessage, ServerResponse } from "node:http";
 import {
@@ -36,7 +39,7 @@
   T[M]["result"]
 >;
 
-/** What a server does for each method of a table. */
+/** The handler of each method of a table. */
 export type Handlers<T extends MethodTable> = {
   readonly [M in keyof T]: (
     params: ParamsOf<T, M>,
@@ -64,7 +67,7 @@
   return createJSONRPCErrorResponse(id, TYPED_ERROR_CODE, String(error));
 };
 
-/** Checks the parameters of each call before its handler sees them. */
+/** Registers handlers that receive validated parameters only. */
 export const registerHandlers = <T extends MethodTable>(
   server: JSONRPCServer,
   table: T,
@@ -79,10 +82,10 @@
   }
 };
 
-/** Answers the calls of one method table. */
+/** Serves the methods of one table. */
 export class RpcServer<T extends MethodTable> {
   private readonly server = new JSONRPCServer({
-    // Refusals are ordinary answers; whoever makes one logs and counts it.
+    // Refusals are regular responses; the code that refuses a call logs and counts it.
     errorListener: () => undefined,
   });
 
@@ -126,7 +129,7 @@
   readonly signal?: AbortSignal;
 }
 
-/** Calls the methods of one table at one process. */
+/** Calls the methods of one table on one process. */
 export class RpcClient<T extends MethodTable> {
   private readonly http: JsonHttpClient;
 
@@ -158,7 +161,10 @@
     this.http.close();
   }
 
-  /** The library keeps only the message of a failed sending, so the error itself is kept here. */
+  /**
+   * The library keeps only the message of a send error, so the error
+   * itself is kept here.
+   */
   private async request(
     method: string,
     params: unknown,
--- a/packages/protocol/src/sideMethods.ts
+++ b/packages/protocol/src/sideMethods.ts
@@ -1,6 +1,6 @@
 /**
- * Calls from an entry to a side process. The side alone decides what its host
- * commits; entries ask, and learn why when it refuses.
+ * Calls from an entry to a side process. Only the side commits the resources of its
+ * host; entries send requests, and the side states the reason when it refuses one.
  */
 
 import { z } from "zod";
@@ -22,11 +22,14 @@
   type UnitId,
 } from "@rackspan/common";
 
-/** `service` answers requests, `job` runs to an end, `worker` stays up without either. */
+/**
+ * `service` answers requests, `job` runs to completion, `worker` runs until it is
+ * stopped and answers no requests.
+ */
 export const taskKindSchema = z.enum(["service", "job", "worker"]);
 export type TaskKind = z.infer<typeof taskKindSchema>;
 
-/** What the worker is to run; the platform gives the name and arguments their meaning. */
+/** What the worker runs; the platform defines the meaning of the name and arguments. */
 export const programSchema = z.strictObject({
   name: z.string().min(1).max(200),
   args: z.record(z.string(), z.union([z.string(), z.number()])).default({}),
@@ -49,7 +52,7 @@
   unit: idSchema<UnitId>(),
   attempt: z.number().int().min(1),
   kind: taskKindSchema,
-  /** Sequence of the claim that the task runs under. */
+  /** Sequence of the claim under which the task runs. */
   fencingToken: countSchema<Sequence>(),
   state: z.enum(["starting", "running", "stopping", "ended"]),
   /** Set when the state is `ended`. */
@@ -66,7 +69,7 @@
   incarnation: idSchema<Incarnation>(),
   availabilityZone: idSchema<AvailabilityZone>(),
   rack: idSchema<Rack>(),
-  /** Grows with each change of what follows. */
+  /** Increases with each change of the fields below. */
   revision: z.number().int().min(0),
   ready: z.boolean(),
   leaving: z.boolean(),
@@ -74,7 +77,7 @@
   free: resourcesSchema,
   slots: z.number().int().min(0),
   busySlots: z.number().int().min(0),
-  /** Left out when the caller already knows this revision. */
+  /** Absent when the caller already has this revision. */
   tasks: z.array(taskStatusSchema).optional(),
 });
 export type SideStatus = z.infer<typeof sideStatusSchema>;
@@ -82,7 +85,7 @@
 const emptySchema = z.object({});
 
 export const SIDE_METHODS = {
-  /** Answers at once when the revision differs, else after `waitMs` at the latest. */
+  /** Answers at once when the revision differs, otherwise after at most `waitMs`. */
   sync: {
     params: z.strictObject({
       entry: idSchema<EntryId>(),
@@ -92,7 +95,7 @@
     }),
     result: sideStatusSchema,
   },
-  /** Holds room for one attempt, for a short time by the side's own clock. */
+  /** Reserves resources for one attempt, for a short time by the side's own clock. */
   reserve: {
     params: z.strictObject({
       task: idSchema<TaskId>(),
@@ -112,7 +115,7 @@
     params: z.strictObject({ reservation: idSchema<ReservationId>() }),
     result: emptySchema,
   },
-  /** Turns a reservation into a running task; only after its claim has won. */
+  /** Starts a task under a reservation; only called after its claim was accepted. */
   start: {
     params: z.strictObject({
       reservation: idSchema<ReservationId>(),
@@ -123,7 +126,7 @@
     }),
     result: emptySchema,
   },
-  /** Ends a task; with `checkpoint`, its state is kept for the next attempt. */
+  /** Ends a task; with `checkpoint`, its state is saved for the next attempt. */
   stop: {
     params: z.strictObject({
       task: idSchema<TaskId>(),
@@ -131,7 +134,7 @@
     }),
     result: emptySchema,
   },
-  /** Limits a task to this share of its processors until told otherwise. */
+  /** Limits a task to this share of its processors until the next call. */
   throttle: {
     params: z.strictObject({
       task: idSchema<TaskId>(),
@@ -139,11 +142,14 @@
     }),
     result: emptySchema,
   },
-  /** Makes sure that a task which is not held here never starts here. */
+  /** Guarantees that a task which this side does not hold never starts here. */
   fenceTask: {
     params: z.strictObject({ task: idSchema<TaskId>() }),
     result: z.object({
-      /** `held`: its end is reported by `sync`. `never`: it is not here and never will be. */
+      /**
+       * `held`: the end of the task is reported by `sync`. `never`: the task is
+       * not here and never will be.
+       */
       state: z.enum(["held", "never"]),
     }),
   },
@@ -152,7 +158,7 @@
     params: z.strictObject({ tasks: z.array(idSchema<TaskId>()).max(10_000) }),
     result: emptySchema,
   },
-  /** Makes sure that a request that has not started here never starts here. */
+  /** Guarantees that a request which has not started here never starts here. */
   fenceRequest: {
     params: z.strictObject({
       request: idSchema<RequestId>(),
@@ -163,7 +169,10 @@
     }),
     result: z.object({ started: z.enum(["yes", "no", "unknown"]) }),
   },
-  /** Takes the host out of service for good: no new work, running work is moved. */
+  /**
+   * Permanently takes the host out of service: it accepts no new work,
+   * and running work is moved.
+   */
   drain: { params: z.strictObject({}), result: emptySchema },
 } as const;
 
--- a/packages/protocol/src/startTimeout.ts
+++ b/packages/protocol/src/startTimeout.ts
@@ -1,15 +1,19 @@
 /**
- * A time-out for what a peer should do. Timers run before sockets are read, so after
- * a standstill of this process one is due while the answer may lie in the socket: the
- * time for which the process stood still is given again.
+ * A time-out for the response of a peer. Node runs timers before it reads sockets,
+ * so after a suspension of this process a timer may fire although the response is
+ * already in the socket. The time-out is therefore extended by the time for which
+ * the process was suspended.
  */
 
 import type { Clock, Timer } from "@rackspan/common";
 
-/** Timers are late by as much in a process that does not stand still. */
+/**
+ * Smallest delay, in milliseconds, that counts as a suspension; timers of a running
+ * process can be late by less than this.
+ */
 const MIN_SUSPENSION_MS = 2;
 
-/** Waits at most twice `timeoutMs`, and longer only while the process stands still. */
+/** Waits at most twice `timeoutMs`, plus the time for which the process is suspended. */
 export const startTimeout = (
   clock: Clock,
   timeoutMs: number,
--- a/packages/protocol/tests/answeringThread.ts
+++ b/packages/protocol/tests/answeringThread.ts
@@ -1,4 +1,7 @@
-/** A server on a thread of its own: it answers also while the test's loop stands still. */
+/**
+ * A server on its own thread, so that it also answers while the
+ * test's event loop is blocked.
+ */
 
 import { createServer } from "node:http";
 import { parentPort, workerData } from "node:worker_threads";
--- a/packages/protocol/tests/confirmedHttpClient.test.ts
+++ b/packages/protocol/tests/confirmedHttpClient.test.ts
@@ -1,4 +1,7 @@
-/** Calls reach the process that is meant, whichever stands at its address by then. */
+/**
+ * Calls must reach the intended process only, even after another one
+ * has taken over its address.
+ */
 
 import { createServer, type Server } from "node:http";
 import { test, type TestContext } from "node:test";
@@ -14,16 +17,16 @@
   type ConfirmedCall,
 } from "@rackspan/protocol";
 
-/** For calls that get no answer. */
+/** Time-out of calls that get no answer. */
 const TIMEOUT_MS = 300;
-/** For calls that get one, however busy the machine is. */
+/** Time-out of calls that get an answer, however busy the machine is. */
 const LONG_TIMEOUT_MS = 30_000;
 
 const ADDRESS = processLoopbackAddress(1);
 
 class OtherPeerError extends Error {}
 
-/** A process that says its name when it is asked for it, and notes all other calls. */
+/** A process that returns its name when asked, and counts all other calls. */
 class NamedProcess {
   probes = 0;
   calls = 0;
@@ -82,17 +85,17 @@
   return { client, first, second, replace };
 };
 
-test("a connection is confirmed once, and then used for call after call", async (t) => {
+test("a connection is confirmed once and then reused for later calls", async (t) => {
   const { client, first } = await startBoth(t);
   for (let at = 0; at < 5; at += 1) await client.call(callFor("first"));
   expect([first.probes, first.calls]).toEqual([1, 5]);
 });
 
-test("a call does not reach the process that has taken the place of the one meant", async (t) => {
+test("a call does not reach the process that has replaced the intended one", async (t) => {
   const { client, second, replace } = await startBoth(t);
   await client.call(callFor("first"));
   await replace();
-  // The first try may go over the connection that was closed a moment ago.
+  // The first call may use the connection that has just been closed.
   await expect(client.call(callFor("first"))).toBeRejected();
   await expect(client.call(callFor("first"))).toBeRejectedWith(OtherPeerError);
   expect([second.probes > 0, second.calls]).toEqual([true, 0]);
@@ -100,7 +103,7 @@
   expect(second.calls).toEqual(1);
 });
 
-test("a connection that was closed in between is confirmed anew", async (t) => {
+test("a new connection is confirmed after the previous one was closed", async (t) => {
   const { client, first } = await startBoth(t);
   await client.call(callFor("first"));
   first.cutAll();
@@ -119,7 +122,7 @@
   expect(first.calls).toEqual(0);
 });
 
-test("a call without an answer may have taken effect, and one that found no free connection has not", async (t) => {
+test("a call without an answer may have taken effect, and one without a free connection has not", async (t) => {
   const { client, first } = await startBoth(t, 1);
   await client.call(callFor("first"));
   first.answers = false;
--- a/packages/protocol/tests/hostMethods.test.ts
+++ b/packages/protocol/tests/hostMethods.test.ts
@@ -2,7 +2,10 @@
 import { expect } from "earl";
 import { hostMethods, leaderMethods } from "@rackspan/protocol";
 
-/** As the first version wrote them; later versions must go on reading them. */
+/**
+ * Messages as written by the first version; later versions must
+ * remain able to read them.
+ */
 const FIRST_START = {
   task: "j.0.0.0",
   run: 1_048_577,
@@ -29,7 +32,7 @@
 };
 const FIRST_GRANT = { leaseUntil: 7_000, acknowledged: 3 };
 
-test("orders, reports and grants of the first version are understood", () => {
+test("orders, reports and grants of the first version can be read", () => {
   const start = hostMethods.startTask.params.parse(FIRST_START);
   expect(start.nature.milliCores).toEqual(0);
   expect(leaderMethods.report.params.safeParse(FIRST_REPORT).success).toEqual(
@@ -40,7 +43,7 @@
   );
 });
 
-test("fields of later versions are passed over", () => {
+test("fields of later versions are ignored", () => {
   const later = { ...FIRST_START, fromLater: { deep: true } };
   expect(hostMethods.startTask.params.safeParse(later).success).toEqual(true);
   const report = { ...FIRST_REPORT, fromLater: 1 };
--- a/packages/protocol/tests/httpClient.test.ts
+++ b/packages/protocol/tests/httpClient.test.ts
@@ -1,4 +1,4 @@
-/** What an HTTP client makes of connections that fall silent while new ones work. */
+/** How an HTTP client handles connections that stop responding while new ones work. */
 
 import {
   createServer,
@@ -17,15 +17,15 @@
   LostAnswerError,
 } from "@rackspan/protocol";
 
-/** For calls that get no answer. */
+/** Time-out of calls that get no answer. */
 const TIMEOUT_MS = 150;
-/** For calls that get one, however busy the machine is. */
+/** Time-out of calls that get an answer, however busy the machine is. */
 const LONG_TIMEOUT_MS = 30_000;
 const KEPT_OPEN = 4;
 
 const METER_TICK_MS = 10;
 
-/** Milliseconds for which this process ran, without those for which it stood still. */
+/** Measures the milliseconds for which this process ran, without suspensions. */
 const startRunMeter = (t: TestContext): (() => number) => {
   let ranMs = 0;
   let updatedAt = performance.now();
@@ -51,7 +51,7 @@
   });
   server.listen(0, "127.0.0.1");
   await once(server, "listening");
-  /** Answers what is waiting, then never speaks on those connections again. */
+  /** Answers the waiting requests, then never responds on their connections again. */
   const stopResponding = (): void => {
     gathers = false;
     for (const res of waiting) {
@@ -62,7 +62,7 @@
   return { server, waiting, stopResponding };
 };
 
-/** A client with one connection at a time, and the paths that its server was asked for. */
+/** A client with one connection at a time, and the paths that its server received. */
 const connectTo = async (t: TestContext, answer: RequestListener) => {
   const paths: (string | undefined)[] = [];
   const server = createServer((req, res) => {
@@ -81,7 +81,7 @@
   return { client, paths };
 };
 
-test("connections that fell silent cost one time-out, not one each", async (t) => {
+test("connections that stopped responding cost one time-out in total, not one each", async (t) => {
   const { server, waiting, stopResponding } = await createStallingServer();
   t.after(async () => {
     server.closeAllConnections();
@@ -106,8 +106,9 @@
   client.close();
 });
 
-// Calls behind those that keep all connections busy have a time-out of their own.
-test("a call that gets no connection in its time fails then, and is never sent", async (t) => {
+// A call that waits for a connection because others keep all of them
+// busy has its own time-out.
+test("a call that gets no connection within its time-out fails then and is never sent", async (t) => {
   const { client, paths } = await connectTo(t, (req, res) => {
     if (req.url !== "/silent") res.end("answered");
   });
@@ -125,9 +126,10 @@
   expect(paths).toEqual(["/silent", "/next"]);
 });
 
-// Who is told that nothing was sent may give the order to somebody else. A call
-// over a connection that was kept open is sent at once, so it may have arrived.
-test("a call over a kept connection that gets no answer may have taken effect", async (t) => {
+// A caller that learns that nothing was sent may send the order elsewhere. A
+// call over a reused connection is sent at once, so it may have arrived and must
+// not be reported as unsent.
+test("a call over a reused connection that gets no answer may have taken effect", async (t) => {
   const { client, paths } = await connectTo(t, (req, res) => {
     if (req.url === "/answered") res.end();
     if (req.url === "/broken") req.socket.destroy();
--- a/packages/protocol/tests/processSuspension.test.ts
+++ b/packages/protocol/tests/processSuspension.test.ts
@@ -1,4 +1,6 @@
-/** What calls make of a standstill of their own process while the peer goes on. */
+/**
+ * Calls must survive a suspension of their own process while the peer continues to run.
+ */
 
 import { once } from "node:events";
 import { test, type TestContext } from "node:test";
@@ -33,7 +35,10 @@
   });
   t.after(() => thread.terminate());
   const [address] = (await once(thread, "message")) as [string];
-  /** Stands still until that answer has lain in the socket past its time. */
+  /**
+   * Blocks this thread until the given answer has been in the socket for
+   * longer than the time-out.
+   */
   const blockUntilOverdue = (answer: number): void => {
     Atomics.wait(answered, 0, answer - 1, ANSWER_LIMIT_MS);
     blockThread();
@@ -41,18 +46,18 @@
   return { baseUrl: `http://${address}`, blockUntilOverdue };
 };
 
-test("an answer that came while the process stood still is not lost", async (t) => {
+test("an answer that arrived while the process was suspended is not lost", async (t) => {
   const { baseUrl, blockUntilOverdue } = await startServer(t);
   const client = new HttpClient({ baseUrl });
   t.after(() => client.close());
   await client.call(LONG_CALL);
   const late = client.call(CALL);
-  // The call is sent by then, and no socket has been read since.
+  // The call has been sent by then, and no socket has been read since.
   setImmediate(() => blockUntilOverdue(2));
   expect((await late).body.toString("utf8")).toEqual("answered");
 });
 
-test("a call whose process stood still while it connected is sent", async (t) => {
+test("a call is sent although the process was suspended while connecting", async (t) => {
   const { baseUrl } = await startServer(t);
   const client = new HttpClient({ baseUrl });
   t.after(() => client.close());
@@ -61,7 +66,7 @@
   expect((await late).body.toString("utf8")).toEqual("answered");
 });
 
-test("a call that stood still behind another one gets its connection", async (t) => {
+test("a call that waited behind another one during a suspension gets its connection", async (t) => {
   const { baseUrl, blockUntilOverdue } = await startServer(t);
   const client = new ConfirmedHttpClient({ baseUrl, maxSockets: 1 });
   const call: ConfirmedCall = {
--- a/packages/protocol/tests/startTimeout.test.ts
+++ b/packages/protocol/tests/startTimeout.test.ts
@@ -1,4 +1,4 @@
-/** How long a time-out waits, also beside standstills of its own process. */
+/** When a time-out fires, including after suspensions of its own process. */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -16,13 +16,13 @@
   return { clock, firedAt, timer };
 };
 
-test("without a standstill a time-out fires once, at its time", async () => {
+test("without a suspension a time-out fires once, when it is due", async () => {
   const { clock, firedAt } = start();
   await clock.advance(10 * TIMEOUT_MS);
   expect(firedAt).toEqual([TIMEOUT_MS]);
 });
 
-test("a time-out that is due after a standstill gives its time again", async () => {
+test("a time-out that is due after a suspension is extended by the delay", async () => {
   const { clock, firedAt } = start();
   await clock.advance(250);
   clock.freeze(150);
@@ -30,21 +30,21 @@
   expect(firedAt).toEqual([500]);
 });
 
-test("a standstill before its time is over does not put a time-out off", async () => {
+test("a suspension that ends before the time-out is due does not extend it", async () => {
   const { clock, firedAt } = start();
   clock.freeze(250);
   await clock.advance(10 * TIMEOUT_MS);
   expect(firedAt).toEqual([TIMEOUT_MS]);
 });
 
-test("however long a standstill is, a silent peer gets no more than its time again", async () => {
+test("after a suspension of any length, the time-out is extended by at most its own duration", async () => {
   const { clock, firedAt } = start();
   clock.freeze(100 * TIMEOUT_MS);
   await clock.advance(10 * TIMEOUT_MS);
   expect(firedAt).toEqual([101 * TIMEOUT_MS]);
 });
 
-test("standstill after standstill does not put a time-out off for ever", async () => {
+test("repeated suspensions do not extend a time-out indefinitely", async () => {
   const { clock, firedAt } = start();
   clock.freeze(2 * TIMEOUT_MS);
   await clock.advance(0);
@@ -53,7 +53,7 @@
   expect(firedAt).toEqual([4 * TIMEOUT_MS]);
 });
 
-test("a cancelled time-out does not fire, also when it is given time again", async () => {
+test("a cancelled time-out does not fire, even after it was extended", async () => {
   const { clock, firedAt, timer } = start();
   clock.freeze(2 * TIMEOUT_MS);
   await clock.advance(0);
--- a/packages/state/src/Appender.ts
+++ b/packages/state/src/Appender.ts
@@ -1,6 +1,6 @@
 /**
- * Appends this process's records to the log in batches, and returns the fold's verdict
- * on each once it was read back.
+ * Appends the records of this process to the log in batches. The result of a record
+ * is returned once the fold has read it back from the log and applied it.
  */
 
 import {
@@ -20,9 +20,9 @@
 import { encodeBatch } from "./codec.js";
 import { AppendRefusedError, AppendUnknownError } from "./errors.js";
 import type { AppliedRecord, Fold } from "./Fold.js";
-import type { LogRecord, ApplyResult } from "./records.js";
+import type { ApplyResult, LogRecord } from "./records.js";
 
-/** The stream that carries all records. */
+/** Log stream that contains all records. */
 export const RECORD_STREAM = "records";
 
 const APPENDER_DEFAULTS = {
@@ -31,7 +31,9 @@
   maxBatchBytes: 512 * 1024,
   retryMs: 200,
   maxRetryMs: 5_000,
-  /** How long to look for an entry whose append was not answered. */
+  /**
+   * Milliseconds to wait for an entry to be read back when its append was not answered.
+   */
   readBackMs: 1_000,
 } as const;
 
@@ -45,17 +47,20 @@
   readonly random: Random;
   readonly metrics: Metrics;
   readonly logger: Logger;
-  /** Share of the platform's append budget that this process may use. */
+  /**
+   * Appends per second that this process may make: its share of the
+   * platform's append budget.
+   */
   readonly appendsPerSecond: number;
   readonly maxQueued?: number;
 }
 
 interface Pending {
   readonly record: LogRecord;
-  readonly settle: (verdict: ApplyResult) => void;
+  readonly settle: (result: ApplyResult) => void;
   readonly fail: (err: Error) => void;
   readonly timer: Timer;
-  /** Whether the record is part of an append that may land or have landed. */
+  /** Whether the record is part of an append that may have taken effect, or still may. */
   inDoubt: boolean;
   done: boolean;
 }
@@ -82,16 +87,16 @@
   }
 
   /**
-   * Appends one record and waits for the fold's verdict on it.
-   * @param timeoutMs how long the caller can wait
-   * @throws AppendRefusedError when it was not appended and will not be
-   * @throws AppendUnknownError when it may have been, or may still be
+   * Appends one record and waits for the result of applying it.
+   * @param timeoutMs milliseconds that the caller can wait
+   * @throws AppendRefusedError when the record was not appended and never will be
+   * @throws AppendUnknownError when the record may have been appended, or still may be
    */
   submit(record: LogRecord, timeoutMs: number): Promise<ApplyResult> {
     const { maxQueued = APPENDER_DEFAULTS.maxQueued } = this.options;
     if (this.queue.length >= maxQueued) {
       this.options.metrics.count("append_refused", { reason: "queue-full" });
-      const what = `${this.queue.length} records wait for the log already`;
+      const what = `${this.queue.length} records are already waiting for the log`;
       return Promise.reject(new AppendRefusedError(what));
     }
     return new Promise((settle, fail) => {
@@ -111,7 +116,7 @@
     });
   }
 
-  /** Sends batches until the signal ends it. */
+  /** Appends batches until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
     try {
       while (!signal.aborted) {
@@ -165,9 +170,10 @@
   }
 
   /**
-   * Repeats a batch that may have landed with the same numbers, which the fold
-   * drops when it saw them before. What surely has not landed is sent anew,
-   * without the records whose callers were told that they are refused.
+   * Retries a batch until it is appended. A batch that may have been appended is
+   * repeated with the same record numbers, so that the fold ignores the duplicates.
+   * A batch that was certainly not appended is sent again without the records that
+   * have been rejected in the meantime.
    */
   private async appendUntilPersisted(
     first: SentBatch,
@@ -196,7 +202,10 @@
     }
   }
 
-  /** Only for a batch of which nothing can have landed: its numbers are used again. */
+  /**
+   * Removes rejected records from a batch and reuses their numbers. Only valid when
+   * no append of the batch can have taken effect.
+   */
   private withoutDone({ first, items }: SentBatch): SentBatch {
     items.forEach((_, index) => this.awaitingFold.delete(first + index));
     const remaining = items.filter((item) => !item.done);
@@ -246,7 +255,7 @@
     return true;
   }
 
-  private onApplied({ writer, number, result: result }: AppliedRecord): void {
+  private onApplied({ writer, number, result }: AppliedRecord): void {
     if (writer !== this.options.writer) return;
     this.foldAdvanced.notify();
     const item = this.awaitingFold.get(number);
@@ -282,7 +291,7 @@
   }
 }
 
-/** A record that expires while an append is under way may still land. */
+/** A record that expires while its append is in progress may still be appended. */
 const markInDoubt = ({ items }: SentBatch, inDoubt: boolean): void => {
   for (const item of items) item.inDoubt = inDoubt;
 };
--- a/packages/state/src/BoundedMap.ts
+++ b/packages/state/src/BoundedMap.ts
@@ -1,4 +1,4 @@
-/** A map that drops its oldest entries past a size, by order of insertion. */
+/** A map of limited size that drops its oldest entries, by order of insertion. */
 
 export class BoundedMap<K, V> {
   private readonly entries = new Map<K, V>();
@@ -13,7 +13,10 @@
     return this.entries.get(key);
   }
 
-  /** Puts the entry last; @returns what was forgotten to make room. */
+  /**
+   * Inserts the entry as the newest one.
+   * @returns the entry that was dropped to stay within the limit, if any
+   */
   set(key: K, value: V): readonly [K, V] | undefined {
     this.entries.delete(key);
     this.entries.set(key, value);
@@ -23,7 +26,7 @@
     return oldest;
   }
 
-  /** Changes the value without making the entry younger. */
+  /** Replaces the value without changing the entry's position in the order. */
   replace(key: K, value: V): void {
     if (this.entries.has(key)) this.entries.set(key, value);
   }
--- a/packages/state/src/ConfigFold.ts
+++ b/packages/state/src/ConfigFold.ts
@@ -18,14 +18,14 @@
 export interface ConfigSnapshot {
   readonly version: number;
   readonly declarations: readonly VersionedDeclaration[];
-  /** Removed names and the versions that removed them, for conflicts. */
+  /** Removed names and the versions that removed them, to detect conflicts. */
   readonly removed: readonly {
     readonly key: string;
     readonly version: number;
   }[];
 }
 
-/** Why a change was not accepted. */
+/** The declaration because of which a change was rejected. */
 export interface ConfigConflict {
   readonly key: string;
   readonly changedAt: Sequence;
@@ -69,7 +69,7 @@
     );
   }
 
-  /** The first declaration that changed after `base`, if any of the changes names it. */
+  /** The first declaration in the record that has changed since its `base`, if any. */
   conflictOf(record: RecordOf<"apply">): ConfigConflict | undefined {
     for (const change of record.changes) {
       const key = keyOfChange(change);
--- a/packages/state/src/ConfigHolder.ts
+++ b/packages/state/src/ConfigHolder.ts
@@ -1,4 +1,7 @@
-/** The newest configuration of queues; never goes back within one life. */
+/**
+ * Holds the newest configuration of queues; its version never
+ * decreases while the process runs.
+ */
 
 import { Emitter, type Logger } from "@rackspan/common";
 import {
@@ -12,7 +15,7 @@
   readonly changes = new Emitter<SiteConfig>();
   private config: SiteConfig | undefined;
   private queues = new Map<QueueKey, QueueSpec>();
-  /** Prefixes by host name, the longest first. */
+  /** Path prefixes by host name, the longest first. */
   private prefixes = new Map<string, readonly string[]>();
 
   constructor(private readonly logger: Logger) {}
@@ -25,7 +28,7 @@
     return this.queues.get(key);
   }
 
-  /** The queue of the longest prefix with which the path begins. */
+  /** The queue with the longest prefix that the path starts with. */
   matchQueue(hostName: string, path: string): QueueSpec | undefined {
     const prefix = this.prefixes
       .get(hostName)
@@ -34,7 +37,7 @@
     return this.queues.get(queueKeyOf(hostName, prefix));
   }
 
-  /** Passes over a configuration that is no newer than the one in force. */
+  /** Ignores a configuration that is not newer than the active one. */
   applyIfNewer(config: SiteConfig): void {
     const before = this.config?.version;
     if (before !== undefined && config.version <= before) {
--- a/packages/state/src/EvacuatedZones.ts
+++ b/packages/state/src/EvacuatedZones.ts
@@ -1,4 +1,4 @@
-/** The availability zones that the operator wants nothing more started in. */
+/** Availability zones that the operator evacuates: nothing more is started in them. */
 
 import {
   Emitter,
@@ -16,7 +16,7 @@
 }
 
 export class EvacuatedZones {
-  /** Emits a zone when its evacuation begins, and when it is taken back. */
+  /** Emits a zone when its evacuation starts, and when it ends. */
   readonly changes = new Emitter<AvailabilityZone>();
   private readonly since = new Map<AvailabilityZone, Instant>();
 
@@ -26,7 +26,7 @@
     return this.since.has(zone);
   }
 
-  /** @param isEvacuated whether the operator asks for it; else the zone is taken back */
+  /** @param isEvacuated whether to evacuate the zone; false ends the evacuation */
   setEvacuated(zone: AvailabilityZone, isEvacuated: boolean): void {
     if (isEvacuated === this.has(zone)) return;
     const { clock, logger, metrics } = this.options;
--- a/packages/state/src/Fold.ts
+++ b/packages/state/src/Fold.ts
@@ -1,6 +1,6 @@
 /**
- * The deterministic fold over the log: every process that has read the same
- * entries holds the same state.
+ * The deterministic fold over the log: all processes that have applied the same
+ * entries have the same state.
  */
 
 import {
@@ -13,18 +13,21 @@
 import { BoundedMap } from "./BoundedMap.js";
 import type { Batch } from "./codec.js";
 import { ConfigFold, type ConfigSnapshot } from "./ConfigFold.js";
-import type { LogRecord, RecordOf, ApplyResult } from "./records.js";
+import type { ApplyResult, LogRecord, RecordOf } from "./records.js";
 import { RequestFold, type RequestSnapshot } from "./RequestFold.js";
 import { UnitFold, type Rejection, type UnitSnapshot } from "./UnitFold.js";
 import { updateUnits } from "./updateUnits.js";
 import { jobSpec, jobUnitId } from "./units.js";
 
-/** Writers whose last number is remembered, to drop what they repeat. */
+/**
+ * Maximum number of writers whose last record number is stored, to
+ * ignore repeated records.
+ */
 const MAX_WRITERS = 4_096;
 
 export interface AppliedRecord {
   readonly writer: Incarnation;
-  /** The writer's own number of the record. */
+  /** Number that the writer gave the record. */
   readonly number: number;
   readonly record: LogRecord;
   readonly result: ApplyResult;
@@ -42,7 +45,7 @@
 }
 
 export interface FoldOptions {
-  /** Switched off only by the tests that show what it is for. */
+  /** Disabled only in tests that show which faults it prevents. */
   readonly ignoreDuplicates?: boolean;
   readonly checkBaseVersion?: boolean;
 }
@@ -51,19 +54,19 @@
   readonly config = new ConfigFold();
   readonly units = new UnitFold();
   readonly requests = new RequestFold();
-  /** Emits each record right after it was applied. */
+  /** Emits each record after it is applied. */
   readonly applied = new Emitter<AppliedRecord>();
   private readonly writers = new BoundedMap<Incarnation, number>(MAX_WRITERS);
   private count = 0;
 
   constructor(private readonly options: FoldOptions = {}) {}
 
-  /** How many records have been applied. */
+  /** Number of records applied so far. */
   get sequence(): Sequence {
     return sequence(this.count);
   }
 
-  /** The last number of this writer that was applied; -1 for none. */
+  /** Number of the writer's last applied record; -1 for none. */
   lastNumberOf(writer: Incarnation): number {
     return this.writers.get(writer) ?? -1;
   }
@@ -75,11 +78,11 @@
       if (repeated && this.options.ignoreDuplicates !== false) return;
       this.writers.set(writer, number);
       const result = this.apply(record);
-      this.applied.emit({ writer, number, record, result: result });
+      this.applied.emit({ writer, number, record, result });
     });
   }
 
-  /** Applies one record and returns the verdict on it. */
+  /** Applies one record and returns the result. */
   apply(record: LogRecord): ApplyResult {
     this.count += 1;
     const at = this.sequence;
@@ -185,7 +188,7 @@
     };
   }
 
-  /** Only on a fold that has applied nothing yet. */
+  /** Restores a snapshot. Only valid on a fold that has not applied any record. */
   restore(snapshot: FoldSnapshot): void {
     this.count = snapshot.sequence;
     for (const { writer, last } of snapshot.writers)
--- a/packages/state/src/JobView.ts
+++ b/packages/state/src/JobView.ts
@@ -1,4 +1,4 @@
-/** What the store says of all jobs, folded from its topics; every entry keeps one. */
+/** View of all jobs, built from the topics of the store; every entry maintains one. */
 
 import {
   describeError,
@@ -35,7 +35,10 @@
   | { readonly kind: "accepted"; readonly job: AcceptedJob }
   | { readonly kind: "cancelled"; readonly id: JobId };
 
-/** The hosts to which leases may have been granted, and to which life of the worker. */
+/**
+ * Hosts that may have been granted leases, with the worker incarnation that may
+ * hold them; undefined stands for any incarnation.
+ */
 export type Roster = ReadonlyMap<HostId, WorkerInstance | undefined>;
 
 export interface JobViewOptions {
@@ -44,12 +47,15 @@
 }
 
 export class JobView {
-  /** Emits what a leader has to act on. */
+  /** Emits the changes that a leader has to act on. */
   readonly changes = new Emitter<JobChange>();
   private readonly jobs = new Map<JobId, AcceptedJob>();
-  /** Jobs that the store keeps in a form that this version cannot read. */
+  /** Jobs whose stored records this version cannot read. */
   private readonly unreadable = new Set<JobId>();
-  /** When each was taken. A cancel may come before its job, and then waits for it. */
+  /**
+   * When each cancel was accepted. A cancel may arrive before its
+   * job and is then held for it.
+   */
   private readonly cancels = new Map<JobId, Instant>();
   private readonly progress = new Map<JobId, ProgressRecord>();
   private readonly hosts = new Map<HostId, WorkerInstance | undefined>();
@@ -63,7 +69,7 @@
     return { accepted, cancelled, progress: this.progress.get(id) };
   }
 
-  /** What a caller is told; undefined for a job that is not known. */
+  /** State that is reported to callers; undefined for an unknown job. */
   stateOf(id: JobId): JobStateName | undefined {
     const entry = this.get(id);
     if (!entry) return undefined;
@@ -76,12 +82,18 @@
     return [...this.jobs.keys()].map((id) => this.get(id) as JobEntry);
   }
 
-  /** Whether a cancel is kept for the job, which itself may not have come. */
+  /**
+   * Whether a cancel is recorded for the job; the job record itself
+   * may not have arrived.
+   */
   isCancelled(id: JobId): boolean {
     return this.cancels.has(id);
   }
 
-  /** Cancels taken before the given time of day whose jobs have not come. */
+  /**
+   * Jobs with a cancel that was accepted before the given time, but
+   * without a job record.
+   */
   cancelsWithoutJob(before: Instant): JobId[] {
     const ids: JobId[] = [];
     for (const [id, at] of this.cancels) {
@@ -91,7 +103,7 @@
     return ids;
   }
 
-  /** Jobs of the queue of which no task has begun. */
+  /** Number of jobs in the queue of which no task has started. */
   countUnstartedJobs(queue: QueueKey): number {
     let count = 0;
     for (const [id, { spec }] of this.jobs) {
@@ -107,7 +119,10 @@
     return this.hosts;
   }
 
-  /** Also called by the entry that wrote the record, before it reads it back. */
+  /**
+   * Adds an accepted job. Also called by the entry that wrote the
+   * record, before it reads it back.
+   */
   addAccepted(job: AcceptedJob): void {
     const { id } = job.spec;
     if (this.jobs.has(id)) return;
@@ -115,7 +130,7 @@
     this.changes.emit({ kind: "accepted", job });
   }
 
-  /** @param at when the cancel was taken, by the time of day */
+  /** @param at wall-clock time at which the cancel was accepted */
   addCancel(id: JobId, at: Instant): void {
     if (this.cancels.has(id)) return;
     this.cancels.set(id, at);
@@ -144,7 +159,8 @@
         this.cancels.delete(id);
         continue;
       }
-      // One of another writer cancels nothing: no caller has asked for it.
+      // A cancel record of another writer cannot be read and cancels
+      // nothing: no caller requested it.
       this.decode(key, () => this.addCancel(id, decodeCancel(key, value)));
     }
   }
--- a/packages/state/src/LogFollower.ts
+++ b/packages/state/src/LogFollower.ts
@@ -1,4 +1,4 @@
-/** Reads the log in offset order into the fold, after restoring what is past. */
+/** Applies the log to the fold in offset order, after restoring the newest snapshot. */
 
 import {
   AbortedError,
@@ -26,7 +26,10 @@
 const RETRY_MS = 100;
 const MAX_RETRY_MS = 2_000;
 
-/** Asks the other entries for their state; used where the log cannot help. */
+/**
+ * Fetches snapshots of other entries, for when the log no longer has
+ * the entries needed.
+ */
 export interface PeerSnapshots {
   /** The snapshot with the highest offset among the peers that answered. */
   fetchNewest(): Promise<Snapshot | undefined>;
@@ -44,7 +47,10 @@
 }
 
 export class LogFollower {
-  /** Emits when the fold was restored from a snapshot: its past was not applied one by one. */
+  /**
+   * Emits when the fold was restored from a snapshot; the records covered by it
+   * are not emitted one by one.
+   */
   readonly restoredFromSnapshot = new Emitter<void>();
   private from = offset(0);
   private restored = false;
@@ -55,17 +61,17 @@
 
   constructor(private readonly options: LogFollowerOptions) {}
 
-  /** All entries below this offset are in the fold. */
+  /** All entries below this offset have been applied to the fold. */
   get position(): Offset {
     return this.from;
   }
 
-  /** Whether the fold has once held all that the log held. */
+  /** Whether the fold has reached the end of the log at least once. */
   get caughtUp(): boolean {
     return this.reachedEnd;
   }
 
-  /** Set when following has ended for good; an operator has to act. */
+  /** Set when following has stopped permanently; an operator has to intervene. */
   get fault(): Error | undefined {
     return this.failure;
   }
@@ -75,12 +81,15 @@
     return this.options.clock.monotonic() - this.lastReadAt;
   }
 
-  /** Resolves at the next change of position, readiness or fault, or after `ms`. */
+  /**
+   * Resolves at the next change of position, readiness or fault, or
+   * after `ms` milliseconds.
+   */
   waitForChange(ms: number): Promise<void> {
     return this.changed.wait(this.options.clock, ms);
   }
 
-  /** Follows until the signal ends it, or until the past is lost. */
+  /** Follows the log until the signal aborts or the history is lost. */
   async run(signal: AbortSignal): Promise<void> {
     const { clock, random, logger } = this.options;
     let retryMs = RETRY_MS;
@@ -118,7 +127,11 @@
     this.changed.notify();
   }
 
-  /** A reader that fell behind retention cannot go on: entries are missing. */
+  /**
+   * Reads a page of the log.
+   * @throws HistoryLostError when the reader fell behind the log's retention,
+   *   because entries are missing
+   */
   private async readWithinRetention<T>(read: () => Promise<T>): Promise<T> {
     try {
       return await read();
--- a/packages/state/src/OperatorView.ts
+++ b/packages/state/src/OperatorView.ts
@@ -1,4 +1,4 @@
-/** Folds what the operator has written: the configuration, and zones to evacuate. */
+/** Applies the operator's records: the configuration, and the zones to evacuate. */
 
 import {
   describeError,
@@ -11,21 +11,21 @@
 import type { EvacuatedZones } from "./EvacuatedZones.js";
 import type { SiteConfig } from "./jobModel.js";
 
-/** One record of the operator's. */
+/** A decoded record of the operator. */
 export type OperatorRecord =
   | { readonly kind: "config"; readonly config: SiteConfig }
   | {
       readonly kind: "evacuation";
       readonly zone: AvailabilityZone;
-      /** False once the zone is taken back. */
+      /** False once the operator ends the evacuation. */
       readonly isEvacuated: boolean;
     };
 
-/** Reads what the operator has written, in the platform's own form. */
+/** Decodes the operator's records, whose format is specific to the platform. */
 export interface OperatorDecoder {
   /**
-   * @returns undefined for a record that says nothing to this product
-   * @throws Error of any kind when the record names something and cannot be read
+   * @returns undefined for a record that does not concern rackspan
+   * @throws Error of any kind when the record does concern it but cannot be read
    */
   decode(record: KeyedRecord): OperatorRecord | undefined;
 }
--- a/packages/state/src/RequestFold.ts
+++ b/packages/state/src/RequestFold.ts
@@ -1,17 +1,17 @@
-/** Keys of requests that may run once only, and their recorded outcomes. */
+/** Idempotency keys of requests, and the recorded response of each. */
 
 import type { RequestId, ServiceName } from "@rackspan/common";
 import { BoundedMap } from "./BoundedMap.js";
 import type { RecordOf } from "./records.js";
 import type { Rejection } from "./UnitFold.js";
 
-/** Keys that are remembered; older ones are forgotten, the oldest first. */
+/** Maximum number of keys stored; the oldest are dropped first. */
 export const MAX_REQUEST_KEYS = 50_000;
 
 export interface RecordedResponse {
   readonly status: number;
   readonly contentType?: string | undefined;
-  /** Absent when the answer was too large to keep. */
+  /** Absent when the response was too large to record. */
   readonly body?: Uint8Array | undefined;
 }
 
@@ -19,9 +19,9 @@
   readonly service: ServiceName;
   readonly key: string;
   readonly digest: string;
-  /** The request that holds the key. */
+  /** The request that claimed the key. */
   readonly request: RequestId;
-  /** Absent while the outcome is not known. */
+  /** Absent until the response is recorded. */
   readonly answer?: RecordedResponse | undefined;
 }
 
@@ -55,7 +55,7 @@
     if (holder && holder.digest !== record.digest) {
       return {
         reason: "key-reused",
-        detail: "the key stands for another request",
+        detail: "the key was used for another request",
       };
     }
     if (holder) {
--- a/packages/state/src/SnapshotWriter.ts
+++ b/packages/state/src/SnapshotWriter.ts
@@ -1,4 +1,7 @@
-/** Appends a snapshot now and then, well before the log drops what it covers. */
+/**
+ * Appends snapshots periodically, well before the log drops the
+ * entries that they cover.
+ */
 
 import {
   AbortedError,
@@ -22,13 +25,16 @@
   readonly random: Random;
   readonly metrics: Metrics;
   readonly logger: Logger;
-  /** How long the log keeps an entry, milliseconds. */
+  /** Retention time of log entries, milliseconds. */
   readonly retentionMs: number;
-  /** Entries after which a snapshot is written however young the last one is. */
+  /**
+   * Number of entries after which a snapshot is written regardless
+   * of the age of the last one.
+   */
   readonly everyEntries: number;
 }
 
-/** A snapshot is renewed this many times within the log's retention. */
+/** Snapshots written per retention time of the log. */
 const SNAPSHOTS_PER_RETENTION = 6;
 const CHECKS_PER_SNAPSHOT = 4;
 
@@ -44,7 +50,8 @@
     const intervalMs = retentionMs / SNAPSHOTS_PER_RETENTION;
     try {
       while (!signal.aborted) {
-        // Half of the wait is random, so that two writers seldom meet.
+        // Half of the wait is random, so that two writers rarely
+        // write at the same time.
         await sleep(
           clock,
           jitter(random, intervalMs / CHECKS_PER_SNAPSHOT),
@@ -66,7 +73,8 @@
     const entries = follower.position - Math.max(0, newest);
     const old = clock.monotonic() - this.lastWriteAt >= intervalMs;
     if (entries < this.options.everyEntries && !(old && entries > 0)) return;
-    // Taken together, without a wait between: the state is the one at `covered`.
+    // Both are read without an await in between, so that the state
+    // is the one at `covered`.
     const snapshot = { covered: follower.position, state: fold.toSnapshot() };
     await store.write(snapshot);
     this.lastWriteAt = clock.monotonic();
--- a/packages/state/src/TopicFollower.ts
+++ b/packages/state/src/TopicFollower.ts
@@ -1,6 +1,6 @@
 /**
- * Follows one keyed topic: first the newest record of each key, then every
- * change by long polls. One task reads, for as long as the process runs.
+ * Follows one keyed topic: loads the newest record of each key, then reads every
+ * change with long polls. A single loop reads for as long as the process runs.
  */
 
 import {
@@ -19,9 +19,12 @@
 } from "@rackspan/ports";
 
 const FOLLOW = {
-  /** A poll that hears nothing returns after this, so that a silent store is noticed. */
+  /**
+   * Maximum duration of a poll without records, so that a store that
+   * stops answering is detected.
+   */
   pollMs: 1_500,
-  /** Pause after a failure; a store that comes back is noticed within this. */
+  /** Pause after a failure; the recovery of the store is detected within this time. */
   retryMs: 150,
 } as const;
 
@@ -31,8 +34,9 @@
   readonly clock: Clock;
   readonly logger: Logger;
   /**
-   * Least time between two polls, milliseconds: each call has a price. Asked for
-   * before each pause, since an entry that leads must hear of news sooner.
+   * Minimum time between two polls, milliseconds, because each call
+   * has a cost. Evaluated before each pause, because the leading entry
+   * must receive changes sooner.
    */
   readonly minPollIntervalMs: () => number;
   /** Called with the records of one page, in order. */
@@ -46,10 +50,10 @@
   private answeredAt: Monotonic = -Infinity;
   private reachable = true;
   private task: Promise<void> | undefined;
-  /** Keys that were handed on with a value and not dropped since. */
+  /** Keys that were passed on with a value and not deleted since. */
   private readonly knownKeys = new Set<string>();
   private readonly waiters = new Set<() => void>();
-  /** Ends the poll that is under way, so that a fresh one can be made. */
+  /** Aborts the current poll or pause, so that a new poll starts. */
   private pollAbort = new AbortController();
 
   constructor(private readonly options: TopicFollowerOptions) {}
@@ -64,12 +68,15 @@
     await this.task;
   }
 
-  /** Whether the newest record of each key has been read once. */
+  /** Whether the newest record of each key has been loaded. */
   get loaded(): boolean {
     return this.next !== undefined;
   }
 
-  /** Milliseconds since the view was last known to be complete; Infinity before. */
+  /**
+   * Milliseconds since the view was last known to be complete;
+   * Infinity before the first load.
+   */
   get ageMs(): number {
     if (this.completeAt === undefined) return Infinity;
     return this.options.clock.monotonic() - this.completeAt;
@@ -85,7 +92,7 @@
     return !this.reachable;
   }
 
-  /** Resolves once everything that the store holds now has been handed on. */
+  /** Resolves once all records that the store holds now have been passed on. */
   async catchUp(signal?: AbortSignal): Promise<void> {
     const askedAt = this.options.clock.monotonic();
     while ((this.completeAt ?? -Infinity) < askedAt) {
@@ -96,7 +103,7 @@
   }
 
   private async run(): Promise<void> {
-    const { clock, minPollIntervalMs: minPollIntervalMs } = this.options;
+    const { clock, minPollIntervalMs } = this.options;
     while (!this.abort.signal.aborted) {
       const startedAt = clock.monotonic();
       const succeeded = await this.step();
@@ -110,7 +117,7 @@
     }
   }
 
-  /** Ends early when a caller waits for a fresh view. */
+  /** Pauses, but ends early when a caller waits for an up-to-date view. */
   private async pauseFor(ms: number): Promise<void> {
     this.pollAbort = new AbortController();
     const signals = [this.abort.signal, this.pollAbort.signal];
@@ -134,7 +141,7 @@
   private async load(): Promise<void> {
     const { store, topic, clock } = this.options;
     const askedAt = clock.monotonic();
-    // What ended a poll before does not excuse a failure of this reading.
+    // An abort of an earlier poll must not mask a failure of this load.
     this.pollAbort = new AbortController();
     const page = await store.readNewest(topic);
     this.logUnreadable(page);
@@ -154,14 +161,15 @@
     if (page.records.length > 0) this.passOn(page.records);
     this.next = page.next;
     this.answeredAt = clock.monotonic();
-    // An answer holds a megabyte at most: a follower that was cut off reads on.
+    // A response contains at most one megabyte, so a follower that is behind reads on.
     const isAtEnd = page.next === from || page.next >= page.end;
     if (isAtEnd) this.markComplete(askedAt);
   }
 
   /**
-   * The newest records name no key that was dropped while the follower was cut
-   * off. Without this a job that is gone would be held for ever, and run again.
+   * Returns deletions for the keys that were deleted while the follower could not
+   * reach the store: a list of the newest records does not contain them. Without
+   * this, a job that was deleted would be held forever and run again.
    */
   private deletedSince(newest: RecordPage): KeyedRecord[] {
     const { records, unreadableKeys = [] } = newest;
@@ -190,7 +198,10 @@
     for (const wake of waiters) wake();
   }
 
-  /** Records of another writer: what the others say holds. */
+  /**
+   * Logs unreadable records, such as those of another writer; the
+   * other records are used.
+   */
   private logUnreadable({ unreadable = 0, next }: RecordPage): void {
     if (unreadable === 0) return;
     const { topic, logger } = this.options;
@@ -207,7 +218,7 @@
   private handleFailure(err: unknown): void {
     const { topic, logger } = this.options;
     if (err instanceof RecordsGoneError) {
-      // Keyed topics keep each key's newest record: read those again.
+      // Keyed topics keep the newest record of each key, so these are loaded again.
       logger.warn("topic.reload", { topic, error: describeError(err) });
       this.next = undefined;
       return;
--- a/packages/state/src/TopicWriter.ts
+++ b/packages/state/src/TopicWriter.ts
@@ -1,7 +1,7 @@
 /**
- * Appends records to one topic in batches. Each batch carries a stamp, so that
- * repeating a batch whose answer was lost never keeps it twice, and a writer
- * that was deposed writes nothing more.
+ * Appends records to one topic in batches. Each batch carries a producer stamp: a
+ * batch that is repeated because its answer was lost is persisted only once, and a
+ * writer that was replaced by one of a higher epoch cannot write any more.
  */
 
 import {
@@ -22,21 +22,27 @@
 } from "@rackspan/ports";
 
 const WRITER = {
-  /** Time for the first try; the store answers in some milliseconds when it is well. */
+  /** Time-out of the first attempt; a healthy store answers within a few milliseconds. */
   firstTimeoutMs: 300,
-  /** The same as a multiple of what the last append took, where that is longer. */
+  /**
+   * The same as a multiple of the duration of the last append, used
+   * where that is longer.
+   */
   firstTimeoutFactor: 2,
-  /** Each further try of a batch waits twice as long, up to this: a slow store needs it. */
+  /**
+   * The time-out doubles with each retry of a batch, up to this limit,
+   * which a slow store needs.
+   */
   maxTimeoutMs: 2_400,
   retryMs: 60,
-  /** New records are refused at once while a batch has been without an answer this long. */
+  /** New records are refused at once while a batch has been unanswered for this long. */
   stuckAfterMs: 700,
   maxBatchRecords: 200,
-  /** Under the least limit of a call that the platform states (2 MiB). */
+  /** Below the smallest call size limit that the platform documents (2 MiB). */
   maxBatchBytes: 1_000_000,
-  /** More waiting records than this are refused at once. */
+  /** Records beyond this number of queued ones are refused at once. */
   maxQueued: 5_000,
-  /** Appends of one epoch; the numbers of a later one are all higher. */
+  /** Sequence numbers of one epoch; those of a later epoch are all higher. */
   appendsPerEpoch: 2 ** 20,
 } as const;
 
@@ -47,9 +53,12 @@
   readonly logger: Logger;
   readonly producer: string;
   readonly epoch: number;
-  /** Time for which records are gathered before they are sent, milliseconds. */
+  /** Milliseconds for which records are collected into a batch before it is sent. */
   readonly batchWindowMs: number;
-  /** Whether a batch that the store refused is sent again, or its writers told. */
+  /**
+   * Whether a batch that the store refused is sent again; otherwise
+   * its writes are rejected.
+   */
   readonly retriesRefusedBatches: boolean;
 }
 
@@ -59,17 +68,17 @@
   readonly reject: (err: unknown) => void;
 }
 
-/** One record on its way to the store. */
+/** A record that is queued or being sent to the store. */
 export interface PendingWrite {
   /**
-   * Resolves with the offset behind the record once it is kept.
-   * Rejects with StoreRefusedError when it is not and never will be kept, with
+   * Resolves with the offset after the record once the record is persisted. Rejects
+   * with StoreRefusedError when it is not persisted and never will be, and with
    * FencedError when another writer has taken over.
    */
   readonly persisted: Promise<number>;
   /**
-   * Gives up.
-   * @returns whether the record was certainly not sent, and never will be
+   * Removes the record from the queue unless it has been sent.
+   * @returns whether the record was not sent and never will be
    */
   readonly abandon: () => boolean;
 }
@@ -78,18 +87,19 @@
   private queue: QueuedRecord[] = [];
   private sequence = 1;
   /**
-   * Time for the first try of the next batch. A store that takes its appends in turn
-   * carries out each try that was given up as well, so it grows with a slow store.
+   * Time-out of the first attempt of the next batch. It grows with the duration of
+   * appends: a store that processes appends one after the other also carries out
+   * the attempts that timed out, so repeating them early slows it further.
    */
   private firstTimeoutMs: number = WRITER.firstTimeoutMs;
   private running = false;
-  /** When the batch on its way was first sent; undefined when there is none. */
+  /** When the in-flight batch was first sent; undefined when there is none. */
   private batchSentAt: Monotonic | undefined;
   private closed: Error | undefined;
 
   constructor(private readonly options: TopicWriterOptions) {}
 
-  /** Since when a batch has been on its way; undefined when none is. */
+  /** When the in-flight batch was first sent; undefined when there is none. */
   get inFlightSince(): Monotonic | undefined {
     return this.batchSentAt;
   }
@@ -106,14 +116,14 @@
       this.queue.push(queued);
     });
     void this.run();
-    return { persisted: persisted, abandon: () => this.abandon(queued) };
+    return { persisted, abandon: () => this.abandon(queued) };
   }
 
   /**
-   * Appends nothing, but bars writers of lower epochs. The appends that follow are
-   * numbered apart from those of lower epochs, which the store may still answer
-   * again: a record with the number of one of them would be lost in silence.
-   *
+   * Fences writers of lower epochs with an empty append. Later appends use
+   * numbers that no lower epoch has used: the store may still take a
+   * repeated number for a duplicate and answer without persisting the
+   * record, which would be lost silently.
    * @throws FencedError
    */
   async fenceLowerEpochs(signal?: AbortSignal): Promise<void> {
@@ -121,7 +131,7 @@
     this.sequence = this.options.epoch * WRITER.appendsPerEpoch;
   }
 
-  /** Refuses what has not been sent, and whatever comes later. */
+  /** Rejects the queued records, and all later ones. */
   close(reason: Error): void {
     this.closed ??= reason;
     const queue = this.queue;
@@ -134,14 +144,16 @@
     if (this.isStuck()) return this.stuckError();
     if (this.queue.length < WRITER.maxQueued) return undefined;
     return new StoreRefusedError(
-      `${this.queue.length} records wait for topic ${this.options.topic} already`,
+      `${this.queue.length} records are already waiting for topic ${this.options.topic}`,
     );
   }
 
-  /** Whether the store has not answered for so long that callers should not wait. */
+  /**
+   * Whether the store has not answered for so long that callers should not wait for it.
+   */
   private isStuck(): boolean {
-    const { retriesRefusedBatches: retriesRefused, clock } = this.options;
-    if (retriesRefused || this.inFlightSince === undefined) return false;
+    const { retriesRefusedBatches, clock } = this.options;
+    if (retriesRefusedBatches || this.inFlightSince === undefined) return false;
     return clock.monotonic() - this.inFlightSince > WRITER.stuckAfterMs;
   }
 
@@ -150,7 +162,7 @@
     return new StoreRefusedError(`topic ${topic} has not answered for a while`);
   }
 
-  /** What has not been sent yet is refused rather than kept waiting. */
+  /** Rejects the queued records instead of letting their callers wait. */
   private rejectQueued(): void {
     const queue = this.queue;
     this.queue = [];
@@ -168,7 +180,7 @@
   private async run(): Promise<void> {
     if (this.running) return;
     this.running = true;
-    const { clock, batchWindowMs: batchWindowMs } = this.options;
+    const { clock, batchWindowMs } = this.options;
     while (this.queue.length > 0) {
       if (batchWindowMs > 0) await sleep(clock, batchWindowMs);
       const batch = this.takeBatch();
@@ -201,12 +213,12 @@
     }
   }
 
-  /** @throws StoreRefusedError when nothing was kept; FencedError */
+  /** @throws StoreRefusedError when nothing was persisted; FencedError */
   private async send(
     records: readonly KeyedRecord[],
     signal?: AbortSignal,
   ): Promise<number> {
-    const { clock, retriesRefusedBatches: retriesRefused } = this.options;
+    const { clock, retriesRefusedBatches } = this.options;
     let mayBePersisted = false;
     let timeoutMs = this.firstTimeoutMs;
     for (;;) {
@@ -216,7 +228,8 @@
         return await this.appendOnce(records, timeoutMs);
       } catch (err) {
         const expected = err instanceof SequenceError ? err.expected : Infinity;
-        // The last number kept is below this batch's: no try of it was kept.
+        // The last persisted number is below that of this batch, so no
+        // attempt of it was persisted.
         if (expected < this.sequence) mayBePersisted = false;
         if (err instanceof SequenceError && !mayBePersisted) {
           this.sequence = expected;
@@ -226,7 +239,7 @@
         const refused = err instanceof StoreRefusedError;
         if (!lost && !refused) throw this.closeIfFenced(err);
         mayBePersisted ||= lost;
-        if (!mayBePersisted && !retriesRefused) throw err;
+        if (!mayBePersisted && !retriesRefusedBatches) throw err;
         if (this.closed) throw err;
         if (this.isStuck()) this.rejectQueued();
         if (lost) timeoutMs = Math.min(WRITER.maxTimeoutMs, 2 * timeoutMs);
@@ -248,7 +261,7 @@
       timeoutMs,
     });
     this.adjustTimeout(clock.monotonic() - sentAt);
-    // An empty append only sets the epoch and takes no number.
+    // An empty append only sets the epoch and uses no number.
     if (records.length > 0) this.sequence += 1;
     return next;
   }
--- a/packages/state/src/UnitFold.ts
+++ b/packages/state/src/UnitFold.ts
@@ -1,4 +1,7 @@
-/** Which attempt of each unit holds it: the owner of "runs in one place only". */
+/**
+ * State of all units and the records that change it. A unit has at most one claim
+ * at a time, so that it runs in one place only.
+ */
 
 import {
   addResources,
@@ -18,10 +21,13 @@
 import type { RecordOf, RejectReason } from "./records.js";
 import type { FinishKind, Unit, UnitSpec } from "./units.js";
 
-/** Finished jobs that can still be asked after; older ones are forgotten. */
+/**
+ * Maximum number of finished jobs whose state can still be queried; the
+ * oldest are dropped first.
+ */
 export const MAX_FINISHED_JOBS = 20_000;
 
-/** A host up to a generation. */
+/** A host and the highest generation to which the entry applies. */
 interface HostWithGeneration {
   readonly host: HostId;
   readonly generation: HostGeneration;
@@ -34,7 +40,7 @@
   readonly drainingHosts: readonly HostWithGeneration[];
 }
 
-/** Nothing when the record was taken. */
+/** Why a record was rejected; undefined stands for an accepted record. */
 export type Rejection = {
   readonly reason: RejectReason;
   readonly detail: string;
@@ -67,12 +73,12 @@
     return this.units.values();
   }
 
-  /** Units whose next attempt nobody holds. */
+  /** Units whose current attempt is not claimed. */
   openUnits(): readonly Unit[] {
     return [...this.openIds].map((id) => this.units.get(id) as Unit);
   }
 
-  /** Hosts that hold at least one attempt. */
+  /** Hosts with a claim on at least one attempt. */
   claimingHosts(): readonly HostId[] {
     return [...this.idsByHost.keys()];
   }
@@ -87,7 +93,7 @@
     return this.units.size;
   }
 
-  /** All finished jobs that are still kept, oldest first. */
+  /** Finished jobs that are still stored, oldest first. */
   finishedUnits(): readonly Unit[] {
     return [...this.finishedJobs].map(([, unit]) => unit);
   }
@@ -96,12 +102,12 @@
     return (this.teamUse.get(team) ?? NO_USE).resources;
   }
 
-  /** The highest generation of the host that is certified as ended; -1 for none. */
+  /** The highest generation of the host that is certified to have ended; -1 for none. */
   endedGeneration(host: HostId): number {
     return this.endedHosts.get(host) ?? -1;
   }
 
-  /** Creates the unit, or gives it a new spec for its next attempt. */
+  /** Creates the unit, or updates the spec that its next attempt uses. */
   upsert(id: UnitId, spec: UnitSpec, at: Sequence): void {
     const unit = this.units.get(id);
     if (!unit) {
@@ -112,7 +118,10 @@
     this.put({ ...unit, spec, specVersion: at, wanted: true });
   }
 
-  /** The unit is not to run any more. */
+  /**
+   * Marks the unit as no longer wanted. It finishes at once, or when
+   * its claimed attempt ends.
+   */
   retire(id: UnitId): void {
     const unit = this.units.get(id);
     if (!unit) return;
@@ -199,7 +208,7 @@
     return undefined;
   }
 
-  /** The highest generation of the host that is to leave; -1 for none. */
+  /** The highest generation of the host that is draining; -1 for none. */
   drainingGeneration(host: HostId): number {
     return this.drainingHosts.get(host) ?? -1;
   }
@@ -235,7 +244,7 @@
     }
   }
 
-  /** Ends the current attempt, and opens the next one where there is to be one. */
+  /** Ends the current attempt, then finishes the unit or opens its next attempt. */
   private endAttempt(
     unit: Unit,
     end: EndKind,
--- a/packages/state/src/codec.ts
+++ b/packages/state/src/codec.ts
@@ -1,11 +1,11 @@
-/** Entries of the log: batches of records of one writer, in msgpack. */
+/** Codec of log entries: batches of records of one writer, encoded as msgpack. */
 
 import { decode, encode } from "@msgpack/msgpack";
 import { z } from "zod";
 import { idSchema, RackspanError, type Incarnation } from "@rackspan/common";
 import { RECORD_VERSION, recordSchema, type LogRecord } from "./records.js";
 
-/** Records of one writer, numbered without gaps from `first`. */
+/** Records of one writer, numbered consecutively from `first`. */
 export interface Batch {
   readonly writer: Incarnation;
   readonly first: number;
@@ -49,6 +49,6 @@
     return { writer: envelope.w, first: envelope.n, records };
   } catch (err) {
     if (err instanceof UnreadableEntryError) throw err;
-    throw new UnreadableEntryError("an entry does not decode", err);
+    throw new UnreadableEntryError("an entry cannot be decoded", err);
   }
 };
--- a/packages/state/src/declarations.ts
+++ b/packages/state/src/declarations.ts
@@ -1,4 +1,4 @@
-/** What operators declare and keep in version control. */
+/** Schemas of the declarations that operators keep in version control. */
 
 import { z } from "zod";
 import {
@@ -15,7 +15,7 @@
 const MAX_POLICY_CHARS = 4_000;
 const NAME_PATTERN = /^[a-z0-9]([a-z0-9._-]{0,98}[a-z0-9])?$/;
 
-/** Names stand in paths, unit ids and metric labels. */
+/** Names are used in paths, unit ids and metric labels. */
 export const nameSchema = z
   .string()
   .regex(NAME_PATTERN, "a name has 1 to 100 of a-z, 0-9, '.', '_' and '-'");
@@ -33,9 +33,9 @@
   /** Requests whose path starts with this go to the service; the longest prefix wins. */
   prefix: z.string().regex(/^\/[\w./-]*$/, "a prefix starts with '/'"),
   class: requestClassSchema,
-  /** Whether running a request twice does no harm. */
+  /** Whether a request may safely be run twice. */
   repeatable: z.boolean(),
-  /** The time a request has when its caller names none, milliseconds. */
+  /** Time-out of a request whose caller sets none, milliseconds. */
   timeoutMs: z.number().int().min(1).max(MAX_TIMEOUT_MS).default(10_000),
   maxBodyBytes: z.number().int().min(0).max(MAX_BODY_BYTES).default(1_048_576),
 });
@@ -63,7 +63,7 @@
   name: nameSchema,
   ...placedSchema,
   priority: prioritySchema.default("normal"),
-  /** Failures after which the job is set aside as failed. */
+  /** Number of failures after which the job fails permanently. */
   maxFailures: z.number().int().min(1).max(100).default(3),
 });
 export type JobDeclaration = z.infer<typeof jobSchema>;
@@ -79,7 +79,10 @@
 export const policySchema = z.strictObject({
   kind: z.literal("policy"),
   name: nameSchema,
-  /** Where the program is asked; see docs/INTERFACE.md for the variables of each. */
+  /**
+   * Where the policy program is evaluated; docs/INTERFACE.md lists
+   * the variables of each point.
+   */
   point: z.enum(["admission", "score"]),
   /** A CEL expression. */
   program: z.string().min(1).max(MAX_POLICY_CHARS),
@@ -90,9 +93,9 @@
   kind: z.literal("quota"),
   /** The team that is limited. */
   name: nameSchema,
-  /** What all running tasks of the team may hold together. */
+  /** Total resources that the running tasks of the team may use. */
   resources: resourcesSchema,
-  /** Jobs of the team that may wait or run at once. */
+  /** Maximum number of jobs of the team that are waiting or running. */
   maxJobs: z.number().int().min(0).max(1_000_000),
 });
 export type QuotaDeclaration = z.infer<typeof quotaSchema>;
@@ -107,7 +110,7 @@
 export type Declaration = z.infer<typeof declarationSchema>;
 export type DeclarationKind = Declaration["kind"];
 
-/** Names a declaration among all of them. */
+/** Unique key of a declaration. */
 export const declarationKey = ({ kind, name }: DeclarationName): string =>
   `${kind}/${name}`;
 
--- a/packages/state/src/errors.ts
+++ b/packages/state/src/errors.ts
@@ -1,8 +1,8 @@
-/** Errors of keeping and restoring durable state. */
+/** Errors of writing and restoring durable state. */
 
 import { RackspanError } from "@rackspan/common";
 
-/** The record was not appended and will not be. */
+/** The record was not appended and never will be. */
 export class AppendRefusedError extends RackspanError {
   readonly kind = "log-unavailable";
   constructor(what: string, cause?: unknown) {
@@ -14,18 +14,18 @@
   }
 }
 
-/** The record may have been appended; what became of it was not seen in time. */
+/** The record may have been appended; its result was not read back in time. */
 export class AppendUnknownError extends RackspanError {
   readonly kind = "append-unknown";
   constructor(what: string) {
     super({
       what,
-      remedy: "ask for the state of what it names before repeating it",
+      remedy: "query the state of what the record names before repeating it",
     });
   }
 }
 
-/** Neither the log, a snapshot nor a peer has the state any more. */
+/** The state is no longer available from the log, a snapshot or a peer. */
 export class HistoryLostError extends RackspanError {
   readonly kind = "past-lost";
   constructor(what: string, cause?: unknown) {
--- a/packages/state/src/hostRecords.ts
+++ b/packages/state/src/hostRecords.ts
@@ -1,11 +1,11 @@
-/** Which life of a host's worker may hold leases, as the store keeps it. */
+/** Stored record of a host: the incarnation of its worker that may hold leases. */
 
 import { z } from "zod";
 import type { WorkerInstance } from "@rackspan/common";
 import { parseRecord, TOPICS } from "./jobRecords.js";
 
 const hostSchema = z.object({
-  /** Earlier versions named the host alone. */
+  /** Absent in records of earlier versions, which recorded only the host. */
   instance: z
     .string()
     .transform((text) => text as unknown as WorkerInstance)
@@ -16,7 +16,7 @@
   Buffer.from(JSON.stringify({ instance }));
 
 /**
- * @returns the life that may hold leases; undefined when any life may
+ * @returns the incarnation that may hold leases; undefined when any incarnation may
  * @throws BadRecordError
  */
 export const decodeHost = (
--- a/packages/state/src/jobModel.ts
+++ b/packages/state/src/jobModel.ts
@@ -1,4 +1,4 @@
-/** Jobs as callers submit them, and the queues that they are submitted to. */
+/** Jobs as submitted by callers, and the queues to which they are submitted. */
 
 import type { Brand, Instant, JobTaskId, ServiceName } from "@rackspan/common";
 
@@ -6,7 +6,7 @@
 export type JobId = Brand<string, "JobId">;
 /** Host name and path prefix under which callers reach a queue. */
 export type QueueKey = Brand<string, "QueueKey">;
-/** Name of what the tasks of a step run; tasks of one image behave alike. */
+/** Name of the image that the tasks of a step run; tasks of one image behave alike. */
 export type ImageName = Brand<string, "ImageName">;
 
 export interface TaskDemand {
@@ -16,39 +16,45 @@
   readonly accelerators: number;
 }
 
-/** Tasks that differ only by their index. */
+/** A set of tasks that differ only by their index. */
 export interface StepSpec {
   readonly taskCount: number;
   readonly demand: TaskDemand;
-  /** The caller's guess of one task's run time, milliseconds; 0 when unknown. */
+  /** The caller's estimate of one task's run time, milliseconds; 0 when unknown. */
   readonly estimateMs: number;
-  /** Numbers of the steps whose tasks must all be done first. */
+  /** Numbers of the steps whose tasks must all be completed first. */
   readonly after: readonly number[];
   readonly checkpointing: boolean;
-  /** All tasks run at once, under one run number, or none does. */
+  /** All tasks run at the same time under one run number, or none does. */
   readonly gang: boolean;
-  /** A gang that takes longer when it is spread over racks. */
+  /** Marks a gang that takes longer when it is spread over several racks. */
   readonly sameRack: boolean;
   /** A label that the host must have; empty for none. */
   readonly requiredLabel: string;
-  /** The rack of the step's data; work takes longer elsewhere. Empty for none. */
+  /** Rack that holds the step's data; tasks take longer on other racks. Empty for none. */
   readonly dataRack: string;
-  /** Most tasks of the step on one host; 0 for no limit. */
+  /** Maximum number of tasks of the step on one host; 0 for no limit. */
   readonly maxPerHost: number;
-  /** Copies of one task may run side by side. */
+  /** Whether copies of one task may run in parallel. */
   readonly replicable: boolean;
-  /** Runs until the job is cancelled, and is started again however it ends. */
+  /**
+   * Whether the tasks run until the job is cancelled, and are
+   * restarted however they end.
+   */
   readonly lasting: boolean;
   readonly image: ImageName;
-  /** Tail latency below which a serving task is to stay, milliseconds; 0 for none. */
+  /** Tail latency below which a serving task should stay, milliseconds; 0 for none. */
   readonly tailTargetMs: number;
-  /** Takes only processor time that others leave unused. */
+  /** Whether the tasks use only processor time that other tasks leave idle. */
   readonly filling: boolean;
-  /** Tasks of a lasting step that the system may take away at once; undefined for no rule. */
+  /**
+   * Number of tasks of a lasting step that the system may stop at the same time;
+   * undefined when no rule applies.
+   */
   readonly mayMiss: number | undefined;
 }
 
-/** The steps are run `count` times, at fixed instants. */
+/** The steps are run `count` times, at fixed times. */
 export interface RepeatSpec {
   readonly count: number;
   readonly firstAt: Instant;
@@ -58,17 +64,20 @@
 export interface JobSpec {
   readonly id: JobId;
   readonly queue: QueueKey;
-  /** Handed to each task as it is. */
+  /** Passed to each task unchanged. */
   readonly payload: string;
   readonly steps: readonly StepSpec[];
   readonly repeat: RepeatSpec | undefined;
 }
 
 export interface PermitRule {
-  /** Milliseconds that the permit service takes for a call, and more for each host named. */
+  /**
+   * Milliseconds that the permit service takes for a call; `eachMs`
+   * is added per host named.
+   */
   readonly decideMs: number;
   readonly eachMs: number;
-  /** Milliseconds for which a permit holds. */
+  /** Milliseconds for which a permit is valid. */
   readonly validMs: number;
 }
 
@@ -81,9 +90,12 @@
   readonly service: ServiceName;
   /** 0 is the most urgent. */
   readonly priority: number;
-  /** Runs of one task that may fail before its job has failed. */
+  /** Number of failed runs of one task after which its job fails. */
   readonly maxAttempts: number;
-  /** A job's objective is this times its longest chain of work, and `targetLatencyMs` more. */
+  /**
+   * A job's objective is this factor times its longest chain of
+   * work, plus `targetLatencyMs`.
+   */
   readonly stretch: number;
   readonly targetLatencyMs: number;
   readonly permitRule: PermitRule | undefined;
@@ -92,7 +104,7 @@
 export interface SiteConfig {
   readonly version: number;
   readonly queues: readonly QueueSpec[];
-  /** Services whose hosts guard themselves against too many tasks. */
+  /** Services whose hosts reject tasks when they are overloaded. */
   readonly overloadRejectingServices: ReadonlySet<ServiceName>;
   readonly maxBodyBytes: number;
 }
@@ -112,10 +124,10 @@
 export const queueKeyOf = (hostName: string, pathPrefix: string): QueueKey =>
   `${hostName}${pathPrefix}` as QueueKey;
 
-/** Where a task stands within its job. */
+/** Position of a task within its job. */
 export interface TaskPosition {
   readonly job: JobId;
-  /** Counts the repeats of the job, from 0. */
+  /** Number of the repeat of the job, from 0. */
   readonly occurrence: number;
   readonly step: number;
   readonly index: number;
@@ -131,7 +143,7 @@
 
 const TASK_ID = /^([^.]+)\.(\d+)\.(\d+)\.(\d+)$/;
 
-/** @returns undefined for a text that no task id has the form of */
+/** @returns undefined when the text is not a task id */
 export const parseTaskId = (task: JobTaskId): TaskPosition | undefined => {
   const match = TASK_ID.exec(task);
   if (!match) return undefined;
--- a/packages/state/src/jobRecords.ts
+++ b/packages/state/src/jobRecords.ts
@@ -1,4 +1,4 @@
-/** What the store keeps of jobs and hosts, and how it is written down. */
+/** Topics of the store, and the encoding of job records. */
 
 import { z } from "zod";
 import {
@@ -17,7 +17,7 @@
   type StepSpec,
 } from "./jobModel.js";
 
-/** Keyed topics of the product. */
+/** Keyed topics of rackspan. */
 export const TOPICS = {
   /** Key: job id. Written by the entry that accepts the job. */
   jobs: "jobs" as TopicName,
@@ -27,11 +27,11 @@
   progress: "progress" as TopicName,
   /** Key: host name. Written by the leader before it first grants a lease there. */
   hosts: "hosts" as TopicName,
-  /** Key: see learntKeyOf. Written by the leader, read by the next one. */
+  /** Key: see learnedKeyOf. Written by the leader, read by the next one. */
   learned: "learnt" as TopicName,
   /** Key `config`: written by the operator. */
   config: "config" as TopicName,
-  /** Never written: its only partition stands for leadership. */
+  /** Never written: the member that owns its only partition is the leader. */
   leadership: "leadership" as TopicName,
 } as const;
 
@@ -40,7 +40,7 @@
   constructor(topic: TopicName, key: string, cause: unknown) {
     super({
       what: `the record ${key} of topic ${topic} cannot be read: ${String(cause)}`,
-      remedy: "see which version wrote it; the record is passed over",
+      remedy: "check which version wrote it; the record is ignored",
       cause,
     });
   }
@@ -79,7 +79,7 @@
     .array(stepSchema)
     .min(1)
     .max(JOB_LIMITS.steps)
-    .refine(dependsOnEarlierSteps, "a step waits for one that is not earlier")
+    .refine(dependsOnEarlierSteps, "a step depends on one that is not earlier")
     .refine(
       (steps) => countTasks(steps) <= JOB_LIMITS.tasksPerJob,
       "too many tasks",
@@ -92,7 +92,7 @@
     })
     .optional(),
   acceptedAt: z.number(),
-  /** What the queue said when the job was accepted, for when it is dropped. */
+  /** Terms of the queue when the job was accepted, for use after the queue is removed. */
   terms: z.object({
     service: z.string().transform((name) => name as unknown as ServiceName),
     priority: z.number(),
@@ -113,14 +113,14 @@
 
 export interface AcceptedJob {
   readonly spec: JobSpec;
-  /** The accepting entry's time of day. */
+  /** Wall-clock time of the accepting entry. */
   readonly acceptedAt: Instant;
   readonly terms: JobTerms;
 }
 
 const NO_DEFAULTS: ReadonlySet<unknown> = new Set(["", 0, false, undefined]);
 
-/** Leaves out what the schema puts in by itself. */
+/** Omits the fields whose values the schema supplies as defaults. */
 const encodeStep = (step: StepSpec): object =>
   Object.fromEntries(
     Object.entries(step).filter(
@@ -141,7 +141,7 @@
     }),
   );
 
-/** @param at when the cancel was taken, by the entry's time of day */
+/** @param at wall-clock time at which the entry accepted the cancel */
 export const encodeCancel = (at: Instant): Buffer =>
   Buffer.from(JSON.stringify({ at }));
 
@@ -180,7 +180,7 @@
 
 const INDEX_LIST = /^(\d+(-\d+)?(,\d+(-\d+)?)*)?$/;
 
-/** Whether a text is a list of indices such as one step can have; see encodeIndices. */
+/** Whether the text is a list of indices that one step can have; see encodeIndices. */
 const isIndexList = (text: string): boolean => {
   if (!INDEX_LIST.test(text)) return false;
   const sizes = parseRanges(text).map(([first, last]) => last - first + 1);
@@ -188,7 +188,10 @@
   return count <= JOB_LIMITS.tasksPerStep && sizes.every((size) => size > 0);
 };
 
-/** Evidence that leaders of earlier versions know: they read no record that has another. */
+/**
+ * Evidence that leaders of earlier versions can read; they reject a
+ * record with any other value.
+ */
 const STORED_EVIDENCE = [
   "sole",
   "young",
@@ -200,20 +203,23 @@
   "lost",
 ] as const;
 
-/** What a run that was lost with its worker says of its task; see CrashLog in jobs. */
+/**
+ * What a run that was lost with its worker indicates about its task;
+ * see CrashLog in jobs.
+ */
 export type CrashEvidence = (typeof STORED_EVIDENCE)[number] | "doubted";
 
 const storedProgressSchema = z.object({
   state: z.enum(JOB_STATES),
   /** Whether a task of the job was ever started. */
   begun: z.boolean(),
-  /** Leader's time of day when the state became final; 0 before. */
+  /** Wall-clock time of the leader when the state became final; 0 before. */
   endedAt: z.number(),
-  /** `occurrence.step` to the indices of its done tasks, as ranges `a-b`. */
+  /** Maps `occurrence.step` to the indices of its completed tasks, as ranges `a-b`. */
   done: z.record(z.string(), z.string().refine(isIndexList)),
   /** `occurrence.step.index` and the numbers of its runs that failed. */
   failures: z.array(z.tuple([z.string(), z.array(z.number())])),
-  /** `occurrence.step.index` and the checkpoint from which a run goes on. */
+  /** `occurrence.step.index` and the checkpoint from which its next run continues. */
   checkpoints: z.array(z.tuple([z.string(), z.string()])),
   /** `occurrence.step.index` and its runs that were lost with their workers. */
   crashes: z
@@ -224,15 +230,18 @@
       ]),
     )
     .default([]),
-  /** Those of these runs that are kept as `young` and are `doubted`. */
+  /** Runs in `crashes` that are stored as `young` but are `doubted`. */
   doubted: z.array(z.number()).default([]),
-  /** `occurrence.step.index` and its run that may be under way; only of suspected tasks. */
+  /**
+   * `occurrence.step.index` and its run that may be in progress; for
+   * suspected tasks only.
+   */
   announced: z.array(z.tuple([z.string(), z.number()])).default([]),
 });
 
 type StoredProgress = z.output<typeof storedProgressSchema>;
 
-/** How far a job has come, as the leader last wrote it down. */
+/** Progress of a job, as last recorded by the leader. */
 export interface ProgressRecord extends Omit<
   StoredProgress,
   "crashes" | "doubted"
@@ -276,7 +285,7 @@
 export const decodeProgress = (key: string, value: Buffer): ProgressRecord =>
   parseRecord(TOPICS.progress, key, value, progressSchema);
 
-/** `[0,1,2,5]` as `0-2,5`. */
+/** Encodes indices as ranges: `[0,1,2,5]` becomes `0-2,5`. */
 export const encodeIndices = (indices: Iterable<number>): string => {
   const sorted = [...indices].sort((a, b) => a - b);
   const ranges: string[] = [];
--- a/packages/state/src/learnedRecords.ts
+++ b/packages/state/src/learnedRecords.ts
@@ -1,6 +1,7 @@
 /**
- * What a leader has learnt while it led, kept for the next one: how images
- * disturb each other, and how far off estimates are. Losing it costs only time.
+ * Parameters that a leader has learned, stored for the next leader: how much images
+ * slow each other down, and how far off estimates are. If they are lost, they are
+ * learned again, which only takes time.
  */
 
 import { z } from "zod";
@@ -14,21 +15,21 @@
 const queueSchema = z.string().transform((key) => key as unknown as QueueKey);
 
 /**
- * A natural logarithm of a ratio of times, and its spread. Nothing that is measured
- * comes near the limit; beyond it forecasts would come out as no numbers.
+ * Natural logarithm of a ratio of times, and its covariance below. No measurement
+ * comes near these limits; values beyond them would turn forecasts into NaN.
  */
 const logarithm = z.number().min(-50).max(50);
 const covarianceTerm = z.number().min(-10_000).max(10_000);
 
 const tailSchema = z.object({
   kind: z.literal("tail"),
-  /** Time of day at which it was written, milliseconds. */
+  /** Wall-clock time at which the record was written, milliseconds. */
   writtenAt: z.number(),
   /** The serving image. */
   serving: imageSchema,
   /** Filling images, in the order of their weights in `mean`. */
   filling: z.array(imageSchema),
-  /** The base, then a weight for each filling image; logarithms. */
+  /** The base, then one weight for each filling image; logarithms. */
   mean: z.array(logarithm),
   /** Lower triangle, row by row. */
   covariance: z.array(z.array(covarianceTerm)),
@@ -50,7 +51,7 @@
 export type LearnedEstimates = z.output<typeof estimatesSchema>;
 export type LearnedRecord = z.output<typeof learnedSchema>;
 
-/** The key under which a record is kept; one for each serving image. */
+/** Key under which a record is stored; there is one for each serving image. */
 export const learnedKeyOf = (record: LearnedRecord): string =>
   record.kind === "tail" ? `tail:${record.serving}` : record.kind;
 
@@ -61,7 +62,10 @@
 export const decodeLearned = (key: string, value: Buffer): LearnedRecord =>
   parseRecord(TOPICS.learned, key, value, learnedSchema);
 
-/** Milliseconds since the record was written; clocks of hosts may disagree. */
+/**
+ * Milliseconds since the record was written; at least 0, because
+ * host clocks may differ.
+ */
 export const learnedRecordAgeMs = (
   record: LearnedRecord,
   now: Instant,
--- a/packages/state/src/records.ts
+++ b/packages/state/src/records.ts
@@ -1,7 +1,6 @@
 /**
- * Records that our processes keep on the log. All of them go through the same
- * fold in the same order at every process, so what a record does may depend on
- * earlier records only.
+ * Records of the log. Every process applies them in the same order with the same
+ * fold, so the effect of a record may depend on earlier records only.
  */
 
 import { z } from "zod";
@@ -19,7 +18,7 @@
 import { endKindSchema } from "@rackspan/protocol";
 import { declarationSchema, jobSchema, nameSchema } from "./declarations.js";
 
-/** Raised when a record changes in a way that older processes cannot read. */
+/** Incremented when a record changes in a way that older versions cannot read. */
 export const RECORD_VERSION = 1;
 
 const MAX_CHANGES = 10_000;
@@ -35,7 +34,7 @@
 ]);
 export type Change = z.infer<typeof changeSchema>;
 
-/** An operator's changes, accepted together or not at all. */
+/** An operator's changes, accepted or rejected as a whole. */
 const applySchema = z.strictObject({
   type: z.literal("apply"),
   operator: z.string().max(MAX_TEXT),
@@ -54,7 +53,7 @@
   unit: idSchema<UnitId>(),
 });
 
-/** One attempt of a unit is to run on this host, under this reservation. */
+/** Claims one attempt of a unit for a host, under a reservation on that host. */
 const claimSchema = z.strictObject({
   type: z.literal("claim"),
   unit: idSchema<UnitId>(),
@@ -64,7 +63,7 @@
   reservation: idSchema<ReservationId>(),
 });
 
-/** The side that held the attempt says that it does not run any more. */
+/** The side that ran the attempt reports that it no longer runs. */
 const endedSchema = z.strictObject({
   type: z.literal("ended"),
   unit: idSchema<UnitId>(),
@@ -75,7 +74,7 @@
   checkpoint: z.string().max(MAX_TEXT).optional(),
 });
 
-/** Nothing runs any more on this host up to this generation. */
+/** The host has ended: nothing runs on it any more, up to this generation. */
 const hostEndedSchema = z.strictObject({
   type: z.literal("hostEnded"),
   host: idSchema<HostId>(),
@@ -83,24 +82,27 @@
   certifiedBy: z.enum(["hostList", "operator"]),
 });
 
-/** The host is to take no new work up to this generation, and to give up what it has. */
+/**
+ * The host is draining, up to this generation: it accepts no new work, and its
+ * running work is moved to other hosts.
+ */
 const hostDrainingSchema = z.strictObject({
   type: z.literal("hostDraining"),
   host: idSchema<HostId>(),
   generation: countSchema<HostGeneration>(),
 });
 
-/** A request that may run once only is about to be sent. */
+/** Claims the idempotency key of a request; written before the request is sent. */
 const requestClaimSchema = z.strictObject({
   type: z.literal("requestClaim"),
   service: idSchema<ServiceName>(),
   key: z.string().min(1).max(MAX_TEXT),
-  /** Digest of method, path and body: the key stands for this request only. */
+  /** Digest of method, path and body; detects the reuse of the key for another request. */
   digest: z.string().max(100),
   request: idSchema<RequestId>(),
 });
 
-/** The whole answer to a claimed request. */
+/** The complete response to a claimed request. */
 const requestOutcomeSchema = z.strictObject({
   type: z.literal("requestOutcome"),
   service: idSchema<ServiceName>(),
@@ -108,11 +110,11 @@
   request: idSchema<RequestId>(),
   status: z.number().int().min(100).max(599),
   contentType: z.string().max(MAX_TEXT).optional(),
-  /** Left out when the answer was too large to keep. */
+  /** Absent when the response was too large to record. */
   body: z.custom<Uint8Array>((value) => value instanceof Uint8Array).optional(),
 });
 
-/** A claimed request was confirmed as never run; the key is free again. */
+/** Releases the key of a claimed request that is confirmed not to have run. */
 const requestReleaseSchema = z.strictObject({
   type: z.literal("requestRelease"),
   service: idSchema<ServiceName>(),
@@ -138,7 +140,7 @@
   { type: T }
 >;
 
-/** The fold's verdict on a record. */
+/** Result of applying a record to the fold. */
 export type ApplyResult =
   | { readonly accepted: true; readonly sequence: Sequence }
   | {
--- a/packages/state/src/snapshots.ts
+++ b/packages/state/src/snapshots.ts
@@ -1,4 +1,4 @@
-/** Snapshots of the fold, kept on a stream of their own in bounded parts. */
+/** Snapshots of the fold, stored on a separate stream in parts of bounded size. */
 
 import { createHash } from "node:crypto";
 import { deflateSync, inflateSync } from "node:zlib";
@@ -22,7 +22,7 @@
 const SNAPSHOT_VERSION = 1;
 const PART_BYTES = 256 * 1024;
 
-/** State of the fold after all entries below `covered`. */
+/** State of the fold after applying all entries below offset `covered`. */
 export interface Snapshot {
   readonly covered: Offset;
   readonly state: FoldSnapshot;
@@ -44,7 +44,7 @@
 const digestOf = (bytes: Uint8Array): string =>
   createHash("sha256").update(bytes).digest("base64");
 
-/** Bytes of a snapshot, as peers hand them to each other. */
+/** Encodes a snapshot for storage and for the transfer between peers. */
 export const encodeSnapshot = ({ covered, state }: Snapshot): Buffer =>
   deflateSync(
     encode({ v: SNAPSHOT_VERSION, covered, state }, { ignoreUndefined: true }),
@@ -73,14 +73,15 @@
 export class SnapshotStore {
   private position = offset(0);
   private newestCovered = -1;
-  /** Parts of snapshots that are not whole yet, or are the newest. */
+  /** Parts by snapshot id, of incomplete snapshots and of the newest complete one. */
   private readonly partsById = new Map<string, Part[]>();
 
   constructor(private readonly log: LogService) {}
 
   /**
    * Appends the snapshot part by part.
-   * @throws LogUnavailableError or LogAnswerLostError; a snapshot that is not whole is never used
+   * @throws LogUnavailableError or LogAnswerLostError; an incomplete
+   *   snapshot is never used
    */
   async write(snapshot: Snapshot): Promise<void> {
     const bytes = encodeSnapshot(snapshot);
@@ -104,7 +105,7 @@
     }
   }
 
-  /** Offset that the newest whole snapshot covers; -1 for none. */
+  /** Offset that the newest complete snapshot covers; -1 for none. */
   async newestCoveredOffset(): Promise<number> {
     await this.readNewParts();
     return this.newestCovered;
@@ -156,7 +157,7 @@
   }
 }
 
-/** The whole bytes, or nothing while parts are missing or damaged. */
+/** Joins the parts of a snapshot; undefined while parts are missing or damaged. */
 const joinParts = (parts: readonly Part[]): Buffer | undefined => {
   const expected = (parts[0] as Part).parts;
   if (parts.length < expected) return undefined;
--- a/packages/state/src/units.ts
+++ b/packages/state/src/units.ts
@@ -1,4 +1,4 @@
-/** Units: what is placed as a whole, and how far each has come. */
+/** Units, which are placed as a whole, and the state of each. */
 
 import type {
   HostGeneration,
@@ -19,7 +19,7 @@
   StandingWorkerDeclaration,
 } from "./declarations.js";
 
-/** What a unit asks for. */
+/** Resources, program and priority that a unit requests. */
 export interface UnitSpec {
   readonly kind: TaskKind;
   readonly team: TeamName;
@@ -31,14 +31,14 @@
   readonly maxFailures?: number | undefined;
 }
 
-/** The attempt that holds the unit now. */
+/** The claim of the current attempt on a unit. */
 export interface Claim {
   readonly host: HostId;
   readonly generation: HostGeneration;
   readonly reservation: ReservationId;
-  /** Fencing token: grows from claim to claim of a unit. */
+  /** Fencing token: increases with each claim of a unit. */
   readonly sequence: Sequence;
-  /** Version of the spec that the attempt was started with. */
+  /** Version of the spec with which the attempt was started. */
   readonly specVersion: Sequence;
 }
 
@@ -50,10 +50,10 @@
   readonly spec: UnitSpec;
   /** Sequence of the record that set the spec. */
   readonly specVersion: Sequence;
-  /** False once it is cancelled or its declaration is gone. */
+  /** False once the unit is cancelled or its declaration is removed. */
   readonly wanted: boolean;
   readonly phase: UnitPhase;
-  /** The attempt that is open or claimed; the last one when finished. */
+  /** The open or claimed attempt; the last one when the unit has finished. */
   readonly attempt: number;
   readonly claim?: Claim | undefined;
   readonly checkpoint?: string | undefined;
@@ -101,6 +101,9 @@
   replica: number,
 ): UnitId => unitId(`${kind}/${name}/${replica}`);
 
-/** `service/roll-call/3` belongs to `service/roll-call/`; each job is by itself. */
+/**
+ * The group of `service/roll-call/3` is `service/roll-call/`; each
+ * job is a group of its own.
+ */
 export const replicaGroupOf = ({ id, spec }: Unit): string =>
   spec.kind === "job" ? id : id.slice(0, id.lastIndexOf("/") + 1);
--- a/packages/state/src/updateUnits.ts
+++ b/packages/state/src/updateUnits.ts
@@ -1,4 +1,4 @@
-/** Brings the units in line with a changed declaration. */
+/** Updates the units of a declaration that has changed. */
 
 import { assertNever, type Sequence } from "@rackspan/common";
 import type { Declaration } from "./declarations.js";
@@ -54,7 +54,7 @@
   }
 };
 
-/** @param before the declaration that stood before the change */
+/** @param before the declaration before the change */
 export const updateUnits = (
   units: UnitFold,
   change: Change,
@@ -75,7 +75,7 @@
       updateReplicas(units, declaration, before, at);
       return;
     case "job":
-      // A job that ran before is not run again by applying its file again.
+      // Applying the file of a job again does not run the job again.
       if (!units.get(jobUnitId(declaration.name))) {
         units.upsert(jobUnitId(declaration.name), jobSpec(declaration), at);
       }
--- a/packages/state/tests/appender.test.ts
+++ b/packages/state/tests/appender.test.ts
@@ -33,7 +33,7 @@
 
 type AppendAnswer = "kept" | "down" | "lost" | "lost-and-dropped";
 
-/** A log in memory whose answers the test chooses, one by one. */
+/** A log in memory whose answer to each append is set by the test. */
 class FakeLog implements LogService {
   readonly streams = new Map<string, { oldest: number; entries: Buffer[] }>();
   answers: AppendAnswer[] = [];
@@ -57,7 +57,8 @@
     const page = entries
       .slice(from - oldest)
       .map((data, index) => ({ offset: offset(from + index), data }));
-    // A read of an empty tail waits in the real log; a turn of the loop will do.
+    // In the real log, a read of an empty tail waits; here one turn of
+    // the event loop is enough.
     await new Promise((resolve) => setImmediate(resolve));
     return {
       entries: page,
@@ -91,7 +92,7 @@
 
 const running = new Set<AbortController>();
 
-/** A failed test must not leave tasks that keep the runner waiting. */
+/** A failed test must not leave tasks running that keep the test runner from exiting. */
 afterEach(() => {
   for (const stop of running) stop.abort();
   running.clear();
@@ -126,7 +127,7 @@
     void follower.run(stop.signal);
     void appender.run(stop.signal);
   };
-  /** Moves time on in small steps, so that both tasks take their turns. */
+  /** Advances the clock in small steps, so that both tasks can run. */
   const advance = async (ms: number): Promise<void> => {
     for (let at = 0; at < ms; at += 20) await clock.advance(20);
   };
@@ -143,17 +144,19 @@
 const settled = async <T>(promise: Promise<T>): Promise<T | Error> =>
   promise.catch((err: Error) => err);
 
-test("records that wait together go in one append, and each learns the fold's verdict", async () => {
+test("queued records are sent in one append, and each caller receives the result of its record", async () => {
   const log = new FakeLog();
   const process = createProcess(log);
-  const verdicts = ["a", "b", "a"].map((name) =>
+  const results = ["a", "b", "a"].map((name) =>
     process.appender.submit(submit(name), 5_000),
   );
   process.start();
   await process.advance(200);
-  expect((await Promise.all(verdicts)).map(({ accepted }) => accepted)).toEqual(
-    [true, true, false],
-  );
+  expect((await Promise.all(results)).map(({ accepted }) => accepted)).toEqual([
+    true,
+    true,
+    false,
+  ]);
   expect(log.appends).toEqual(1);
   process.stop();
 });
@@ -164,15 +167,15 @@
     log.answers = [lost, "lost"];
     const process = createProcess(log);
     process.start();
-    const verdict = settled(process.appender.submit(submit("a"), 60_000));
+    const result = settled(process.appender.submit(submit("a"), 60_000));
     await process.advance(10_000);
-    expect(await verdict).toLooseEqual({ accepted: true, sequence: 1 });
+    expect(await result).toLooseEqual({ accepted: true, sequence: 1 });
     expect(Number(process.fold.sequence)).toEqual(1);
     process.stop();
   });
 }
 
-test("while the log is down a record is refused as not appended, and never appears later", async () => {
+test("while the log is down, a record is refused as not appended and never appears later", async () => {
   const log = new FakeLog();
   log.answers = Array<AppendAnswer>(30).fill("down");
   const process = createProcess(log);
@@ -190,7 +193,7 @@
   process.stop();
 });
 
-test("a record that was refused does not land with others of its batch", async () => {
+test("a refused record is not appended with the others of its batch", async () => {
   const log = new FakeLog();
   log.answers = Array<AppendAnswer>(6).fill("down");
   const process = createProcess(log);
@@ -206,7 +209,7 @@
   process.stop();
 });
 
-test("a record that expires while its append is under way is not called refused", async () => {
+test("a record that expires while its append is in progress is not reported as refused", async () => {
   const log = new FakeLog();
   let release: () => void = () => undefined;
   const held = new Promise<void>((resolve) => (release = resolve));
@@ -226,7 +229,7 @@
   process.stop();
 });
 
-test("a record that may have landed is never called refused", async () => {
+test("a record that may have been appended is never reported as refused", async () => {
   const log = new FakeLog();
   log.answers = ["lost"];
   const process = createProcess(log);
@@ -253,9 +256,7 @@
   process.start();
   await process.advance(200);
   expect(
-    (await Promise.all(waiting)).every(
-      (verdict) => !(verdict instanceof Error),
-    ),
+    (await Promise.all(waiting)).every((result) => !(result instanceof Error)),
   ).toEqual(true);
   process.stop();
 });
@@ -263,9 +264,9 @@
 const withSnapshot = async (log: FakeLog) => {
   const first = createProcess(log);
   first.start();
-  const verdict = first.appender.submit(submit("old"), 5_000);
+  const result = first.appender.submit(submit("old"), 5_000);
   await first.advance(300);
-  await verdict;
+  await result;
   const snapshot = {
     covered: first.follower.position,
     state: first.fold.toSnapshot(),
@@ -290,7 +291,7 @@
   second.stop();
 });
 
-test("without a snapshot a peer's state will do, and the higher offset wins", async () => {
+test("a peer's snapshot is used when it has a higher offset than the log's", async () => {
   const log = new FakeLog();
   const snapshot = await withSnapshot(log);
   await new SnapshotStore(log).write({
@@ -308,7 +309,7 @@
   second.stop();
 });
 
-test("where the past is gone the process says so and does not start empty", async () => {
+test("a process whose history is lost reports a fault and does not start empty", async () => {
   const log = new FakeLog();
   await withSnapshot(log);
   log.truncate("records", 1);
--- a/packages/state/tests/fold.test.ts
+++ b/packages/state/tests/fold.test.ts
@@ -84,7 +84,7 @@
   changes: [{ action: "put", declaration }],
 });
 
-test("the first claim for the open attempt wins, the second loses", () => {
+test("the first claim for the open attempt is accepted, the second rejected", () => {
   const fold = new Fold();
   fold.apply(submit("a"));
   expect(fold.apply(claim("job/a")).accepted).toEqual(true);
@@ -98,7 +98,7 @@
   expect(fold.units.get(unitId("job/a"))?.claim?.host).toEqual(HOST);
 });
 
-test("an evicted job opens its next attempt with the checkpoint, once", () => {
+test("an evicted job opens its next attempt once, with the checkpoint", () => {
   const fold = new Fold();
   fold.apply(submit("a"));
   fold.apply(claim("job/a"));
@@ -112,7 +112,7 @@
   ]);
 });
 
-test("a job that fails too often is set aside as failed", () => {
+test("a job that reaches its failure limit fails permanently", () => {
   const fold = new Fold();
   fold.apply(submit("a", { maxFailures: 2 }));
   for (const attempt of [1, 2]) {
@@ -131,7 +131,7 @@
   expect(fold.units.get(unitId("job/a"))?.finish).toEqual("cancelled");
 });
 
-test("of two operators who change the same declaration the first wins, and the second learns of it", () => {
+test("of two operators' changes to one declaration the first is accepted and the second is rejected as a conflict", () => {
   const fold = new Fold();
   expect(fold.apply(apply(service(1), 0)).accepted).toEqual(true);
   expect(fold.apply(apply(service(2), 1)).accepted).toEqual(true);
@@ -141,7 +141,7 @@
   expect(held?.kind === "service" && held.replicas).toEqual(2);
 });
 
-test("a removed declaration counts as changed for who still knew it", () => {
+test("a change based on a version before the declaration was removed is rejected", () => {
   const fold = new Fold();
   fold.apply(apply(service(1), 0));
   fold.apply({
@@ -153,7 +153,7 @@
   expect(fold.apply(apply(service(3), 1)).accepted).toEqual(false);
 });
 
-test("fewer replicas end the highest ones, a changed program gives a new version", () => {
+test("reducing the replicas ends the highest ones, and a changed program sets a new spec version", () => {
   const fold = new Fold();
   fold.apply(apply(service(3), 0));
   fold.apply(claim("service/bays/0"));
@@ -167,7 +167,7 @@
   );
 });
 
-test("a team's quota bounds what its claims hold together", () => {
+test("a team's quota limits the total resources of its claims and its number of jobs", () => {
   const fold = new Fold();
   const quota = {
     kind: "quota",
@@ -186,7 +186,7 @@
   expect(fold.apply(claim("job/b")).accepted).toEqual(true);
 });
 
-test("the certified end of a host frees its claims and refuses later ones", () => {
+test("the certified end of a host ends its claims and rejects later ones", () => {
   const fold = new Fold();
   fold.apply(submit("a"));
   fold.apply(claim("job/a"));
@@ -201,7 +201,7 @@
   expect(late.accepted === false && late.reason).toEqual("host-ended");
 });
 
-test("a record that is seen twice is applied once", () => {
+test("a record that is read twice is applied once", () => {
   const fold = new Fold();
   const batch = {
     writer: WRITER,
@@ -225,8 +225,8 @@
   expect(fold.apply(claimKey("r1", "d")).accepted).toEqual(true);
   const reasons = [claimKey("r2", "d"), claimKey("r3", "other")].map(
     (record) => {
-      const verdict = fold.apply(record);
-      return verdict.accepted ? "accepted" : verdict.reason;
+      const result = fold.apply(record);
+      return result.accepted ? "accepted" : result.reason;
     },
   );
   expect(reasons).toEqual(["key-claimed", "key-reused"]);
@@ -246,7 +246,7 @@
   expect(fold.apply(release).accepted).toEqual(false);
 });
 
-/** Records over few names, so that they meet each other. */
+/** Records that use few names, so that they affect each other. */
 const anyRecord: fc.Arbitrary<LogRecord> = fc.oneof(
   fc
     .constantFrom("a", "b", "c")
@@ -286,7 +286,7 @@
   ),
 );
 
-test("a fold restored from a snapshot goes on exactly like the one it was taken from", () => {
+test("a fold restored from a snapshot continues exactly like the original fold", () => {
   fc.assert(
     fc.property(
       fc.array(anyRecord, { maxLength: 60 }),
@@ -297,11 +297,11 @@
         for (const record of records.slice(0, cut)) early.apply(record);
         const restored = new Fold();
         restored.restore(early.toSnapshot());
-        const verdicts = records.map((record) => whole.apply(record));
+        const results = records.map((record) => whole.apply(record));
         const later = records
           .slice(cut)
           .map((record) => restored.apply(record));
-        expect(later).toEqual(verdicts.slice(cut));
+        expect(later).toEqual(results.slice(cut));
         expect(restored.toSnapshot()).toEqual(whole.toSnapshot());
       },
     ),
@@ -309,7 +309,7 @@
   );
 });
 
-test("records survive the codec, and other bytes are named as unreadable", () => {
+test("records are unchanged after encoding and decoding, and other bytes raise UnreadableEntryError", () => {
   fc.assert(
     fc.property(fc.array(anyRecord, { maxLength: 20 }), (records) => {
       const batch = { writer: WRITER, first: 5, records };
--- a/packages/state/tests/followerBehind.test.ts
+++ b/packages/state/tests/followerBehind.test.ts
@@ -14,8 +14,8 @@
 const TOPIC = brand<TopicName>("progress");
 const RECORDS = 7;
 
-// The store answers a read with a megabyte at most.
-test("a follower is up to date once it has read all that the store holds, not one answer of it", async () => {
+// The store returns at most one megabyte per read.
+test("a follower is up to date once it has read all records of the store, not only one page", async () => {
   const clock = new ManualClock();
   const memory = new MemoryStore(clock);
   memory.maxReadRecords = 2;
@@ -50,7 +50,7 @@
   await stopped;
 });
 
-/** A store that is asked for all keys, and turns the asker away. */
+/** A store that refuses to return the newest record of each key. */
 const createRefusingStore = (clock: ManualClock) => {
   let calls = 0;
   const readNewest = async (): Promise<never> => {
@@ -62,8 +62,10 @@
   return { store, calls: () => calls };
 };
 
-// The wish for a fresh view ends a poll; a refused reading of all keys is no such end.
-test("a follower that is turned away pauses, also while somebody waits for its view", async () => {
+// A caller that waits for an up-to-date view aborts the current poll. A
+// refused load of all keys must not be treated as such an abort, or the
+// follower would retry without a pause.
+test("a follower that is refused pauses, even while a caller waits for its view", async () => {
   const clock = new ManualClock();
   const { store, calls } = createRefusingStore(clock);
   const follower = new TopicFollower({
--- a/packages/state/tests/foreignRecords.test.ts
+++ b/packages/state/tests/foreignRecords.test.ts
@@ -1,4 +1,7 @@
-/** Records of other writers in the product's topics cancel no job and name no host. */
+/**
+ * Records of other writers in the topics of rackspan must not cancel
+ * a job or add a host.
+ */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -48,7 +51,7 @@
   return view;
 };
 
-/** Values that none of the topics may hold. */
+/** Values that are valid in none of the topics. */
 const foreign = fc.oneof(
   fc.uint8Array({ minLength: 1 }).map((bytes) => Buffer.from(bytes)),
   fc
@@ -60,7 +63,7 @@
     .map((value) => Buffer.from(JSON.stringify(value))),
 );
 
-test("what cannot be read changes nothing that is known", () => {
+test("records that cannot be read change nothing in the view", () => {
   const view = viewOfOneJob();
   const before = JSON.stringify([view.get(JOB), ...view.roster]);
   const keys = fc.constantFrom<string>(JOB, HOST, "other");
@@ -78,7 +81,7 @@
   );
 });
 
-test("a cancel that can be read still cancels, beside one that cannot", () => {
+test("a readable cancel takes effect after an unreadable one", () => {
   const view = viewOfOneJob();
   view.applyCancelRecords([{ key: JOB, value: Buffer.from("{}") }]);
   expect(view.stateOf(JOB)).toEqual("running");
@@ -86,13 +89,13 @@
   expect(view.stateOf(JOB)).toEqual("cancelled");
 });
 
-test("a host that an earlier version listed is waited for, whatever its life", () => {
+test("a host recorded by an earlier version is in the roster for any incarnation", () => {
   const view = createView();
   view.applyHostRecords([{ key: HOST, value: Buffer.from("{}") }]);
   expect([...view.roster]).toEqual([[HOST, undefined]]);
 });
 
-test("progress with lists of tasks that no step can have is not read", () => {
+test("progress with lists of tasks that no step can have is rejected", () => {
   const lists = ["0-999999999", "5-2", "0-4999,5000", "a", "1,,2", "-1", "1.5"];
   for (const list of lists) {
     const record = { ...PROGRESS, done: { "0.0": list } };
@@ -100,7 +103,7 @@
   }
 });
 
-test("lists of tasks come back as they were", () => {
+test("lists of task indices are unchanged after encoding and decoding", () => {
   fc.assert(
     fc.property(fc.uniqueArray(fc.nat({ max: 4_999 })), (indices) => {
       const list = encodeIndices(indices);
@@ -114,7 +117,7 @@
   );
 });
 
-test("a job of a size that no caller may hand in is not read", () => {
+test("a job of a size that no caller may submit is rejected", () => {
   const view = createView();
   const sizes = [{ taskCount: 6_000 }, { taskCount: 1, after: [0] }];
   for (const [at, step] of sizes.entries()) {
@@ -125,7 +128,7 @@
   expect(view.all()).toEqual([]);
 });
 
-test("what was learnt beyond any measurement is not read", () => {
+test("learned values beyond any measurement are rejected", () => {
   const record = { kind: "estimates", writtenAt: 0, corrections: [["q", 800]] };
   const value = Buffer.from(JSON.stringify(record));
   expect(() => decodeLearned("estimates", value)).toThrow();
--- a/packages/state/tests/operatorView.test.ts
+++ b/packages/state/tests/operatorView.test.ts
@@ -1,4 +1,4 @@
-/** What is taken from the operator's topic. */
+/** How records of the operator's topic are applied. */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -28,7 +28,7 @@
 const A = brand<AvailabilityZone>("obihiro-a");
 const B = brand<AvailabilityZone>("otofuke-b");
 
-/** In a form of its own: keys are zones, `?` cannot be read. */
+/** Test format: keys are zones, and `?` cannot be read. */
 const decode = ({ key, value }: KeyedRecord): OperatorRecord | undefined => {
   if (key === "?") throw new Error("nonsense");
   const zone = brand<AvailabilityZone>(key);
@@ -55,7 +55,7 @@
 });
 const endEvacuation = (key: string): KeyedRecord => ({ key, value: undefined });
 
-test("a zone is evacuated until its record is taken away, each told once", () => {
+test("a zone is evacuated until its record is deleted, and each change is reported once", () => {
   const { view, zones, changes, lines } = setUp();
   view.applyRecords([evacuate(A), evacuate(A), evacuate(B)]);
   expect([zones.has(A), zones.has(B)]).toEqual([true, true]);
@@ -69,14 +69,14 @@
   ]);
 });
 
-test("a record that cannot be read leaves those beside it standing", () => {
+test("an unreadable record does not prevent the others from being applied", () => {
   const { view, zones, lines } = setUp();
   view.applyRecords([evacuate("?"), evacuate(A)]);
   expect(zones.has(A)).toEqual(true);
   expect(lines).toEqual(["operator.unreadable", "zone.evacuated"]);
 });
 
-test("a zone that is taken back while a follower has lost the history is open again", async () => {
+test("an evacuation that ends while a follower has lost the history is ended there too", async () => {
   const { clock, view, zones } = setUp();
   const store = new MemoryStore(clock);
   let isTruncated = false;
--- a/packages/state/tests/progressRecords.test.ts
+++ b/packages/state/tests/progressRecords.test.ts
@@ -1,4 +1,4 @@
-/** Progress records that leaders of other versions read too. */
+/** Progress records must stay readable for leaders of other versions. */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -22,7 +22,7 @@
   ],
 };
 
-test("evidence that earlier leaders cannot read is kept as one that they know", () => {
+test("evidence that earlier versions cannot read is stored as a value that they can", () => {
   const encoded = encodeProgress(RECORD);
   const { crashes } = JSON.parse(encoded.toString()) as ProgressRecord;
   expect(crashes).toEqual([
@@ -37,7 +37,7 @@
   expect(decodeProgress("job", encoded)).toEqual(RECORD);
 });
 
-test("what is doubted of one gang member is not doubted of another with that run", () => {
+test("doubted evidence of one gang member does not apply to another member with the same run number", () => {
   const record: ProgressRecord = {
     ...RECORD,
     crashes: [
--- a/packages/state/tests/slowStore.test.ts
+++ b/packages/state/tests/slowStore.test.ts
@@ -1,4 +1,7 @@
-/** Appends to a slow store are not given up and repeated while it carries them out. */
+/**
+ * Appends to a slow store must not time out and be repeated while
+ * the store carries them out.
+ */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -9,11 +12,14 @@
 
 const RECORDS = 10;
 
-/** Takes appends in turn, each in `appendMs`, also those whose callers gave up. */
+/**
+ * Processes appends one by one, each in `appendMs`, including those
+ * whose callers timed out.
+ */
 class SlowStore {
   appendMs = 360;
   carriedOut = 0;
-  /** The time that each append was given, in order. */
+  /** Time-out of each append, in order. */
   readonly timeouts: number[] = [];
   private lastAppend: Promise<unknown> = Promise.resolve();
 
@@ -52,7 +58,7 @@
     batchWindowMs: 0,
     retriesRefusedBatches: true,
   });
-  /** Writes one record after the other; @returns milliseconds taken. */
+  /** Writes the records one after the other; @returns milliseconds taken. */
   const writeAll = async (count: number): Promise<number> => {
     const began = clock.monotonic();
     let endedAt = began;
@@ -71,7 +77,7 @@
   return { memory, store, writeAll };
 };
 
-test("a slow store is sent each batch but the first once", async () => {
+test("each batch after the first is sent to a slow store once", async () => {
   const { memory, store, writeAll } = setUp();
   const tookMs = await writeAll(RECORDS);
   expect(store.carriedOut <= RECORDS + 1).toEqual(true);
@@ -79,7 +85,7 @@
   expect(memory.recordsOf(TOPICS.jobs).length).toEqual(RECORDS);
 });
 
-test("a store that is quick again is given the usual time from the second batch on", async () => {
+test("a store that has become fast again gets the usual time-out from the second batch on", async () => {
   const { store, writeAll } = setUp();
   const usualMs = 300;
   await writeAll(3);
--- a/packages/state/tests/topicFollower.test.ts
+++ b/packages/state/tests/topicFollower.test.ts
@@ -1,4 +1,4 @@
-/** What a follower hands on after records have passed it by. */
+/** What a follower passes on after it has missed records. */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -15,7 +15,10 @@
 
 const TOPIC = brand<TopicName>("jobs");
 
-/** A store whose old records can be let go, so that followers must read it anew. */
+/**
+ * A store whose old records can be dropped, so that followers must
+ * load the topic again.
+ */
 class TruncatedStore {
   oldest = 0;
 
@@ -36,7 +39,7 @@
   };
 }
 
-/** A follower of a topic of two writers, and what it has handed on. */
+/** A follower of a topic, and the records that it has passed on. */
 const setUp = () => {
   const clock = new ManualClock();
   const memory = new MemoryStore(clock);
@@ -73,8 +76,8 @@
   return { clock, memory, store, write, known, follower, stop };
 };
 
-// A reading of all keys also tells which keys are held no longer.
-test("keys that were dropped while a follower was cut off are dropped when it reads anew", async () => {
+// A load of all keys must also show which keys were deleted.
+test("keys that were deleted while a follower was disconnected are deleted when it loads the topic again", async () => {
   const { clock, memory, store, write, known, follower, stop } = setUp();
   await write("loaded", Buffer.from("1"));
   follower.start();
@@ -95,9 +98,9 @@
   await stop();
 });
 
-// Another version's record stands in place of one that could be read. Were its key taken
-// for a dropped one, the job would be forgotten and its caller told that it never was.
-test("a key whose record cannot be read any more stays as it was known", async () => {
+// A record of another version replaces a readable one. If its key were taken for a
+// deleted one, the job would be forgotten and reported to its caller as unknown.
+test("a key whose record has become unreadable keeps its last readable value", async () => {
   const { clock, store, write, known, follower, stop } = setUp();
   await write("rewritten", Buffer.from("1"));
   await write("dropped", Buffer.from("1"));
--- a/packages/state/tests/topicWriter.test.ts
+++ b/packages/state/tests/topicWriter.test.ts
@@ -7,7 +7,7 @@
 
 const record = (key: string) => ({ key, value: Buffer.from(key) });
 
-const setUp = ({ epoch = 1, retriesRefused = false } = {}) => {
+const setUp = ({ epoch = 1, retriesRefusedBatches = false } = {}) => {
   const clock = new ManualClock();
   const store = new MemoryStore(clock);
   const writerOf = (of: number) =>
@@ -19,13 +19,13 @@
       producer: "p",
       epoch: of,
       batchWindowMs: 2,
-      retriesRefusedBatches: retriesRefused,
+      retriesRefusedBatches,
     });
   const keys = () => store.recordsOf(TOPICS.jobs).map(({ key }) => key);
   return { clock, store, writer: writerOf(epoch), writerOf, keys };
 };
 
-test("records written together go out as one append", async () => {
+test("records that are written together are sent in one append", async () => {
   const { clock, store, writer, keys } = setUp();
   const writes = ["a", "b", "c"].map(
     (key) => writer.write(record(key)).persisted,
@@ -36,22 +36,22 @@
   expect(keys()).toEqual(["a", "b", "c"]);
 });
 
-test("a batch whose answer was lost is kept once", async () => {
+test("a batch whose answer was lost is persisted once", async () => {
   const { clock, store, writer, keys } = setUp();
   store.fault = "loses-answers";
-  const { persisted: kept } = writer.write(record("a"));
+  const { persisted } = writer.write(record("a"));
   await clock.advance(1_200);
   store.fault = "none";
   await clock.advance(1_000);
-  await kept;
+  await persisted;
   expect(keys()).toEqual(["a"]);
 });
 
-test("a refused record is told to its writer and never kept", async () => {
+test("a refused record is reported to its caller and never persisted", async () => {
   const { clock, store, writer, keys } = setUp();
   store.fault = "refuses";
-  const { persisted: kept } = writer.write(record("a"));
-  const refusal = expect(kept).toBeRejectedWith(StoreRefusedError);
+  const { persisted } = writer.write(record("a"));
+  const refusal = expect(persisted).toBeRejectedWith(StoreRefusedError);
   await clock.advance(100);
   await refusal;
   store.fault = "none";
@@ -61,7 +61,7 @@
   expect(keys()).toEqual(["b"]);
 });
 
-test("while the store is silent, what was not sent is refused at once", async () => {
+test("while the store does not answer, unsent records are refused at once", async () => {
   const { clock, store, writer, keys } = setUp();
   store.fault = "silent";
   const first = writer.write(record("sent"));
@@ -75,8 +75,10 @@
   expect(keys()).toEqual(["sent"]);
 });
 
-test("a writer of a lower epoch writes nothing once a higher one has fenced it off", async () => {
-  const { clock, writer, writerOf, keys } = setUp({ retriesRefused: true });
+test("a writer of a lower epoch cannot write once a higher epoch has fenced it", async () => {
+  const { clock, writer, writerOf, keys } = setUp({
+    retriesRefusedBatches: true,
+  });
   const first = writer.write(record("a")).persisted;
   await clock.advance(10);
   await first;
@@ -93,16 +95,19 @@
   expect(keys()).toEqual(["a", "b"]);
 });
 
-// The store may know their numbers from the former leader, and take them for repeats.
-test("the first records of a new leader are not taken for repeats of the former one's", async () => {
+// The store may have persisted the same sequence numbers from the previous leader,
+// and take the new records for repeated ones.
+test("the first records of a new leader are not taken for repeated ones of the previous leader", async () => {
   for (const previousCount of [1, 3, 5, 7]) {
-    const { clock, writer, writerOf, keys } = setUp({ retriesRefused: true });
+    const { clock, writer, writerOf, keys } = setUp({
+      retriesRefusedBatches: true,
+    });
     const expectedKeys: string[] = [];
     const persist = async (by: TopicWriter, key: string): Promise<void> => {
       expectedKeys.push(key);
-      const { persisted: kept } = by.write(record(key));
+      const { persisted } = by.write(record(key));
       await clock.advance(100);
-      await kept;
+      await persisted;
     };
     for (let at = 0; at < previousCount; at += 1)
       await persist(writer, `former-${at}`);
@@ -113,11 +118,11 @@
   }
 });
 
-// The same with a first record whose answer is lost: the writer must learn the
-// number that the store wants without giving the record up.
-test("the first record of a new leader is kept although its answer was lost", async () => {
+// The same when the answer to the first record is lost: the writer must adopt the
+// sequence number that the store expects without dropping the record.
+test("the first record of a new leader is persisted although its answer was lost", async () => {
   const { clock, store, writer, writerOf, keys } = setUp({
-    retriesRefused: true,
+    retriesRefusedBatches: true,
   });
   const first = writer.write(record("former")).persisted;
   await clock.advance(100);
@@ -125,10 +130,10 @@
   const next = writerOf(2);
   await next.fenceLowerEpochs();
   store.fault = "silent";
-  const { persisted: kept } = next.write(record("next"));
+  const { persisted } = next.write(record("next"));
   await clock.advance(1_000);
   store.fault = "none";
   await clock.advance(1_000);
-  await kept;
+  await persisted;
   expect(keys()).toEqual(["former", "next"]);
 });
