--- a/packages/protocol/tests/httpClient.test.ts
+++ b/packages/protocol/tests/httpClient.test.ts
@@ -21,7 +21,7 @@
 const TIMEOUT_MS = 150;
 /** Time-out of calls that get an answer, however busy the machine is. */
 const LONG_TIMEOUT_MS = 30_000;
-const KEPT_OPEN = 4;
+const OPEN_CONNECTIONS = 4;
 
 const METER_TICK_MS = 10;
 
@@ -43,17 +43,17 @@
 const createStallingServer = async () => {
   const silent = new Set<Socket>();
   const waiting: ServerResponse[] = [];
-  let gathers = true;
+  let collects = true;
   const server = createServer((req, res) => {
     if (silent.has(req.socket)) return;
-    if (gathers) waiting.push(res);
+    if (collects) waiting.push(res);
     else res.end("fresh");
   });
   server.listen(0, "127.0.0.1");
   await once(server, "listening");
   /** Answers the waiting requests, then never responds on their connections again. */
   const stopResponding = (): void => {
-    gathers = false;
+    collects = false;
     for (const res of waiting) {
       if (res.socket) silent.add(res.socket);
       res.end("first");
@@ -90,8 +90,10 @@
   const client = new HttpClient({ baseUrl: `http://${addressOf(server)}` });
   const call = (timeoutMs: number) =>
     client.call({ method: "GET", path: "/", timeoutMs });
-  const first = Array.from({ length: KEPT_OPEN }, () => call(LONG_TIMEOUT_MS));
-  while (waiting.length < KEPT_OPEN) await new Promise(setImmediate);
+  const first = Array.from({ length: OPEN_CONNECTIONS }, () =>
+    call(LONG_TIMEOUT_MS),
+  );
+  while (waiting.length < OPEN_CONNECTIONS) await new Promise(setImmediate);
   stopResponding();
   await Promise.all(first);
   const outcomes: string[] = [];
--- a/packages/state/src/TopicFollower.ts
+++ b/packages/state/src/TopicFollower.ts
@@ -94,8 +94,8 @@
 
   /** Resolves once all records that the store holds now have been passed on. */
   async catchUp(signal?: AbortSignal): Promise<void> {
-    const askedAt = this.options.clock.monotonic();
-    while ((this.completeAt ?? -Infinity) < askedAt) {
+    const requestedAt = this.options.clock.monotonic();
+    while ((this.completeAt ?? -Infinity) < requestedAt) {
       signal?.throwIfAborted();
       this.pollAbort.abort();
       await new Promise<void>((resolve) => this.waiters.add(resolve));
@@ -140,19 +140,19 @@
 
   private async load(): Promise<void> {
     const { store, topic, clock } = this.options;
-    const askedAt = clock.monotonic();
+    const requestedAt = clock.monotonic();
     // An abort of an earlier poll must not mask a failure of this load.
     this.pollAbort = new AbortController();
     const page = await store.readNewest(topic);
     this.logUnreadable(page);
     this.passOn([...this.deletedSince(page), ...page.records]);
     this.next = page.next;
-    this.markComplete(askedAt);
+    this.markComplete(requestedAt);
   }
 
   private async poll(from: number): Promise<void> {
     const { store, topic, clock } = this.options;
-    const askedAt = clock.monotonic();
+    const requestedAt = clock.monotonic();
     const waitMs = this.waiters.size > 0 ? 0 : FOLLOW.pollMs;
     this.pollAbort = new AbortController();
     const { signal } = this.pollAbort;
@@ -163,7 +163,7 @@
     this.answeredAt = clock.monotonic();
     // A response contains at most one megabyte, so a follower that is behind reads on.
     const isAtEnd = page.next === from || page.next >= page.end;
-    if (isAtEnd) this.markComplete(askedAt);
+    if (isAtEnd) this.markComplete(requestedAt);
   }
 
   /**
@@ -190,8 +190,8 @@
     this.options.onRecords(records);
   }
 
-  private markComplete(askedAt: Monotonic): void {
-    this.completeAt = askedAt;
+  private markComplete(requestedAt: Monotonic): void {
+    this.completeAt = requestedAt;
     this.answeredAt = this.options.clock.monotonic();
     const waiters = [...this.waiters];
     this.waiters.clear();
--- a/packages/state/tests/slowStore.test.ts
+++ b/packages/state/tests/slowStore.test.ts
@@ -60,8 +60,8 @@
   });
   /** Writes the records one after the other; @returns milliseconds taken. */
   const writeAll = async (count: number): Promise<number> => {
-    const began = clock.monotonic();
-    let endedAt = began;
+    const startedAt = clock.monotonic();
+    let endedAt = startedAt;
     let isDone = false;
     const all = (async () => {
       for (let n = 0; n < count; n += 1) {
@@ -72,7 +72,7 @@
     })();
     while (!isDone) await clock.advance(10);
     await all;
-    return endedAt - began;
+    return endedAt - startedAt;
   };
   return { memory, store, writeAll };
 };
--- a/packages/state/tests/topicWriter.test.ts
+++ b/packages/state/tests/topicWriter.test.ts
@@ -95,8 +95,8 @@
   expect(keys()).toEqual(["a", "b"]);
 });
 
-// The store may have persisted the same sequence numbers from the previous leader,
-// and take the new records for repeated ones.
+// The store may already have persisted the same sequence numbers from the previous
+// leader, and would then ignore the new records as repeated ones.
 test("the first records of a new leader are not taken for repeated ones of the previous leader", async () => {
   for (const previousCount of [1, 3, 5, 7]) {
     const { clock, writer, writerOf, keys } = setUp({
