--- a/packages/protocol/tests/httpClient.test.ts
+++ b/packages/protocol/tests/httpClient.test.ts
@@ -1,4 +1,4 @@
-/** What an HTTP client makes of connections that fall silent while new ones work. */
+/** How an HTTP client handles connections that stop responding while new ones work. */
 
 import {
   createServer,
@@ -17,52 +17,52 @@
   LostAnswerError,
 } from "@rackspan/protocol";
 
-/** For calls that get no answer. */
+/** Time-out of calls that get no answer. */
 const TIMEOUT_MS = 150;
-/** For calls that get one, however busy the machine is. */
-const PATIENT_MS = 30_000;
-const KEPT_OPEN = 4;
+/** Time-out of calls that get an answer, however busy the machine is. */
+const LONG_TIMEOUT_MS = 30_000;
+const OPEN_CONNECTIONS = 4;
 
 const METER_TICK_MS = 10;
 
-/** Milliseconds for which this process ran, without those for which it stood still. */
+/** Measures the milliseconds for which this process ran, without suspensions. */
 const startRunMeter = (t: TestContext): (() => number) => {
   let ranMs = 0;
-  let lookedAt = performance.now();
-  const look = (): number => {
+  let updatedAt = performance.now();
+  const update = (): number => {
     const now = performance.now();
-    ranMs += Math.min(now - lookedAt, 2 * METER_TICK_MS);
-    lookedAt = now;
+    ranMs += Math.min(now - updatedAt, 2 * METER_TICK_MS);
+    updatedAt = now;
     return ranMs;
   };
-  const timer = setInterval(look, METER_TICK_MS);
+  const timer = setInterval(update, METER_TICK_MS);
   t.after(() => clearInterval(timer));
-  return look;
+  return update;
 };
 
-const createSilencingServer = async () => {
+const createStallingServer = async () => {
   const silent = new Set<Socket>();
   const waiting: ServerResponse[] = [];
-  let gathers = true;
+  let collects = true;
   const server = createServer((req, res) => {
     if (silent.has(req.socket)) return;
-    if (gathers) waiting.push(res);
+    if (collects) waiting.push(res);
     else res.end("fresh");
   });
   server.listen(0, "127.0.0.1");
   await once(server, "listening");
-  /** Answers what is waiting, then never speaks on those connections again. */
-  const fallSilent = (): void => {
-    gathers = false;
+  /** Answers the waiting requests, then never responds on their connections again. */
+  const stopResponding = (): void => {
+    collects = false;
     for (const res of waiting) {
       if (res.socket) silent.add(res.socket);
       res.end("first");
     }
   };
-  return { server, waiting, fallSilent };
+  return { server, waiting, stopResponding };
 };
 
-/** A client with one connection at a time, and the paths that its server was asked for. */
+/** A client with one connection at a time, and the paths that its server received. */
 const connectTo = async (t: TestContext, answer: RequestListener) => {
   const paths: (string | undefined)[] = [];
   const server = createServer((req, res) => {
@@ -81,8 +81,8 @@
   return { client, paths };
 };
 
-test("connections that fell silent cost one time-out, not one each", async (t) => {
-  const { server, waiting, fallSilent } = await createSilencingServer();
+test("connections that stopped responding cost one time-out in total, not one each", async (t) => {
+  const { server, waiting, stopResponding } = await createStallingServer();
   t.after(async () => {
     server.closeAllConnections();
     await closeServer(server);
@@ -90,12 +90,14 @@
   const client = new HttpClient({ baseUrl: `http://${addressOf(server)}` });
   const call = (timeoutMs: number) =>
     client.call({ method: "GET", path: "/", timeoutMs });
-  const first = Array.from({ length: KEPT_OPEN }, () => call(PATIENT_MS));
-  while (waiting.length < KEPT_OPEN) await new Promise(setImmediate);
-  fallSilent();
+  const first = Array.from({ length: OPEN_CONNECTIONS }, () =>
+    call(LONG_TIMEOUT_MS),
+  );
+  while (waiting.length < OPEN_CONNECTIONS) await new Promise(setImmediate);
+  stopResponding();
   await Promise.all(first);
   const outcomes: string[] = [];
-  for (const timeoutMs of [TIMEOUT_MS, PATIENT_MS]) {
+  for (const timeoutMs of [TIMEOUT_MS, LONG_TIMEOUT_MS]) {
     const outcome = await call(timeoutMs).then(
       ({ body }) => body.toString("utf8"),
       () => "no answer",
@@ -106,8 +108,9 @@
   client.close();
 });
 
-// Calls behind those that keep all connections busy have a time-out of their own.
-test("a call that gets no connection in its time fails then, and is never sent", async (t) => {
+// A call that waits for a connection because others keep all of them
+// busy has its own time-out.
+test("a call that gets no connection within its time-out fails then and is never sent", async (t) => {
   const { client, paths } = await connectTo(t, (req, res) => {
     if (req.url !== "/silent") res.end("answered");
   });
@@ -120,14 +123,15 @@
   await expect(call("/behind", TIMEOUT_MS)).toBeRejectedWith(ConnectError);
   expect(readRunMs() < 3 * TIMEOUT_MS).toEqual(true);
   await silent;
-  const { body } = await call("/next", PATIENT_MS);
+  const { body } = await call("/next", LONG_TIMEOUT_MS);
   expect(body.toString("utf8")).toEqual("answered");
   expect(paths).toEqual(["/silent", "/next"]);
 });
 
-// Who is told that nothing was sent may give the order to somebody else. A call
-// over a connection that was kept open is sent at once, so it may have arrived.
-test("a call over a kept connection that gets no answer may have taken effect", async (t) => {
+// A caller that learns that nothing was sent may send the order elsewhere. A
+// call over a reused connection is sent at once, so it may have arrived and must
+// not be reported as unsent.
+test("a call over a reused connection that gets no answer may have taken effect", async (t) => {
   const { client, paths } = await connectTo(t, (req, res) => {
     if (req.url === "/answered") res.end();
     if (req.url === "/broken") req.socket.destroy();
@@ -135,7 +139,7 @@
   const call = (path: string, timeoutMs: number) =>
     client.call({ method: "POST", path, timeoutMs });
   for (const path of ["/broken", "/silent"]) {
-    await call("/answered", PATIENT_MS);
+    await call("/answered", LONG_TIMEOUT_MS);
     await expect(call(path, TIMEOUT_MS)).toBeRejectedWith(LostAnswerError);
     expect(paths.at(-1)).toEqual(path);
   }
--- a/packages/state/src/LogFollower.ts
+++ b/packages/state/src/LogFollower.ts
@@ -1,4 +1,4 @@
-/** Reads the log in offset order into the fold, after restoring what is past. */
+/** Applies the log to the fold in offset order, after restoring the newest snapshot. */
 
 import {
   AbortedError,
@@ -26,7 +26,10 @@
 const RETRY_MS = 100;
 const MAX_RETRY_MS = 2_000;
 
-/** Asks the other entries for their state; used where the log cannot help. */
+/**
+ * Fetches snapshots of other entries, for when the log no longer has
+ * the entries needed.
+ */
 export interface PeerSnapshots {
   /** The snapshot with the highest offset among the peers that answered. */
   fetchNewest(): Promise<Snapshot | undefined>;
@@ -44,28 +47,31 @@
 }
 
 export class LogFollower {
-  /** Emits when the fold was restored from a snapshot: its past was not applied one by one. */
+  /**
+   * Emits when the fold was restored from a snapshot; the records covered by it
+   * are not emitted one by one.
+   */
   readonly restoredFromSnapshot = new Emitter<void>();
   private from = offset(0);
   private restored = false;
   private reachedEnd = false;
   private lastReadAt: Monotonic = -Infinity;
   private failure: Error | undefined;
-  private readonly moved = new ChangeSignal();
+  private readonly changed = new ChangeSignal();
 
   constructor(private readonly options: LogFollowerOptions) {}
 
-  /** All entries below this offset are in the fold. */
+  /** All entries below this offset have been applied to the fold. */
   get position(): Offset {
     return this.from;
   }
 
-  /** Whether the fold has once held all that the log held. */
+  /** Whether the fold has reached the end of the log at least once. */
   get caughtUp(): boolean {
     return this.reachedEnd;
   }
 
-  /** Set when following has ended for good; an operator has to act. */
+  /** Set when following has stopped permanently; an operator has to intervene. */
   get fault(): Error | undefined {
     return this.failure;
   }
@@ -75,12 +81,15 @@
     return this.options.clock.monotonic() - this.lastReadAt;
   }
 
-  /** Resolves at the next change of position, readiness or fault, or after `ms`. */
+  /**
+   * Resolves at the next change of position, readiness or fault, or
+   * after `ms` milliseconds.
+   */
   waitForChange(ms: number): Promise<void> {
-    return this.moved.wait(this.options.clock, ms);
+    return this.changed.wait(this.options.clock, ms);
   }
 
-  /** Follows until the signal ends it, or until the past is lost. */
+  /** Follows the log until the signal aborts or the history is lost. */
   async run(signal: AbortSignal): Promise<void> {
     const { clock, random, logger } = this.options;
     let retryMs = RETRY_MS;
@@ -91,7 +100,7 @@
         retryMs = RETRY_MS;
       } catch (err) {
         if (signal.aborted || err instanceof AbortedError) return;
-        if (isFinal(err)) return this.fail(err as Error);
+        if (isPermanent(err)) return this.fail(err as Error);
         this.options.metrics.count("log_read_errors");
         logger.warn("log.read-failed", { error: describeError(err) });
         await sleep(clock, jitter(random, retryMs), signal).catch(
@@ -105,7 +114,7 @@
   private async readOnce(signal: AbortSignal): Promise<void> {
     const { log, fold, clock } = this.options;
     const waitMs = this.reachedEnd ? READ_WAIT_MS : 0;
-    const page = await this.readOrExplain(() =>
+    const page = await this.readWithinRetention(() =>
       log.read(RECORD_STREAM, { from: this.from, waitMs, signal }),
     );
     this.lastReadAt = clock.monotonic();
@@ -115,11 +124,15 @@
     }
     this.from = offset(Math.max(this.from, page.next));
     if (page.entries.length === 0) this.reachedEnd = true;
-    this.moved.notify();
+    this.changed.notify();
   }
 
-  /** A reader that fell behind retention cannot go on: entries are missing. */
-  private async readOrExplain<T>(read: () => Promise<T>): Promise<T> {
+  /**
+   * Reads a page of the log.
+   * @throws HistoryLostError when the reader fell behind the log's retention,
+   *   because entries are missing
+   */
+  private async readWithinRetention<T>(read: () => Promise<T>): Promise<T> {
     try {
       return await read();
     } catch (err) {
@@ -131,10 +144,10 @@
 
   private async restore(): Promise<void> {
     const { fold, logger, snapshots, peers } = this.options;
-    const kept = await settle(snapshots.load());
+    const fromLog = await settle(snapshots.load());
     const fromPeer = await settle(peers.fetchNewest());
-    const best = highest(kept.value, fromPeer.value);
-    if (!best && kept.error) throw kept.error;
+    const best = newerOf(fromLog.value, fromPeer.value);
+    if (!best && fromLog.error) throw fromLog.error;
     if (best) {
       fold.restore(best.state);
       this.from = best.covered;
@@ -151,7 +164,7 @@
     this.failure = err;
     this.options.metrics.count("log_follow_failed");
     this.options.logger.error("state.lost", { error: describeError(err) });
-    this.moved.notify();
+    this.changed.notify();
   }
 }
 
@@ -168,7 +181,7 @@
   }
 };
 
-const highest = (
+const newerOf = (
   a: Snapshot | undefined,
   b: Snapshot | undefined,
 ): Snapshot | undefined => {
@@ -176,5 +189,5 @@
   return a.covered >= b.covered ? a : b;
 };
 
-const isFinal = (err: unknown): boolean =>
+const isPermanent = (err: unknown): boolean =>
   err instanceof HistoryLostError || err instanceof UnreadableEntryError;
--- a/packages/state/src/UnitFold.ts
+++ b/packages/state/src/UnitFold.ts
@@ -1,4 +1,7 @@
-/** Which attempt of each unit holds it: the owner of "runs in one place only". */
+/**
+ * State of all units and the records that change it. A unit has at most one claim
+ * at a time, so that it runs in one place only.
+ */
 
 import {
   addResources,
@@ -18,11 +21,14 @@
 import type { RecordOf, RejectReason } from "./records.js";
 import type { FinishKind, Unit, UnitSpec } from "./units.js";
 
-/** Finished jobs that can still be asked after; older ones are forgotten. */
+/**
+ * Maximum number of finished jobs whose state can still be queried; the
+ * oldest are dropped first.
+ */
 export const MAX_FINISHED_JOBS = 20_000;
 
-/** A host up to a generation. */
-interface HostAt {
+/** A host and the highest generation to which the entry applies. */
+interface HostWithGeneration {
   readonly host: HostId;
   readonly generation: HostGeneration;
 }
@@ -30,11 +36,11 @@
 export interface UnitSnapshot {
   readonly units: readonly Unit[];
   readonly finished: readonly Unit[];
-  readonly endedHosts: readonly HostAt[];
-  readonly drainingHosts: readonly HostAt[];
+  readonly endedHosts: readonly HostWithGeneration[];
+  readonly drainingHosts: readonly HostWithGeneration[];
 }
 
-/** Nothing when the record was taken. */
+/** Why a record was rejected; undefined stands for an accepted record. */
 export type Rejection = {
   readonly reason: RejectReason;
   readonly detail: string;
@@ -67,12 +73,12 @@
     return this.units.values();
   }
 
-  /** Units whose next attempt nobody holds. */
+  /** Units whose current attempt is not claimed. */
   openUnits(): readonly Unit[] {
     return [...this.openIds].map((id) => this.units.get(id) as Unit);
   }
 
-  /** Hosts that hold at least one attempt. */
+  /** Hosts with a claim on at least one attempt. */
   claimingHosts(): readonly HostId[] {
     return [...this.idsByHost.keys()];
   }
@@ -87,7 +93,7 @@
     return this.units.size;
   }
 
-  /** All finished jobs that are still kept, oldest first. */
+  /** Finished jobs that are still stored, oldest first. */
   finishedUnits(): readonly Unit[] {
     return [...this.finishedJobs].map(([, unit]) => unit);
   }
@@ -96,12 +102,12 @@
     return (this.teamUse.get(team) ?? NO_USE).resources;
   }
 
-  /** The highest generation of the host that is certified as ended; -1 for none. */
+  /** The highest generation of the host that is certified to have ended; -1 for none. */
   endedGeneration(host: HostId): number {
     return this.endedHosts.get(host) ?? -1;
   }
 
-  /** Creates the unit, or gives it a new spec for its next attempt. */
+  /** Creates the unit, or updates the spec that its next attempt uses. */
   upsert(id: UnitId, spec: UnitSpec, at: Sequence): void {
     const unit = this.units.get(id);
     if (!unit) {
@@ -112,7 +118,10 @@
     this.put({ ...unit, spec, specVersion: at, wanted: true });
   }
 
-  /** The unit is not to run any more. */
+  /**
+   * Marks the unit as no longer wanted. It finishes at once, or when
+   * its claimed attempt ends.
+   */
   retire(id: UnitId): void {
     const unit = this.units.get(id);
     if (!unit) return;
@@ -180,7 +189,7 @@
       const detail = `attempt ${unit.attempt} is ${unit.phase}`;
       return { reason: "not-current", detail };
     }
-    this.free(unit, record.end, record.detail, record.checkpoint);
+    this.endAttempt(unit, record.end, record.detail, record.checkpoint);
     return undefined;
   }
 
@@ -194,12 +203,12 @@
     this.endedHosts.set(host, generation);
     for (const unit of this.claimedBy(host)) {
       if (unit.claim && unit.claim.generation > generation) continue;
-      this.free(unit, "lost", `host ${host} ended`, undefined);
+      this.endAttempt(unit, "lost", `host ${host} ended`, undefined);
     }
     return undefined;
   }
 
-  /** The highest generation of the host that is to leave; -1 for none. */
+  /** The highest generation of the host that is draining; -1 for none. */
   drainingGeneration(host: HostId): number {
     return this.drainingHosts.get(host) ?? -1;
   }
@@ -235,8 +244,8 @@
     }
   }
 
-  /** Ends the current attempt, and opens the next one where there is to be one. */
-  private free(
+  /** Ends the current attempt, then finishes the unit or opens its next attempt. */
+  private endAttempt(
     unit: Unit,
     end: EndKind,
     detail: string | undefined,
@@ -298,7 +307,7 @@
 
   private addUse(unit: Unit): void {
     const use = this.teamUse.get(unit.spec.team) ?? NO_USE;
-    const resources = addResources(use.resources, heldBy(unit));
+    const resources = addResources(use.resources, claimedResources(unit));
     this.teamUse.set(unit.spec.team, {
       resources,
       jobs: use.jobs + jobCount(unit),
@@ -307,7 +316,7 @@
 
   private removeUse(unit: Unit): void {
     const use = this.teamUse.get(unit.spec.team) ?? NO_USE;
-    const resources = subtractResources(use.resources, heldBy(unit));
+    const resources = subtractResources(use.resources, claimedResources(unit));
     this.teamUse.set(unit.spec.team, {
       resources,
       jobs: use.jobs - jobCount(unit),
@@ -315,10 +324,12 @@
   }
 }
 
-const toList = (hosts: ReadonlyMap<HostId, HostGeneration>): HostAt[] =>
+const toList = (
+  hosts: ReadonlyMap<HostId, HostGeneration>,
+): HostWithGeneration[] =>
   [...hosts].map(([host, generation]) => ({ host, generation }));
 
-const heldBy = (unit: Unit): Resources =>
+const claimedResources = (unit: Unit): Resources =>
   unit.phase === "claimed" ? unit.spec.resources : NO_RESOURCES;
 
 const jobCount = (unit: Unit): number => (unit.spec.kind === "job" ? 1 : 0);
--- a/packages/state/src/snapshots.ts
+++ b/packages/state/src/snapshots.ts
@@ -1,4 +1,4 @@
-/** Snapshots of the fold, kept on a stream of their own in bounded parts. */
+/** Snapshots of the fold, stored on a separate stream in parts of bounded size. */
 
 import { createHash } from "node:crypto";
 import { deflateSync, inflateSync } from "node:zlib";
@@ -22,7 +22,7 @@
 const SNAPSHOT_VERSION = 1;
 const PART_BYTES = 256 * 1024;
 
-/** State of the fold after all entries below `covered`. */
+/** State of the fold after applying all entries below offset `covered`. */
 export interface Snapshot {
   readonly covered: Offset;
   readonly state: FoldSnapshot;
@@ -44,13 +44,13 @@
 const digestOf = (bytes: Uint8Array): string =>
   createHash("sha256").update(bytes).digest("base64");
 
-/** Bytes of a snapshot, as peers hand them to each other. */
+/** Encodes a snapshot for storage and for the transfer between peers. */
 export const encodeSnapshot = ({ covered, state }: Snapshot): Buffer =>
   deflateSync(
     encode({ v: SNAPSHOT_VERSION, covered, state }, { ignoreUndefined: true }),
   );
 
-const packedSchema = z.object({
+const snapshotSchema = z.object({
   v: z.literal(SNAPSHOT_VERSION),
   covered: countSchema<Offset>(),
   state: z.custom<FoldSnapshot>((value) => typeof value === "object"),
@@ -58,7 +58,7 @@
 
 /** @throws when the bytes are not a snapshot of this version */
 export const decodeSnapshot = (bytes: Uint8Array): Snapshot =>
-  packedSchema.parse(decode(inflateSync(bytes)));
+  snapshotSchema.parse(decode(inflateSync(bytes)));
 
 const encodePart = (part: Part): Buffer => Buffer.from(encode(part));
 
@@ -73,14 +73,15 @@
 export class SnapshotStore {
   private position = offset(0);
   private newestCovered = -1;
-  /** Parts of snapshots that are not whole yet, or are the newest. */
+  /** Parts by snapshot id, of incomplete snapshots and of the newest complete one. */
   private readonly partsById = new Map<string, Part[]>();
 
   constructor(private readonly log: LogService) {}
 
   /**
    * Appends the snapshot part by part.
-   * @throws LogUnavailableError or LogAnswerLostError; a snapshot that is not whole is never used
+   * @throws LogUnavailableError or LogAnswerLostError; an incomplete
+   *   snapshot is never used
    */
   async write(snapshot: Snapshot): Promise<void> {
     const bytes = encodeSnapshot(snapshot);
@@ -104,15 +105,15 @@
     }
   }
 
-  /** Offset that the newest whole snapshot covers; -1 for none. */
+  /** Offset that the newest complete snapshot covers; -1 for none. */
   async newestCoveredOffset(): Promise<number> {
-    await this.readOn();
+    await this.readNewParts();
     return this.newestCovered;
   }
 
   /** @throws LogUnavailableError */
   async load(): Promise<Snapshot | undefined> {
-    await this.readOn();
+    await this.readNewParts();
     for (const parts of this.partsById.values()) {
       if (parts[0]?.covered !== this.newestCovered) continue;
       const bytes = joinParts(parts);
@@ -121,7 +122,7 @@
     return undefined;
   }
 
-  private async readOn(): Promise<void> {
+  private async readNewParts(): Promise<void> {
     for (;;) {
       const page = await this.readPage();
       if (page.entries.length === 0) return;
@@ -156,7 +157,7 @@
   }
 }
 
-/** The whole bytes, or nothing while parts are missing or damaged. */
+/** Joins the parts of a snapshot; undefined while parts are missing or damaged. */
 const joinParts = (parts: readonly Part[]): Buffer | undefined => {
   const expected = (parts[0] as Part).parts;
   if (parts.length < expected) return undefined;
--- a/packages/state/tests/appender.test.ts
+++ b/packages/state/tests/appender.test.ts
@@ -31,12 +31,12 @@
   type Snapshot,
 } from "@rackspan/state";
 
-type Answer = "kept" | "down" | "lost" | "lost-and-dropped";
+type AppendAnswer = "kept" | "down" | "lost" | "lost-and-dropped";
 
-/** A log in memory whose answers the test chooses, one by one. */
+/** A log in memory whose answer to each append is set by the test. */
 class FakeLog implements LogService {
   readonly streams = new Map<string, { oldest: number; entries: Buffer[] }>();
-  answers: Answer[] = [];
+  answers: AppendAnswer[] = [];
   readsDown = false;
   appends = 0;
 
@@ -57,7 +57,8 @@
     const page = entries
       .slice(from - oldest)
       .map((data, index) => ({ offset: offset(from + index), data }));
-    // A read of an empty tail waits in the real log; a turn of the loop will do.
+    // In the real log, a read of an empty tail waits; here one turn of
+    // the event loop is enough.
     await new Promise((resolve) => setImmediate(resolve));
     return {
       entries: page,
@@ -66,7 +67,7 @@
     };
   }
 
-  cut(name: string, oldest: number): void {
+  truncate(name: string, oldest: number): void {
     const stream = this.stream(name);
     stream.entries.splice(0, oldest - stream.oldest);
     stream.oldest = oldest;
@@ -91,7 +92,7 @@
 
 const running = new Set<AbortController>();
 
-/** A failed test must not leave tasks that keep the runner waiting. */
+/** A failed test must not leave tasks running that keep the test runner from exiting. */
 afterEach(() => {
   for (const stop of running) stop.abort();
   running.clear();
@@ -126,8 +127,8 @@
     void follower.run(stop.signal);
     void appender.run(stop.signal);
   };
-  /** Moves time on in small steps, so that both tasks take their turns. */
-  const pass = async (ms: number): Promise<void> => {
+  /** Advances the clock in small steps, so that both tasks can run. */
+  const advance = async (ms: number): Promise<void> => {
     for (let at = 0; at < ms; at += 20) await clock.advance(20);
   };
   return {
@@ -135,7 +136,7 @@
     appender,
     follower,
     start,
-    pass,
+    advance,
     stop: () => stop.abort(),
   };
 };
@@ -143,17 +144,19 @@
 const settled = async <T>(promise: Promise<T>): Promise<T | Error> =>
   promise.catch((err: Error) => err);
 
-test("records that wait together go in one append, and each learns the fold's verdict", async () => {
+test("queued records are sent in one append, and each caller receives the result of its record", async () => {
   const log = new FakeLog();
   const process = createProcess(log);
-  const verdicts = ["a", "b", "a"].map((name) =>
+  const results = ["a", "b", "a"].map((name) =>
     process.appender.submit(submit(name), 5_000),
   );
   process.start();
-  await process.pass(200);
-  expect((await Promise.all(verdicts)).map(({ accepted }) => accepted)).toEqual(
-    [true, true, false],
-  );
+  await process.advance(200);
+  expect((await Promise.all(results)).map(({ accepted }) => accepted)).toEqual([
+    true,
+    true,
+    false,
+  ]);
   expect(log.appends).toEqual(1);
   process.stop();
 });
@@ -164,25 +167,25 @@
     log.answers = [lost, "lost"];
     const process = createProcess(log);
     process.start();
-    const verdict = settled(process.appender.submit(submit("a"), 60_000));
-    await process.pass(10_000);
-    expect(await verdict).toLooseEqual({ accepted: true, sequence: 1 });
+    const result = settled(process.appender.submit(submit("a"), 60_000));
+    await process.advance(10_000);
+    expect(await result).toLooseEqual({ accepted: true, sequence: 1 });
     expect(Number(process.fold.sequence)).toEqual(1);
     process.stop();
   });
 }
 
-test("while the log is down a record is refused as not appended, and never appears later", async () => {
+test("while the log is down, a record is refused as not appended and never appears later", async () => {
   const log = new FakeLog();
-  log.answers = Array<Answer>(30).fill("down");
+  log.answers = Array<AppendAnswer>(30).fill("down");
   const process = createProcess(log);
   process.start();
   const refused = settled(process.appender.submit(submit("a"), 1_000));
-  await process.pass(1_500);
+  await process.advance(1_500);
   expect(await refused).toBeA(AppendRefusedError);
   log.answers = [];
   const next = settled(process.appender.submit(submit("b"), 60_000));
-  await process.pass(20_000);
+  await process.advance(20_000);
   expect(await next).toLooseEqual({ accepted: true, sequence: 1 });
   expect(
     [...process.fold.units.unfinishedUnits()].map(({ id }) => String(id)),
@@ -190,23 +193,23 @@
   process.stop();
 });
 
-test("a record that was refused does not land with others of its batch", async () => {
+test("a refused record is not appended with the others of its batch", async () => {
   const log = new FakeLog();
-  log.answers = Array<Answer>(6).fill("down");
+  log.answers = Array<AppendAnswer>(6).fill("down");
   const process = createProcess(log);
-  const impatient = settled(process.appender.submit(submit("a"), 300));
-  const patient = settled(process.appender.submit(submit("b"), 60_000));
+  const shortTimeout = settled(process.appender.submit(submit("a"), 300));
+  const longTimeout = settled(process.appender.submit(submit("b"), 60_000));
   process.start();
-  await process.pass(30_000);
-  expect(await impatient).toBeA(AppendRefusedError);
-  expect(await patient).toLooseEqual({ accepted: true, sequence: 1 });
+  await process.advance(30_000);
+  expect(await shortTimeout).toBeA(AppendRefusedError);
+  expect(await longTimeout).toLooseEqual({ accepted: true, sequence: 1 });
   expect(
     [...process.fold.units.unfinishedUnits()].map(({ id }) => String(id)),
   ).toEqual(["job/b"]);
   process.stop();
 });
 
-test("a record that expires while its append is under way is not called refused", async () => {
+test("a record that expires while its append is in progress is not reported as refused", async () => {
   const log = new FakeLog();
   let release: () => void = () => undefined;
   const held = new Promise<void>((resolve) => (release = resolve));
@@ -218,26 +221,26 @@
   const process = createProcess(log);
   process.start();
   const unknown = settled(process.appender.submit(submit("a"), 500));
-  await process.pass(1_000);
+  await process.advance(1_000);
   expect(await unknown).toBeA(AppendUnknownError);
   release();
-  await process.pass(500);
+  await process.advance(500);
   expect(process.fold.units.unfinishedCount).toEqual(1);
   process.stop();
 });
 
-test("a record that may have landed is never called refused", async () => {
+test("a record that may have been appended is never reported as refused", async () => {
   const log = new FakeLog();
   log.answers = ["lost"];
   const process = createProcess(log);
   process.start();
-  await process.pass(100);
+  await process.advance(100);
   log.readsDown = true;
   const unknown = settled(process.appender.submit(submit("a"), 500));
-  await process.pass(2_000);
+  await process.advance(2_000);
   expect(await unknown).toBeA(AppendUnknownError);
   log.readsDown = false;
-  await process.pass(5_000);
+  await process.advance(5_000);
   expect(process.fold.units.unfinishedCount).toEqual(1);
   process.stop();
 });
@@ -251,11 +254,9 @@
     AppendRefusedError,
   );
   process.start();
-  await process.pass(200);
+  await process.advance(200);
   expect(
-    (await Promise.all(waiting)).every(
-      (verdict) => !(verdict instanceof Error),
-    ),
+    (await Promise.all(waiting)).every((result) => !(result instanceof Error)),
   ).toEqual(true);
   process.stop();
 });
@@ -263,9 +264,9 @@
 const withSnapshot = async (log: FakeLog) => {
   const first = createProcess(log);
   first.start();
-  const verdict = first.appender.submit(submit("old"), 5_000);
-  await first.pass(300);
-  await verdict;
+  const result = first.appender.submit(submit("old"), 5_000);
+  await first.advance(300);
+  await result;
   const snapshot = {
     covered: first.follower.position,
     state: first.fold.toSnapshot(),
@@ -279,10 +280,10 @@
   const snapshot = await withSnapshot(log);
   const store = new SnapshotStore(log);
   await store.write(snapshot);
-  log.cut("records", 1);
+  log.truncate("records", 1);
   const second = createProcess(log);
   second.start();
-  await second.pass(300);
+  await second.advance(300);
   expect(second.follower.fault).toEqual(undefined);
   expect(
     [...second.fold.units.unfinishedUnits()].map(({ id }) => String(id)),
@@ -290,17 +291,17 @@
   second.stop();
 });
 
-test("without a snapshot a peer's state will do, and the higher offset wins", async () => {
+test("a peer's snapshot is used when it has a higher offset than the log's", async () => {
   const log = new FakeLog();
   const snapshot = await withSnapshot(log);
   await new SnapshotStore(log).write({
     covered: offset(0),
     state: new Fold().toSnapshot(),
   });
-  log.cut("records", 1);
+  log.truncate("records", 1);
   const second = createProcess(log, () => snapshot);
   second.start();
-  await second.pass(300);
+  await second.advance(300);
   expect([
     Number(second.follower.position),
     second.fold.units.unfinishedCount,
@@ -308,13 +309,13 @@
   second.stop();
 });
 
-test("where the past is gone the process says so and does not start empty", async () => {
+test("a process whose history is lost reports a fault and does not start empty", async () => {
   const log = new FakeLog();
   await withSnapshot(log);
-  log.cut("records", 1);
+  log.truncate("records", 1);
   const second = createProcess(log);
   second.start();
-  await second.pass(300);
+  await second.advance(300);
   expect(second.follower.fault).toBeA(HistoryLostError);
   expect(second.follower.caughtUp).toEqual(false);
   second.stop();
--- a/packages/state/tests/followerBehind.test.ts
+++ b/packages/state/tests/followerBehind.test.ts
@@ -14,8 +14,8 @@
 const TOPIC = brand<TopicName>("progress");
 const RECORDS = 7;
 
-// The store answers a read with a megabyte at most.
-test("a follower is up to date once it has read all that the store holds, not one answer of it", async () => {
+// The store returns at most one megabyte per read.
+test("a follower is up to date once it has read all records of the store, not only one page", async () => {
   const clock = new ManualClock();
   const memory = new MemoryStore(clock);
   memory.maxReadRecords = 2;
@@ -41,17 +41,17 @@
       timeoutMs: 100,
     });
   }
-  let knownThen: number | undefined;
-  void follower.catchUp().then(() => (knownThen = known.length));
+  let knownAtCatchUp: number | undefined;
+  void follower.catchUp().then(() => (knownAtCatchUp = known.length));
   await clock.advance(1_000);
-  expect(knownThen).toEqual(RECORDS);
+  expect(knownAtCatchUp).toEqual(RECORDS);
   const stopped = follower.stop();
   await clock.advance(2_000);
   await stopped;
 });
 
-/** A store that is asked for all keys, and turns the asker away. */
-const turnsAway = (clock: ManualClock) => {
+/** A store that refuses to return the newest record of each key. */
+const createRefusingStore = (clock: ManualClock) => {
   let calls = 0;
   const readNewest = async (): Promise<never> => {
     calls += 1;
@@ -62,10 +62,12 @@
   return { store, calls: () => calls };
 };
 
-// The wish for a fresh view ends a poll; a refused reading of all keys is no such end.
-test("a follower that is turned away pauses, also while somebody waits for its view", async () => {
+// A caller that waits for an up-to-date view aborts the current poll. A
+// refused load of all keys must not be treated as such an abort, or the
+// follower would retry without a pause.
+test("a follower that is refused pauses, even while a caller waits for its view", async () => {
   const clock = new ManualClock();
-  const { store, calls } = turnsAway(clock);
+  const { store, calls } = createRefusingStore(clock);
   const follower = new TopicFollower({
     topic: TOPIC,
     store,
--- a/packages/state/tests/slowStore.test.ts
+++ b/packages/state/tests/slowStore.test.ts
@@ -1,4 +1,7 @@
-/** Appends to a slow store are not given up and repeated while it carries them out. */
+/**
+ * Appends to a slow store must not time out and be repeated while
+ * the store carries them out.
+ */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -9,13 +12,16 @@
 
 const RECORDS = 10;
 
-/** Takes appends in turn, each in `appendMs`, also those whose callers gave up. */
+/**
+ * Processes appends one by one, each in `appendMs`, including those
+ * whose callers timed out.
+ */
 class SlowStore {
   appendMs = 360;
   carriedOut = 0;
-  /** The time that each append was given, in order. */
+  /** Time-out of each append, in order. */
   readonly timeouts: number[] = [];
-  private turn: Promise<unknown> = Promise.resolve();
+  private lastAppend: Promise<unknown> = Promise.resolve();
 
   constructor(
     private readonly clock: ManualClock,
@@ -24,17 +30,17 @@
 
   append = (req: AppendRequest): Promise<number> => {
     this.timeouts.push(req.timeoutMs);
-    const answer = this.turn.then(async () => {
+    const answer = this.lastAppend.then(async () => {
       await sleep(this.clock, this.appendMs);
       this.carriedOut += 1;
       return this.store.append(req);
     });
-    this.turn = answer.catch(() => undefined);
-    const gaveUp = sleep(this.clock, req.timeoutMs).then(() => {
+    this.lastAppend = answer.catch(() => undefined);
+    const timedOut = sleep(this.clock, req.timeoutMs).then(() => {
       throw new StoreAnswerLostError("no answer in time");
     });
-    gaveUp.catch(() => undefined);
-    return Promise.race([answer, gaveUp]);
+    timedOut.catch(() => undefined);
+    return Promise.race([answer, timedOut]);
   };
 }
 
@@ -52,10 +58,10 @@
     batchWindowMs: 0,
     retriesRefusedBatches: true,
   });
-  /** Writes one record after the other; @returns milliseconds taken. */
+  /** Writes the records one after the other; @returns milliseconds taken. */
   const writeAll = async (count: number): Promise<number> => {
-    const began = clock.monotonic();
-    let endedAt = began;
+    const startedAt = clock.monotonic();
+    let endedAt = startedAt;
     let isDone = false;
     const all = (async () => {
       for (let n = 0; n < count; n += 1) {
@@ -66,12 +72,12 @@
     })();
     while (!isDone) await clock.advance(10);
     await all;
-    return endedAt - began;
+    return endedAt - startedAt;
   };
   return { memory, store, writeAll };
 };
 
-test("a slow store is sent each batch but the first once", async () => {
+test("each batch after the first is sent to a slow store once", async () => {
   const { memory, store, writeAll } = setUp();
   const tookMs = await writeAll(RECORDS);
   expect(store.carriedOut <= RECORDS + 1).toEqual(true);
@@ -79,7 +85,7 @@
   expect(memory.recordsOf(TOPICS.jobs).length).toEqual(RECORDS);
 });
 
-test("a store that is quick again is given the usual time from the second batch on", async () => {
+test("a store that has become fast again gets the usual time-out from the second batch on", async () => {
   const { store, writeAll } = setUp();
   const usualMs = 300;
   await writeAll(3);
