--- a/packages/jobs/src/ClaimReconciler.ts
+++ b/packages/jobs/src/ClaimReconciler.ts
@@ -43,30 +43,30 @@
 
 export class ClaimReconciler {
   /** How long each report has waited for somebody to act on it. */
-  private readonly pendingFor: PresenceTracker<string>;
-  private readonly busy = new Set<string>();
+  private readonly presence: PresenceTracker<string>;
+  private readonly inProgress = new Set<string>();
 
   constructor(private readonly options: ClaimReconcilerOptions) {
-    this.pendingFor = new PresenceTracker(options.clock);
+    this.presence = new PresenceTracker(options.clock);
   }
 
   /** Looks at every host once; called whenever something changed. */
   sweep(): void {
-    const seen = new Set<string>();
+    const pending = new Set<string>();
     for (const view of this.options.hosts.views()) {
-      if (view.ready) this.sweepHost(view, seen);
+      if (view.ready) this.reconcileHost(view, pending);
     }
-    this.pendingFor.retainOnly(seen);
+    this.presence.retainOnly(pending);
   }
 
-  private sweepHost(view: HostView, seen: Set<string>): void {
+  private reconcileHost(view: HostView, pending: Set<string>): void {
     const control = this.options.hosts.control(view.host);
     if (!control) return;
     const reported = new Map(view.tasks.map((status) => [status.task, status]));
     for (const status of view.tasks)
-      this.checkTask(status, view, control, seen);
+      this.checkTask(status, view, control, pending);
     for (const unit of this.options.fold.units.claimedBy(view.host)) {
-      this.checkClaim(unit, view, control, reported, seen);
+      this.checkClaim(unit, view, control, reported, pending);
     }
   }
 
@@ -75,29 +75,29 @@
     status: TaskStatus,
     view: HostView,
     control: HostControl,
-    seen: Set<string>,
+    pending: Set<string>,
   ): void {
     const { fold } = this.options;
     // A fold that has not seen the claim yet knows nothing about the task.
     if (fold.sequence < status.fencingToken) return;
     const unit = fold.units.get(status.unit);
-    const current =
+    const isCurrent =
       unit?.phase === "claimed" &&
       unit.attempt === status.attempt &&
       unit.claim?.host === view.host;
     if (status.state === "ended") {
-      if (current)
-        this.act(`end ${status.task}`, seen, () =>
+      if (isCurrent)
+        this.runAction(`end ${status.task}`, pending, () =>
           this.recordEnd(status, view.host),
         );
       else
-        this.act(`ack ${status.task}`, seen, () =>
+        this.runAction(`ack ${status.task}`, pending, () =>
           control.acknowledge([status.task]),
         );
       return;
     }
-    if (!current && status.state !== "stopping") {
-      this.act(`stop ${status.task}`, seen, () =>
+    if (!isCurrent && status.state !== "stopping") {
+      this.runAction(`stop ${status.task}`, pending, () =>
         control.stop(status.task, false),
       );
     }
@@ -109,19 +109,21 @@
     view: HostView,
     control: HostControl,
     reported: ReadonlyMap<TaskId, TaskStatus>,
-    seen: Set<string>,
+    pending: Set<string>,
   ): void {
     const task = taskIdOf(unit.id, unit.attempt);
     const status = reported.get(task);
     if (!status) {
-      this.freeIfNeverStarted(unit, task, view, control, seen);
+      this.freeIfNeverStarted(unit, task, view, control, pending);
       return;
     }
     if (status.state !== "running") return;
     if (!unit.wanted)
-      this.act(`stop ${task}`, seen, () => control.stop(task, false));
+      this.runAction(`stop ${task}`, pending, () => control.stop(task, false));
     else if (this.mayReplace(unit)) {
-      this.act(`replace ${task}`, seen, () => control.stop(task, true));
+      this.runAction(`replace ${task}`, pending, () =>
+        control.stop(task, true),
+      );
     }
   }
 
@@ -136,13 +138,13 @@
     task: TaskId,
     view: HostView,
     control: HostControl,
-    seen: Set<string>,
+    pending: Set<string>,
   ): void {
     if (unit.claim?.generation !== view.generation) return;
     const name = `never ${task}`;
-    seen.add(name);
-    if (this.pendingFor.observe(name) < this.options.notStartedMs) return;
-    this.act(name, seen, async () => {
+    pending.add(name);
+    if (this.presence.observe(name) < this.options.notStartedMs) return;
+    this.runAction(name, pending, async () => {
       if ((await control.fenceTask(task)) === "held") return;
       const { id, attempt } = unit;
       const end = {
@@ -172,17 +174,16 @@
   }
 
   /** Does it when it is this entry's turn, once at a time. */
-  private act(
+  private runAction(
     name: string,
-    seen: Set<string>,
+    pending: Set<string>,
     action: () => Promise<void>,
   ): void {
     const { ownership, takeoverMs, logger } = this.options;
-    seen.add(name);
-    if (this.busy.has(name)) return;
-    if (this.pendingFor.observe(name) < ownership.rank(name) * takeoverMs)
-      return;
-    this.busy.add(name);
+    pending.add(name);
+    if (this.inProgress.has(name)) return;
+    if (this.presence.observe(name) < ownership.rank(name) * takeoverMs) return;
+    this.inProgress.add(name);
     action()
       .catch((err: unknown) =>
         logger.warn("claim.action-failed", {
@@ -190,6 +191,6 @@
           error: describeError(err),
         }),
       )
-      .finally(() => this.busy.delete(name));
+      .finally(() => this.inProgress.delete(name));
   }
 }
--- a/packages/jobs/src/CrashLog.ts
+++ b/packages/jobs/src/CrashLog.ts
@@ -42,7 +42,7 @@
  * All announcements without an order together: changes of leader alone must not give a
  * task up that only shared its workers with one that crashes them.
  */
-const MOST_UNKNOWN_POINTS = 2;
+const MAX_UNKNOWN_POINTS = 2;
 
 export const CRASH_LIMITS = {
   /** A task with this much against it is announced to the store before it starts, and starts apart. */
@@ -75,7 +75,7 @@
 } as const;
 
 /** Whether the worker is known to have crashed under the run, or only to have crashed. */
-const CRASH_OF: Readonly<
+const CRASH_KIND: Readonly<
   Record<CrashEvidence, "under-run" | "of-worker" | "none">
 > = {
   sole: "under-run",
@@ -90,7 +90,7 @@
 };
 
 /** Evidence of runs that had just begun. */
-const AT_START: ReadonlySet<CrashEvidence> = new Set([
+const EVIDENCE_AT_START: ReadonlySet<CrashEvidence> = new Set([
   "sole",
   "doubted",
   "unanswered",
@@ -99,7 +99,7 @@
 
 export class CrashLog {
   /** By run. */
-  private readonly runs = new Map<number, CrashEvidence>();
+  private readonly evidenceByRun = new Map<number, CrashEvidence>();
 
   /** @param entries what was kept of a log before */
   constructor(entries: Iterable<readonly [number, CrashEvidence]> = []) {
@@ -107,28 +107,28 @@
   }
 
   record(run: number, evidence: CrashEvidence): void {
-    this.runs.set(run, evidence);
+    this.evidenceByRun.set(run, evidence);
   }
 
   /** @returns whether anything was known of the run */
   remove(run: number): boolean {
-    return this.runs.delete(run);
+    return this.evidenceByRun.delete(run);
   }
 
   evidenceOf(run: number): CrashEvidence | undefined {
-    return this.runs.get(run);
+    return this.evidenceByRun.get(run);
   }
 
   clear(): void {
-    this.runs.clear();
+    this.evidenceByRun.clear();
   }
 
   get isEmpty(): boolean {
-    return this.runs.size === 0;
+    return this.evidenceByRun.size === 0;
   }
 
   get entries(): [number, CrashEvidence][] {
-    return [...this.runs];
+    return [...this.evidenceByRun];
   }
 
   get points(): number {
@@ -136,13 +136,14 @@
     const others = this.evidence.filter((one) => one !== "unknown");
     return others.reduce(
       (sum, one) => sum + POINTS[one],
-      Math.min(MOST_UNKNOWN_POINTS, unknown * POINTS.unknown),
+      Math.min(MAX_UNKNOWN_POINTS, unknown * POINTS.unknown),
     );
   }
 
   /** How many workers are known to have crashed under the task. */
   get crashCount(): number {
-    return this.evidence.filter((one) => CRASH_OF[one] === "under-run").length;
+    return this.evidence.filter((one) => CRASH_KIND[one] === "under-run")
+      .length;
   }
 
   /** Whether the task is to be announced before it starts again. */
@@ -152,7 +153,7 @@
 
   /** Whether no run of it is known to have crashed its worker just after its start. */
   get hasNoCrashAtStart(): boolean {
-    return !this.evidence.some((one) => AT_START.has(one));
+    return !this.evidence.some((one) => EVIDENCE_AT_START.has(one));
   }
 
   /** Whether the task is to be started no more. */
@@ -162,15 +163,15 @@
     if (isProven && this.crashCount >= provenCrashes) return true;
     if (this.lostWorkers < provenCrashes) return false;
     if (this.points < unprovenPoints) return false;
-    return this.crashCount > 0 || this.hasLostMany;
+    return this.crashCount > 0 || this.hasLostEnoughRuns;
   }
 
   /** Without announcements: each change of leader may leave one that was never ordered. */
-  private get hasLostMany(): boolean {
+  private get hasLostEnoughRuns(): boolean {
     const lost = this.evidence.filter((one) => one !== "unknown");
-    const begun = lost.filter((one) => one !== "unseen" && one !== "lost");
+    const started = lost.filter((one) => one !== "unseen" && one !== "lost");
     return (
-      begun.length >= CRASH_LIMITS.minStartedRuns ||
+      started.length >= CRASH_LIMITS.minStartedRuns ||
       lost.length >= CRASH_LIMITS.minLostRuns
     );
   }
@@ -180,17 +181,17 @@
    * that only fell silent are no reason to give a task up: their workers may go on.
    */
   private get lostWorkers(): number {
-    return this.evidence.filter((one) => CRASH_OF[one] !== "none").length;
+    return this.evidence.filter((one) => CRASH_KIND[one] !== "none").length;
   }
 
   private get evidence(): CrashEvidence[] {
-    return [...this.runs.values()];
+    return [...this.evidenceByRun.values()];
   }
 
   /** For how long the next run is to begin apart from others, milliseconds; 0 for not at all. */
   get isolationMs(): number {
     if (!this.isSuspect) return 0;
-    return this.runs.size > 1
+    return this.evidenceByRun.size > 1
       ? CRASH_LIMITS.longIsolationMs
       : CRASH_LIMITS.isolationMs;
   }
--- a/packages/jobs/src/HostCertifier.ts
+++ b/packages/jobs/src/HostCertifier.ts
@@ -30,11 +30,11 @@
 }
 
 export class HostCertifier {
-  private readonly goneFor: PresenceTracker<string>;
-  private readonly busy = new Set<HostId>();
+  private readonly goneHosts: PresenceTracker<string>;
+  private readonly inProgress = new Set<HostId>();
 
   constructor(private readonly options: HostCertifierOptions) {
-    this.goneFor = new PresenceTracker(options.clock);
+    this.goneHosts = new PresenceTracker(options.clock);
   }
 
   /** @param listed the host list as it was just read */
@@ -48,10 +48,10 @@
       if (ended === undefined) continue;
       const name = `${host}@${ended}`;
       gone.add(name);
-      if (this.goneFor.observe(name) < this.waitMs(name)) continue;
+      if (this.goneHosts.observe(name) < this.waitMs(name)) continue;
       this.certify(host, ended);
     }
-    this.goneFor.retainOnly(gone);
+    this.goneHosts.retainOnly(gone);
   }
 
   private waitMs(name: string): number {
@@ -76,8 +76,8 @@
 
   private certify(host: HostId, generation: HostGeneration): void {
     const { appender, logger, metrics, appendTimeoutMs } = this.options;
-    if (this.busy.has(host)) return;
-    this.busy.add(host);
+    if (this.inProgress.has(host)) return;
+    this.inProgress.add(host);
     const record = {
       type: "hostEnded",
       host,
@@ -91,6 +91,6 @@
       .catch((err: unknown) =>
         logger.warn("host.certify-failed", { host, error: describeError(err) }),
       )
-      .finally(() => this.busy.delete(host));
+      .finally(() => this.inProgress.delete(host));
   }
 }
--- a/packages/jobs/src/HostDrainer.ts
+++ b/packages/jobs/src/HostDrainer.ts
@@ -21,7 +21,7 @@
 }
 
 export class HostDrainer {
-  private readonly busy = new Set<HostId>();
+  private readonly inProgress = new Set<HostId>();
 
   constructor(private readonly options: HostDrainerOptions) {}
 
@@ -31,7 +31,7 @@
       listed.filter(({ state }) => state === "leaving").map(({ host }) => host),
     );
     for (const view of this.options.hosts.views()) {
-      if (view.leaving || this.busy.has(view.host)) continue;
+      if (view.leaving || this.inProgress.has(view.host)) continue;
       if (leaving.has(view.host) || this.isDraining(view))
         this.drain(view.host);
     }
@@ -43,7 +43,7 @@
 
   private drain(host: HostId): void {
     const { hosts, metrics, logger } = this.options;
-    this.busy.add(host);
+    this.inProgress.add(host);
     metrics.count("hosts_drained");
     hosts
       .control(host)
@@ -51,6 +51,6 @@
       .catch((err: unknown) =>
         logger.warn("host.drain-failed", { host, error: describeError(err) }),
       )
-      .finally(() => this.busy.delete(host));
+      .finally(() => this.inProgress.delete(host));
   }
 }
--- a/packages/jobs/src/HostState.ts
+++ b/packages/jobs/src/HostState.ts
@@ -52,13 +52,10 @@
 }
 
 /** For how long the worker has shown the run, milliseconds of its clock. */
-export const workedMs = ({
-  firstSeenAt: shownFirstAt,
-  lastSeenAt: answeredAt,
-}: ActiveRun): number =>
-  shownFirstAt === undefined || answeredAt === undefined
+export const workedMs = ({ firstSeenAt, lastSeenAt }: ActiveRun): number =>
+  firstSeenAt === undefined || lastSeenAt === undefined
     ? 0
-    : answeredAt - shownFirstAt;
+    : lastSeenAt - firstSeenAt;
 
 /** Whether no other run may begin on its host yet, so that a crash there is this one's. */
 export const isIsolated = (run: ActiveRun): boolean =>
@@ -95,7 +92,7 @@
   accelerators: number;
 }
 
-const NOTHING_TAKEN: AllocatedResources = {
+const NOTHING_ALLOCATED: AllocatedResources = {
   plainMilliCores: 0,
   servingMilliCores: 0,
   fillingMilliCores: 0,
@@ -120,13 +117,13 @@
   reportedAt: WorkerTime | undefined;
   reportReceivedAt: Monotonic = -Infinity;
   /** When every lease granted so far is over for certain. */
-  private grantsOverBy: Monotonic = -Infinity;
+  private grantsExpireBy: Monotonic = -Infinity;
   /** When every lease is over that a start to a former life may bring, carried out late. */
-  private formerStartsOverBy: Monotonic = -Infinity;
+  private previousStartsExpireBy: Monotonic = -Infinity;
   /** When all that its side has sent is over, as the side told; Infinity before it did. */
-  private sentOverBy: Monotonic = Infinity;
+  private sentLeasesExpireBy: Monotonic = Infinity;
   /** When every order to start given so far has lapsed for certain, and its lease is over. */
-  private ordersOverBy: Monotonic = -Infinity;
+  private ordersExpireBy: Monotonic = -Infinity;
   /** No tasks are started there before; set when the worker refuses one. */
   pausedUntil: Monotonic = -Infinity;
   /**
@@ -141,15 +138,15 @@
   /** What its tasks showed in the last report. */
   readings: HostReadings = NO_READINGS;
   private readonly servingCounts = new Map<ImageName, number>();
-  private readonly askedCores = new Map<ImageName, number>();
-  private readonly taken: AllocatedResources = { ...NOTHING_TAKEN };
-  private readonly perStep = new Map<object, number>();
+  private readonly requestedFillingCores = new Map<ImageName, number>();
+  private readonly totals: AllocatedResources = { ...NOTHING_ALLOCATED };
+  private readonly runsPerStep = new Map<object, number>();
   /** Runs that were to begin apart, also those that have. */
-  private readonly apart = new Set<ActiveRun>();
+  private readonly isolatedRuns = new Set<ActiveRun>();
   /** By run. */
-  private readonly strays = new Map<string, OrphanRun>();
+  private readonly orphans = new Map<string, OrphanRun>();
   /** How many of the strays no record tells of. */
-  private unknownStrays = 0;
+  private orphansWithoutRecord = 0;
 
   constructor(
     readonly host: HostId,
@@ -162,18 +159,18 @@
   }
 
   get allocated(): Readonly<AllocatedResources> {
-    return this.taken;
+    return this.totals;
   }
 
   add(run: ActiveRun): void {
     this.runs.set(runKeyOf(runRefOf(run)), run);
-    if (run.isolationMs > 0) this.apart.add(run);
+    if (run.isolationMs > 0) this.isolatedRuns.add(run);
     this.account(run.task, 1);
   }
 
   /** Whether a run there begins apart: no other is to begin beside it. */
   get hasIsolatedRun(): boolean {
-    for (const run of this.apart) if (isIsolated(run)) return true;
+    for (const run of this.isolatedRuns) if (isIsolated(run)) return true;
     return false;
   }
 
@@ -185,7 +182,7 @@
   remove(run: ActiveRun): void {
     if (!this.has(run)) return;
     this.runs.delete(runKeyOf(runRefOf(run)));
-    this.apart.delete(run);
+    this.isolatedRuns.delete(run);
     this.account(run.task, -1);
   }
 
@@ -193,29 +190,28 @@
    * Takes the strays of the newest report in place of those before. A stop takes
    * its time, and workers that do not guard their room would start more beside them.
    */
-  replaceOrphans(strays: readonly OrphanRun[]): void {
-    for (const stray of this.strays.values()) this.accountStray(stray, -1);
-    this.strays.clear();
-    for (const stray of strays) {
-      this.strays.set(runKeyOf(stray.run), stray);
-      this.accountStray(stray, 1);
+  replaceOrphans(orphans: readonly OrphanRun[]): void {
+    for (const orphan of this.orphans.values()) this.accountOrphan(orphan, -1);
+    this.orphans.clear();
+    for (const orphan of orphans) {
+      this.orphans.set(runKeyOf(orphan.run), orphan);
+      this.accountOrphan(orphan, 1);
     }
   }
 
   /** The stray that the newest report listed as this run. */
   orphanOf(run: RunRef): OrphanRun | undefined {
-    return this.strays.get(runKeyOf(run));
+    return this.orphans.get(runKeyOf(run));
   }
 
   /** All runs there that are to stop. */
   get stopping(): readonly StoppingRun[] {
     const stopping: StoppingRun[] = [];
     for (const run of this.runs.values()) {
-      const { stop, lastSeenAt: shownAt } = run;
-      if (stop)
-        stopping.push({ ref: runRefOf(run), stop, lastSeenAt: shownAt });
+      const { stop, lastSeenAt } = run;
+      if (stop) stopping.push({ ref: runRefOf(run), stop, lastSeenAt });
     }
-    for (const { run: ref, stop } of this.strays.values()) {
+    for (const { run: ref, stop } of this.orphans.values()) {
       stopping.push({ ref, stop, lastSeenAt: this.reportedAt });
     }
     return stopping;
@@ -224,38 +220,44 @@
   /** A stray has ended. */
   removeOrphan(run: RunRef): void {
     const key = runKeyOf(run);
-    const stray = this.strays.get(key);
-    if (!stray) return;
-    this.strays.delete(key);
-    this.accountStray(stray, -1);
+    const orphan = this.orphans.get(key);
+    if (!orphan) return;
+    this.orphans.delete(key);
+    this.accountOrphan(orphan, -1);
   }
 
   /** Whether a run of unknown size may take all that the host has. */
   get mayBeFull(): boolean {
-    return this.unknownStrays > 0;
+    return this.orphansWithoutRecord > 0;
   }
 
   /** When nothing runs there any more for certain, unless the host is heard before. */
   get leasesExpireBy(): Monotonic {
-    const unheardOverBy = Math.max(this.grantsOverBy, this.formerStartsOverBy);
-    const leasesOverBy = Math.min(unheardOverBy, this.sentOverBy);
-    return Math.max(leasesOverBy, this.ordersOverBy);
+    const grantedExpireBy = Math.max(
+      this.grantsExpireBy,
+      this.previousStartsExpireBy,
+    );
+    const leasesExpireBy = Math.min(grantedExpireBy, this.sentLeasesExpireBy);
+    return Math.max(leasesExpireBy, this.ordersExpireBy);
   }
 
   /** A lease was granted that is over by then for certain. */
-  recordGrant(overBy: Monotonic): void {
-    this.grantsOverBy = Math.max(this.grantsOverBy, overBy);
+  recordGrant(expiresBy: Monotonic): void {
+    this.grantsExpireBy = Math.max(this.grantsExpireBy, expiresBy);
     this.clearSilence();
   }
 
   /** The worker may carry out a start of a former life, whose lease is over by then. */
-  recordPreviousStarts(overBy: Monotonic): void {
-    this.formerStartsOverBy = Math.max(this.formerStartsOverBy, overBy);
+  recordPreviousStarts(expiresBy: Monotonic): void {
+    this.previousStartsExpireBy = Math.max(
+      this.previousStartsExpireBy,
+      expiresBy,
+    );
   }
 
   /** An order was given whose lease is over by then for certain. */
-  recordOrder(overBy: Monotonic): void {
-    this.ordersOverBy = Math.max(this.ordersOverBy, overBy);
+  recordOrder(expiresBy: Monotonic): void {
+    this.ordersExpireBy = Math.max(this.ordersExpireBy, expiresBy);
   }
 
   /**
@@ -264,19 +266,19 @@
    *
    * @returns by how much sooner nothing runs there any more, milliseconds; negative when later
    */
-  recordSilence(overBy: Monotonic): number {
+  recordSilence(expiresBy: Monotonic): number {
     const before = this.leasesExpireBy;
-    this.sentOverBy = overBy;
+    this.sentLeasesExpireBy = expiresBy;
     return before - this.leasesExpireBy;
   }
 
   /** Another process of the side, which knows nothing of that time, may serve the host. */
   clearSilence(): void {
-    this.sentOverBy = Infinity;
+    this.sentLeasesExpireBy = Infinity;
   }
 
   countOfStep(step: object): number {
-    return this.perStep.get(step) ?? 0;
+    return this.runsPerStep.get(step) ?? 0;
   }
 
   /** Images of the serving tasks that run there. */
@@ -291,7 +293,7 @@
 
   /** Cores that the filling tasks there ask for, by image. */
   get fillingCores(): ReadonlyMap<ImageName, number> {
-    return this.askedCores;
+    return this.requestedFillingCores;
   }
 
   hasLabel(label: string): boolean {
@@ -310,9 +312,9 @@
     this.replaceOrphans([]);
   }
 
-  private accountStray({ task }: OrphanRun, sign: 1 | -1): void {
+  private accountOrphan({ task }: OrphanRun, sign: 1 | -1): void {
     if (task) this.account(task, sign);
-    else this.unknownStrays += sign;
+    else this.orphansWithoutRecord += sign;
   }
 
   private account(task: JobTask, sign: 1 | -1): void {
@@ -320,28 +322,32 @@
     const milliCores = sign * demand.milliCores;
     switch (natureOf(task).kind) {
       case "filling":
-        this.taken.fillingMilliCores += milliCores;
-        addTo(this.askedCores, image, milliCores / MILLI_CORES_PER_CORE);
+        this.totals.fillingMilliCores += milliCores;
+        addTo(
+          this.requestedFillingCores,
+          image,
+          milliCores / MILLI_CORES_PER_CORE,
+        );
         break;
       case "serving":
-        this.taken.servingMilliCores += milliCores;
+        this.totals.servingMilliCores += milliCores;
         addTo(this.servingCounts, image, sign);
         break;
       case "plain":
-        this.taken.plainMilliCores += milliCores;
+        this.totals.plainMilliCores += milliCores;
     }
-    this.taken.memoryMiB += sign * demand.memoryMiB;
-    this.taken.accelerators += sign * demand.accelerators;
-    addTo(this.perStep, task.step, sign);
+    this.totals.memoryMiB += sign * demand.memoryMiB;
+    this.totals.accelerators += sign * demand.accelerators;
+    addTo(this.runsPerStep, task.step, sign);
   }
 }
 
 /** Sums below this are nothing but the error of adding fractions. */
-const LEAST_SUM = 1e-6;
+const MIN_SUM = 1e-6;
 
 /** Adds to a sum; sums that come down to nothing are dropped. */
 const addTo = <K>(sums: Map<K, number>, key: K, amount: number): void => {
   const sum = (sums.get(key) ?? 0) + amount;
-  if (sum < LEAST_SUM) sums.delete(key);
+  if (sum < MIN_SUM) sums.delete(key);
   else sums.set(key, sum);
 };
--- a/packages/jobs/src/InterferenceEstimator.ts
+++ b/packages/jobs/src/InterferenceEstimator.ts
@@ -9,7 +9,7 @@
 import { TailModel, type FillingCores, type TailReading } from "./TailModel.js";
 
 /** Stands for images of which nothing is known; never taught. */
-const UNTAUGHT = new TailModel();
+const UNTRAINED_MODEL = new TailModel();
 
 /** Serving images followed at once; the one first learnt is forgotten. */
 const MAX_MODELS = 256;
@@ -70,7 +70,7 @@
 
   /** What one core of the filling image adds to the logarithm of the tail. */
   weight(serving: ImageName, filling: ImageName): number {
-    return (this.models.get(serving) ?? UNTAUGHT).weight(filling);
+    return (this.models.get(serving) ?? UNTRAINED_MODEL).weight(filling);
   }
 
   /** The same, so many standard deviations above what is expected. */
@@ -79,12 +79,14 @@
     filling: ImageName,
     deviations: number,
   ): number {
-    const model = this.models.get(serving) ?? UNTAUGHT;
+    const model = this.models.get(serving) ?? UNTRAINED_MODEL;
     return model.weightBound(filling, deviations);
   }
 
   /** Expected logarithm of the tail, as a share of its target. */
-  predict(serving: ImageName, beside: FillingCores): number {
-    return (this.models.get(serving) ?? UNTAUGHT).predict(beside);
+  predict(serving: ImageName, colocatedCores: FillingCores): number {
+    return (this.models.get(serving) ?? UNTRAINED_MODEL).predict(
+      colocatedCores,
+    );
   }
 }
--- a/packages/jobs/src/JobRun.ts
+++ b/packages/jobs/src/JobRun.ts
@@ -24,10 +24,11 @@
 };
 
 /** A gang is given up as one, so what speaks against its members speaks against it. */
-export const crashLogOf = ({ step, crashLog: crashes }: JobTask): CrashLog =>
-  step.spec.gang ? step.crashLog : crashes;
+export const crashLogOf = ({ step, crashLog }: JobTask): CrashLog =>
+  step.spec.gang ? step.crashLog : crashLog;
 
-const keyOf = (step: StepRun): string => `${step.occurrence}.${step.number}`;
+const stepKeyOf = (step: StepRun): string =>
+  `${step.occurrence}.${step.number}`;
 
 export class JobRun {
   readonly terms: JobTerms;
@@ -39,7 +40,7 @@
   private readonly occurrences = new Map<number, readonly StepRun[]>();
   private doneOccurrences = 0;
   /** Number of the first occurrence that is not done. */
-  private firstOpen = 0;
+  private firstIncomplete = 0;
 
   constructor(
     readonly accepted: AcceptedJob,
@@ -74,7 +75,7 @@
   runnableSteps(now: Instant): StepRun[] {
     const runnable: StepRun[] = [];
     const count = this.occurrenceCount;
-    for (let number = this.firstOpen; number < count; number += 1) {
+    for (let number = this.firstIncomplete; number < count; number += 1) {
       const isDue = !this.accepted.spec.repeat || this.dueAt(number) <= now;
       if (!isDue) break;
       const steps = this.occurrence(number);
@@ -128,7 +129,7 @@
     if (task.writeAheadRun === run) task.writeAheadRun = undefined;
     const isNewCheckpoint = this.recordCheckpoint(task, checkpoint);
     if (outcome === "done" && !task.step.spec.lasting) {
-      this.noteDone(task);
+      this.markDone(task);
       return true;
     }
     const isNewFailure = outcome === "failed" && !task.failedRuns.has(run);
@@ -159,7 +160,7 @@
   /** A gang ends as one: one member's end stands for all. */
   markGangDone(step: StepRun): void {
     for (const task of step.tasks) {
-      if (task.phase !== "done") this.noteDone(task);
+      if (task.phase !== "done") this.markDone(task);
     }
   }
 
@@ -182,10 +183,10 @@
    * @returns whether what must be kept has changed
    */
   resolveWriteAheadRun(task: JobTask): boolean {
-    const { writeAheadRun: announced } = task;
-    if (announced === undefined) return false;
+    const { writeAheadRun } = task;
+    if (writeAheadRun === undefined) return false;
     task.writeAheadRun = undefined;
-    task.crashLog.record(announced, "unknown");
+    task.crashLog.record(writeAheadRun, "unknown");
     return true;
   }
 
@@ -213,10 +214,10 @@
     for (const step of this.steps) {
       const isDone = (task: JobTask): boolean => task.phase === "done";
       const indices = step.tasks.filter(isDone).map(({ index }) => index);
-      if (indices.length > 0) done[keyOf(step)] = encodeIndices(indices);
+      if (indices.length > 0) done[stepKeyOf(step)] = encodeIndices(indices);
       for (const task of step.tasks) {
         if (isDone(task)) continue;
-        const key = `${keyOf(step)}.${task.index}`;
+        const key = `${stepKeyOf(step)}.${task.index}`;
         if (task.failedRuns.size > 0)
           failures.push([key, [...task.failedRuns]]);
         if (task.checkpoint) checkpoints.push([key, task.checkpoint]);
@@ -246,7 +247,7 @@
     for (const [key, indices] of Object.entries(progress.done)) {
       for (const index of decodeIndices(indices)) {
         const task = this.taskAtKey(`${key}.${index}`);
-        if (task) this.noteDone(task);
+        if (task) this.markDone(task);
       }
     }
     for (const [key, runs] of progress.failures) {
@@ -288,7 +289,7 @@
     return step.spec.after.every((number) => steps[number]?.isDone ?? true);
   }
 
-  private noteDone(task: JobTask): void {
+  private markDone(task: JobTask): void {
     if (task.phase === "done") return;
     task.phase = "done";
     task.step.waiting.delete(task);
@@ -296,7 +297,8 @@
     if (!task.step.isDone) return;
     if (!this.isOccurrenceDone(task.step.occurrence)) return;
     this.doneOccurrences += 1;
-    while (this.isOccurrenceDone(this.firstOpen)) this.firstOpen += 1;
+    while (this.isOccurrenceDone(this.firstIncomplete))
+      this.firstIncomplete += 1;
   }
 
   private isOccurrenceDone(number: number): boolean {
--- a/packages/jobs/src/ProgressJournal.ts
+++ b/packages/jobs/src/ProgressJournal.ts
@@ -11,15 +11,15 @@
   readonly batchWindowMs: number;
 }
 
-interface Flush {
+interface Batch {
   readonly jobs: Set<JobRun>;
   readonly kept: Promise<void>;
 }
 
 export class ProgressJournal {
-  private next: Flush | undefined;
+  private next: Batch | undefined;
   /** The last record of each job that is not known to be kept. */
-  private readonly unkept = new Map<JobRun, Promise<void>>();
+  private readonly unpersisted = new Map<JobRun, Promise<void>>();
 
   constructor(private readonly options: ProgressJournalOptions) {}
 
@@ -28,9 +28,9 @@
    * Rejects when another leader has taken over.
    */
   persist(job: JobRun): Promise<void> {
-    this.next ??= this.openFlush();
+    this.next ??= this.openBatch();
     this.next.jobs.add(job);
-    this.noteUnkept(job, this.next.kept);
+    this.trackWrite(job, this.next.kept);
     return this.next.kept;
   }
 
@@ -39,20 +39,20 @@
    * Rejects when another leader has taken over before.
    */
   flushed(job: JobRun): Promise<void> {
-    return this.unkept.get(job) ?? Promise.resolve();
+    return this.unpersisted.get(job) ?? Promise.resolve();
   }
 
-  private noteUnkept(job: JobRun, kept: Promise<void>): void {
-    if (this.unkept.get(job) === kept) return;
-    this.unkept.set(job, kept);
-    const forget = (): void => {
-      if (this.unkept.get(job) === kept) this.unkept.delete(job);
+  private trackWrite(job: JobRun, kept: Promise<void>): void {
+    if (this.unpersisted.get(job) === kept) return;
+    this.unpersisted.set(job, kept);
+    const untrack = (): void => {
+      if (this.unpersisted.get(job) === kept) this.unpersisted.delete(job);
     };
     // What was refused stays: it never will be kept.
-    kept.then(forget, () => undefined);
+    kept.then(untrack, () => undefined);
   }
 
-  private openFlush(): Flush {
+  private openBatch(): Batch {
     const jobs = new Set<JobRun>();
     const { clock, batchWindowMs: gatherMs } = this.options;
     const kept = new Promise<void>((resolve, reject) => {
--- a/packages/jobs/src/RendezvousOwnership.ts
+++ b/packages/jobs/src/RendezvousOwnership.ts
@@ -19,11 +19,11 @@
   /** How many members come before this one for the key. */
   rank(key: string): number {
     const { self, members } = this.options;
-    const own = weight(key, self);
-    let before = 0;
+    const ownWeight = weight(key, self);
+    let rank = 0;
     for (const member of members()) {
-      if (member !== self && weight(key, member) > own) before += 1;
+      if (member !== self && weight(key, member) > ownWeight) rank += 1;
     }
-    return before;
+    return rank;
   }
 }
--- a/packages/jobs/src/StepRun.ts
+++ b/packages/jobs/src/StepRun.ts
@@ -43,9 +43,7 @@
 
   /** Crashes under any of its tasks: a gang's members share their run numbers. */
   get crashLog(): CrashLog {
-    return new CrashLog(
-      this.tasks.flatMap(({ crashLog: crashes }) => crashes.entries),
-    );
+    return new CrashLog(this.tasks.flatMap(({ crashLog }) => crashLog.entries));
   }
 
   /** Estimated milliseconds of one task, at least one. */
--- a/packages/jobs/src/StopOrder.ts
+++ b/packages/jobs/src/StopOrder.ts
@@ -42,12 +42,12 @@
  * once the worker has confirmed it only if the run outlives its time to stop.
  */
 export const isStopDue = (
-  { stop, lastSeenAt: shownAt }: StoppingRun,
+  { stop, lastSeenAt }: StoppingRun,
   now: Monotonic,
   { answerMs, stopMs }: StopTimeouts,
 ): boolean => {
   const { sentAt, confirmedAt } = stop;
   if (sentAt !== undefined && now - sentAt < answerMs) return false;
   if (confirmedAt === undefined) return true;
-  return shownAt !== undefined && shownAt > confirmedAt + stopMs;
+  return lastSeenAt !== undefined && lastSeenAt > confirmedAt + stopMs;
 };
--- a/packages/jobs/src/TailModel.ts
+++ b/packages/jobs/src/TailModel.ts
@@ -70,124 +70,125 @@
 }
 
 /** Place of the base in `mean`; weights stand behind it. */
-const BASE = 0;
+const BASE_INDEX = 0;
 
 export class TailModel {
   /** Place of each image's weight in `mean`; in the order last seen. */
-  private readonly places = new Map<ImageName, number>();
+  private readonly indexByImage = new Map<ImageName, number>();
   /** The base, then the weights. */
   private mean: number[] = [TAIL_MODEL.initialBase];
   private covariance: number[][] = [[TAIL_MODEL.baseDeviation ** 2]];
   /** When the last reading was taken; undefined before the first. */
-  private learntAt: Monotonic | undefined;
+  private lastReadingAt: Monotonic | undefined;
 
   /** Expected logarithm of the tail when nothing disturbs it. */
   get base(): number {
-    return this.mean[BASE] as number;
+    return this.mean[BASE_INDEX] as number;
   }
 
   /** What one core of the filling image adds to the logarithm; never below 0. */
   weight(image: ImageName): number {
-    const place = this.places.get(image);
-    if (place === undefined) return TAIL_MODEL.initialWeight;
-    return Math.max(0, this.mean[place] as number);
+    const index = this.indexByImage.get(image);
+    if (index === undefined) return TAIL_MODEL.initialWeight;
+    return Math.max(0, this.mean[index] as number);
   }
 
   /** What one core of the image may add, so many standard deviations above what is expected. */
   weightBound(image: ImageName, deviations: number): number {
     const { initialWeight, weightDeviation } = TAIL_MODEL;
-    const place = this.places.get(image);
-    if (place === undefined)
+    const index = this.indexByImage.get(image);
+    if (index === undefined)
       return initialWeight + deviations * weightDeviation;
-    const variance = Math.max(0, this.covariance[place]?.[place] ?? 0);
+    const variance = Math.max(0, this.covariance[index]?.[index] ?? 0);
     const bound =
-      (this.mean[place] as number) + deviations * Math.sqrt(variance);
+      (this.mean[index] as number) + deviations * Math.sqrt(variance);
     return Math.max(0, bound);
   }
 
   /** Expected logarithm of the tail. */
-  predict(beside: FillingCores): number {
+  predict(colocatedCores: FillingCores): number {
     let tail = this.base;
-    for (const [image, cores] of beside) tail += this.weight(image) * cores;
+    for (const [image, cores] of colocatedCores)
+      tail += this.weight(image) * cores;
     return tail;
   }
 
-  learn({
-    at,
-    tail,
-    taskCount: tasks,
-    colocatedCores: beside,
-  }: TailReading): void {
-    const inputs = this.inputsOf(beside);
-    this.drift(inputs);
+  learn({ at, tail, taskCount, colocatedCores }: TailReading): void {
+    const inputs = this.inputsOf(colocatedCores);
+    this.driftWeights(inputs);
     this.driftBase(at);
-    const spread = this.mean.map((_, place) => this.spreadAt(place, inputs));
-    let variance = readingVariance(tasks);
+    const covariances = this.mean.map((_, index) =>
+      this.covarianceWith(index, inputs),
+    );
+    let variance = readingVariance(taskCount);
     let expected = 0;
-    for (const [place, input] of inputs) {
-      variance += input * (spread[place] as number);
-      expected += input * (this.mean[place] as number);
+    for (const [index, input] of inputs) {
+      variance += input * (covariances[index] as number);
+      expected += input * (this.mean[index] as number);
     }
-    this.correct(spread, variance, boundError(tail - expected, variance));
+    this.correct(covariances, variance, clampError(tail - expected, variance));
   }
 
   /** What the reading's parts are multiplied with, by place; the base counts once. */
-  private inputsOf(beside: FillingCores): Map<number, number> {
-    const inputs = new Map([[BASE, 1]]);
-    for (const [image, cores] of beside) {
+  private inputsOf(colocatedCores: FillingCores): Map<number, number> {
+    const inputs = new Map([[BASE_INDEX, 1]]);
+    for (const [image, cores] of colocatedCores) {
       if (cores < TAIL_MODEL.minCores) continue;
-      inputs.set(this.placeOf(image), cores);
+      inputs.set(this.indexOf(image), cores);
     }
     return inputs;
   }
 
   private driftBase(at: Monotonic): void {
-    this.widenBase(Math.max(0, at - (this.learntAt ?? at)));
-    this.learntAt = at;
+    this.increaseBaseVariance(Math.max(0, at - (this.lastReadingAt ?? at)));
+    this.lastReadingAt = at;
   }
 
   /** The base may have moved since it was last read, but not past all bounds. */
-  private widenBase(sinceMs: number): void {
+  private increaseBaseVariance(sinceMs: number): void {
     const { baseDriftVariance, baseDeviation } = TAIL_MODEL;
-    const row = this.covariance[BASE] as number[];
-    const known = row[BASE] as number;
+    const row = this.covariance[BASE_INDEX] as number[];
+    const known = row[BASE_INDEX] as number;
     const drifted = known + (sinceMs / MS_PER_SECOND) * baseDriftVariance;
-    row[BASE] = Math.max(known, Math.min(drifted, baseDeviation ** 2));
+    row[BASE_INDEX] = Math.max(known, Math.min(drifted, baseDeviation ** 2));
   }
 
-  private drift(inputs: ReadonlyMap<number, number>): void {
-    for (const place of inputs.keys()) {
-      if (place === BASE) continue;
-      const row = this.covariance[place] as number[];
-      row[place] = (row[place] as number) + TAIL_MODEL.driftVariance;
+  private driftWeights(inputs: ReadonlyMap<number, number>): void {
+    for (const index of inputs.keys()) {
+      if (index === BASE_INDEX) continue;
+      const row = this.covariance[index] as number[];
+      row[index] = (row[index] as number) + TAIL_MODEL.driftVariance;
     }
   }
 
   /** Covariance of one part with the expected reading. */
-  private spreadAt(place: number, inputs: ReadonlyMap<number, number>): number {
-    const row = this.covariance[place] as number[];
-    let spread = 0;
+  private covarianceWith(
+    index: number,
+    inputs: ReadonlyMap<number, number>,
+  ): number {
+    const row = this.covariance[index] as number[];
+    let covariance = 0;
     for (const [other, input] of inputs) {
-      spread += (row[other] as number) * input;
+      covariance += (row[other] as number) * input;
     }
-    return spread;
+    return covariance;
   }
 
   private correct(
-    spread: readonly number[],
+    covariances: readonly number[],
     variance: number,
     error: number,
   ): void {
     const { minWeight, maxWeight } = TAIL_MODEL;
-    spread.forEach((own, place) => {
+    covariances.forEach((own, index) => {
       const gain = own / variance;
-      const moved = (this.mean[place] as number) + gain * error;
-      this.mean[place] =
-        place === BASE
-          ? moved
-          : Math.min(maxWeight, Math.max(minWeight, moved));
-      const row = this.covariance[place] as number[];
-      spread.forEach((other, column) => {
+      const updated = (this.mean[index] as number) + gain * error;
+      this.mean[index] =
+        index === BASE_INDEX
+          ? updated
+          : Math.min(maxWeight, Math.max(minWeight, updated));
+      const row = this.covariance[index] as number[];
+      covariances.forEach((other, column) => {
         row[column] = (row[column] as number) - gain * other;
       });
     });
@@ -195,14 +196,14 @@
 
   /** What is known, with numbers rounded to what matters. */
   snapshot(): TailSnapshot {
-    const filling = [...this.places]
+    const filling = [...this.indexByImage]
       .sort(([, a], [, b]) => a - b)
       .map(([image]) => image);
     return {
       filling,
       mean: this.mean.map(rounded),
-      covariance: this.covariance.map((row, place) =>
-        row.slice(0, place + 1).map(rounded),
+      covariance: this.covariance.map((row, index) =>
+        row.slice(0, index + 1).map(rounded),
       ),
     };
   }
@@ -216,74 +217,75 @@
     ageMs: number,
   ): TailModel | undefined {
     const size = filling.length + 1;
-    const fits =
+    const isConsistent =
       size <= TAIL_MODEL.maxImages + 1 &&
       mean.length === size &&
       covariance.length === size &&
-      covariance.every((row, place) => row.length === place + 1);
-    if (!fits) return undefined;
+      covariance.every((row, index) => row.length === index + 1);
+    if (!isConsistent) return undefined;
     const model = new TailModel();
-    filling.forEach((image, at) => model.places.set(image, at + 1));
+    filling.forEach((image, at) => model.indexByImage.set(image, at + 1));
     model.mean = [...mean];
-    model.covariance = covariance.map((row, place) =>
+    model.covariance = covariance.map((row, index) =>
       mean.map((_, column) =>
-        column <= place
+        column <= index
           ? (row[column] as number)
-          : (covariance[column]?.[place] as number),
+          : (covariance[column]?.[index] as number),
       ),
     );
-    model.widenBase(ageMs);
+    model.increaseBaseVariance(ageMs);
     return model;
   }
 
   /** The place of the image's weight; an image that is not known gets one. */
-  private placeOf(image: ImageName): number {
-    const known = this.places.get(image);
+  private indexOf(image: ImageName): number {
+    const known = this.indexByImage.get(image);
     if (known !== undefined) {
       // Seen last: the first of the map is the one not seen for longest.
-      this.places.delete(image);
-      this.places.set(image, known);
+      this.indexByImage.delete(image);
+      this.indexByImage.set(image, known);
       return known;
     }
-    if (this.places.size < TAIL_MODEL.maxImages) return this.addPlace(image);
-    const [[oldest, place] = [image, BASE]] = this.places;
-    this.places.delete(oldest);
-    this.places.set(image, place);
-    this.reset(place);
-    return place;
+    if (this.indexByImage.size < TAIL_MODEL.maxImages)
+      return this.addImage(image);
+    const [[oldest, index] = [image, BASE_INDEX]] = this.indexByImage;
+    this.indexByImage.delete(oldest);
+    this.indexByImage.set(image, index);
+    this.reset(index);
+    return index;
   }
 
-  private addPlace(image: ImageName): number {
-    const place = this.mean.length;
-    this.places.set(image, place);
+  private addImage(image: ImageName): number {
+    const index = this.mean.length;
+    this.indexByImage.set(image, index);
     this.mean.push(TAIL_MODEL.initialWeight);
     for (const row of this.covariance) row.push(0);
-    this.covariance.push(new Array<number>(place + 1).fill(0));
-    this.reset(place);
-    return place;
+    this.covariance.push(new Array<number>(index + 1).fill(0));
+    this.reset(index);
+    return index;
   }
 
   /** Knows nothing of the weight at this place any more. */
-  private reset(place: number): void {
-    this.mean[place] = TAIL_MODEL.initialWeight;
+  private reset(index: number): void {
+    this.mean[index] = TAIL_MODEL.initialWeight;
     this.covariance.forEach((row, other) => {
-      row[place] = 0;
-      (this.covariance[place] as number[])[other] = 0;
+      row[index] = 0;
+      (this.covariance[index] as number[])[other] = 0;
     });
-    const row = this.covariance[place] as number[];
-    row[place] = TAIL_MODEL.weightDeviation ** 2;
+    const row = this.covariance[index] as number[];
+    row[index] = TAIL_MODEL.weightDeviation ** 2;
   }
 }
 
 /** Variance of a reading that is the mean of so many tasks of one host. */
-const readingVariance = (tasks: number): number => {
+const readingVariance = (taskCount: number): number => {
   const { taskVariance, hostVariance } = TAIL_MODEL;
-  return hostVariance + (taskVariance - hostVariance) / tasks;
+  return hostVariance + (taskVariance - hostVariance) / taskCount;
 };
 
-const boundError = (error: number, variance: number): number => {
-  const most = TAIL_MODEL.maxDeviations * Math.sqrt(variance);
-  return Math.max(-most, Math.min(most, error));
+const clampError = (error: number, variance: number): number => {
+  const limit = TAIL_MODEL.maxDeviations * Math.sqrt(variance);
+  return Math.max(-limit, Math.min(limit, error));
 };
 
 /** Weights and variances below this tell nothing. */
--- a/packages/jobs/src/TakeoverGate.ts
+++ b/packages/jobs/src/TakeoverGate.ts
@@ -21,9 +21,9 @@
 
 export class TakeoverGate {
   /** By host that was not heard: from then on nothing of a former leader runs there. */
-  private readonly silent: Map<HostId, Monotonic>;
+  private readonly expiryByHost: Map<HostId, Monotonic>;
   /** The same for a host whose side tells nothing. */
-  private readonly leasesOverBy: Monotonic;
+  private readonly leasesExpireBy: Monotonic;
   /** From then on no former leader decides anything. */
   readonly authorityExpiresBy: Monotonic;
   /** Jobs that were first seen after this are new for certain. */
@@ -32,13 +32,15 @@
   constructor(options: TakeoverGateOptions) {
     const { takenOverAt, roster, leadershipTtlMs, leaseMs } = options;
     this.authorityExpiresBy = takenOverAt + leadershipTtlMs;
-    this.leasesOverBy = latestLeaseExpiry(this.authorityExpiresBy, leaseMs);
-    this.silent = new Map([...roster].map((host) => [host, this.leasesOverBy]));
+    this.leasesExpireBy = latestLeaseExpiry(this.authorityExpiresBy, leaseMs);
+    this.expiryByHost = new Map(
+      [...roster].map((host) => [host, this.leasesExpireBy]),
+    );
   }
 
   /** Nothing that a former leader started is hidden there, now or later. */
   recordReport(host: HostId): void {
-    this.silent.delete(host);
+    this.expiryByHost.delete(host);
   }
 
   /**
@@ -46,12 +48,12 @@
    * newest time that it told holds: a late start may bring a longer lease.
    * @returns by how much sooner that is than was known, milliseconds; negative when later
    */
-  recordSilence(host: HostId, overBy: Monotonic): number {
-    const known = this.silent.get(host);
+  recordSilence(host: HostId, expiresBy: Monotonic): number {
+    const known = this.expiryByHost.get(host);
     if (known === undefined) return 0;
-    const bound = Math.min(overBy, this.leasesOverBy);
-    this.silent.set(host, bound);
-    return known - bound;
+    const expiry = Math.min(expiresBy, this.leasesExpireBy);
+    this.expiryByHost.set(host, expiry);
+    return known - expiry;
   }
 
   /**
@@ -59,7 +61,8 @@
    * list, or another process of the side, which knows nothing of it, may serve the host.
    */
   clearSilence(host: HostId): void {
-    if (this.silent.has(host)) this.silent.set(host, this.leasesOverBy);
+    if (this.expiryByHost.has(host))
+      this.expiryByHost.set(host, this.leasesExpireBy);
   }
 
   /**
@@ -76,25 +79,28 @@
    * Hosts that were never heard of and hold no lease any more. Each is named once.
    */
   takeExpired(now: Monotonic): HostId[] {
-    const expired = [...this.silent].filter(([, overBy]) => now >= overBy);
-    for (const [host] of expired) this.silent.delete(host);
+    const expired = [...this.expiryByHost].filter(
+      ([, expiresBy]) => now >= expiresBy,
+    );
+    for (const [host] of expired) this.expiryByHost.delete(host);
     return expired.map(([host]) => host);
   }
 
   /** When the next host that was not heard holds no lease any more; Infinity without any. */
   get nextLeaseExpiry(): Monotonic {
-    return Math.min(Infinity, ...this.silent.values());
+    return Math.min(Infinity, ...this.expiryByHost.values());
   }
 
   /** Hosts that may yet hide a run of a former leader. */
   unreported(now: Monotonic): readonly HostId[] {
-    return [...this.silent].flatMap(([host, overBy]) =>
-      now < overBy ? [host] : [],
+    return [...this.expiryByHost].flatMap(([host, expiresBy]) =>
+      now < expiresBy ? [host] : [],
     );
   }
 
   isOpen(now: Monotonic): boolean {
-    for (const overBy of this.silent.values()) if (now < overBy) return false;
+    for (const expiresBy of this.expiryByHost.values())
+      if (now < expiresBy) return false;
     return true;
   }
 
--- a/packages/jobs/src/UnitPlacer.ts
+++ b/packages/jobs/src/UnitPlacer.ts
@@ -55,7 +55,7 @@
   normal: 1,
   low: 0,
 };
-const HOSTS_TRIED = 3;
+const MAX_HOSTS_TRIED = 3;
 const FIRST_BACKOFF_MS = 250;
 const MAX_BACKOFF_MS = 30_000;
 
@@ -68,12 +68,12 @@
 export class UnitPlacer {
   private readonly queue: PQueue;
   private readonly inProgress = new Set<UnitId>();
-  private readonly openFor: PresenceTracker<string>;
+  private readonly openUnits: PresenceTracker<string>;
   private readonly backoffs = new Map<UnitId, Backoff>();
 
   constructor(private readonly options: UnitPlacerOptions) {
     this.queue = new PQueue({ concurrency: options.concurrency });
-    this.openFor = new PresenceTracker(options.clock);
+    this.openUnits = new PresenceTracker(options.clock);
   }
 
   /** Starts what may be started now; called again whenever something changed. */
@@ -84,10 +84,10 @@
       const name = taskIdOf(unit.id, unit.attempt);
       names.add(name);
       if (this.inProgress.has(unit.id)) continue;
-      if (!this.isMyTurn(unit, this.openFor.observe(name))) continue;
+      if (!this.isMyTurn(unit, this.openUnits.observe(name))) continue;
       this.enqueue(unit);
     }
-    this.openFor.retainOnly(names);
+    this.openUnits.retainOnly(names);
     for (const id of this.backoffs.keys()) {
       if (this.options.fold.units.get(id)?.phase !== "open")
         this.backoffs.delete(id);
@@ -132,7 +132,7 @@
   private async place(unit: Unit): Promise<void> {
     if (!this.isStillOpen(unit)) return;
     const { metrics } = this.options;
-    const ranked = this.rank(unit).slice(0, HOSTS_TRIED);
+    const ranked = this.rank(unit).slice(0, MAX_HOSTS_TRIED);
     for (const view of ranked) {
       const reserved = await this.reserve(unit, view);
       if (!reserved) continue;
@@ -245,8 +245,8 @@
 
   private backOff(unit: Unit): void {
     const { clock, random } = this.options;
-    const before = this.backoffs.get(unit.id);
-    const tries = before?.attempt === unit.attempt ? before.tries + 1 : 1;
+    const previous = this.backoffs.get(unit.id);
+    const tries = previous?.attempt === unit.attempt ? previous.tries + 1 : 1;
     const waitMs = Math.min(
       MAX_BACKOFF_MS,
       FIRST_BACKOFF_MS * 2 ** (tries - 1),
--- a/packages/jobs/src/attributeCrash.ts
+++ b/packages/jobs/src/attributeCrash.ts
@@ -62,45 +62,48 @@
  * @returns nothing for a worker that was leaving: its end was planned
  */
 export const attributeCrash = ({
-  host: ledger,
+  host,
   loss,
   lostRuns,
   expectedMs,
   hasEnded,
 }: WorkerCrash): ReadonlyMap<ActiveRun, CrashEvidence> => {
-  if (ledger.worker.draining) return new Map();
-  const runs = [...ledger.runs.values()].filter((run) => !hasEnded(run));
+  if (host.worker.draining) return new Map();
+  const runs = [...host.runs.values()].filter((run) => !hasEnded(run));
   if (loss === "silent") return new Map(runs.map((run) => [run, "lost"]));
-  const told = new Map(lostRuns.map((lost) => [runKeyOf(lost), lost]));
-  const sightOfRun = (run: ActiveRun): LostRunState => {
-    const lost = told.get(runKeyOf(runRefOf(run)));
+  const reported = new Map(lostRuns.map((lost) => [runKeyOf(lost), lost]));
+  const stateOfRun = (run: ActiveRun): LostRunState => {
+    const lost = reported.get(runKeyOf(runRefOf(run)));
     return lost ? lostRunStateOf(lost, expectedMs(run.task.step)) : "unheard";
   };
-  const sights = new Map(runs.map((run) => [run, sightOfRun(run)]));
-  const sole = findSole(runs.filter((run) => sights.get(run) !== "unreached"));
-  const soleSight = sole && sights.get(sole);
-  if (sole && soleSight && soleSight !== "unheard") {
+  const states = new Map(runs.map((run) => [run, stateOfRun(run)]));
+  const isolated = findIsolatedRun(
+    runs.filter((run) => states.get(run) !== "unreached"),
+  );
+  const isolatedState = isolated && states.get(isolated);
+  if (isolated && isolatedState && isolatedState !== "unheard") {
     const evidence = evidenceOfIsolatedRun(
-      sole.task,
-      wasShown(sole),
-      soleSight,
+      isolated.task,
+      wasSeen(isolated),
+      isolatedState,
     );
-    return new Map([[sole, evidence]]);
+    return new Map([[isolated, evidence]]);
   }
   return new Map(
-    [...sights].map(([run, sight]) => [run, evidenceOf(run, sight)]),
+    [...states].map(([run, state]) => [run, evidenceOf(run, state)]),
   );
 };
 
 /** The run that began apart, unless another one had begun just before it. */
-const findSole = (runs: readonly ActiveRun[]): ActiveRun | undefined => {
-  const sole = runs.find(isIsolated);
-  if (!sole) return undefined;
-  const others = runs.filter((run) => run !== sole);
+const findIsolatedRun = (runs: readonly ActiveRun[]): ActiveRun | undefined => {
+  const isolated = runs.find(isIsolated);
+  if (!isolated) return undefined;
+  const others = runs.filter((run) => run !== isolated);
   const isAlone = others.every(
-    (run) => isSettled(run) || hasSettledAfter(sole.startedAt - run.startedAt),
+    (run) =>
+      isSettled(run) || hasSettledAfter(isolated.startedAt - run.startedAt),
   );
-  return isAlone ? sole : undefined;
+  return isAlone ? isolated : undefined;
 };
 
 /**
@@ -110,19 +113,19 @@
  */
 export const evidenceOfIsolatedRun = (
   { checkpoint, step }: JobTask,
-  wasShownThere: boolean,
-  sight: LostRunState,
+  wasSeen: boolean,
+  state: LostRunState,
 ): CrashEvidence => {
-  const mayBeShort = checkpoint !== "" && !step.spec.lasting;
-  const isProof = wasShownThere && sight === "at-work" && !mayBeShort;
+  const mayHaveBeenShort = checkpoint !== "" && !step.spec.lasting;
+  const isProof = wasSeen && state === "at-work" && !mayHaveBeenShort;
   return isProof ? "sole" : "unanswered";
 };
 
-const evidenceOf = (run: ActiveRun, sight: LostRunState): CrashEvidence =>
-  evidenceOfSharedRun(wasShown(run) ? workedMs(run) : undefined, sight);
+const evidenceOf = (run: ActiveRun, state: LostRunState): CrashEvidence =>
+  evidenceOfSharedRun(wasSeen(run) ? workedMs(run) : undefined, state);
 
-const wasShown = ({ firstSeenAt: shownFirstAt }: ActiveRun): boolean =>
-  shownFirstAt !== undefined;
+const wasSeen = ({ firstSeenAt }: ActiveRun): boolean =>
+  firstSeenAt !== undefined;
 
 /**
  * @param ms for how long the worker had shown the run when it crashed; undefined
@@ -130,12 +133,12 @@
  */
 export const evidenceOfSharedRun = (
   ms: number | undefined,
-  sight: LostRunState,
+  state: LostRunState,
 ): CrashEvidence => {
-  if (sight === "unreached") return "unknown";
+  if (state === "unreached") return "unknown";
   if (ms === undefined) return "unseen";
-  if (sight === "unheard") return "unheard";
-  if (sight === "at-work") return hasSettledAfter(ms) ? "settled" : "young";
+  if (state === "unheard") return "unheard";
+  if (state === "at-work") return hasSettledAfter(ms) ? "settled" : "young";
   // It may have ended, so it speaks less against its task.
   return hasSettledAfter(ms) ? "unseen" : "unheard";
 };
--- a/packages/jobs/src/describeTask.ts
+++ b/packages/jobs/src/describeTask.ts
@@ -12,9 +12,9 @@
 
 export const natureOf = (task: JobTask): InterferenceProfile => {
   const { filling, tailTargetMs, lasting, image, demand } = task.step.spec;
-  const serves = lasting && tailTargetMs > 0;
+  const isServing = lasting && tailTargetMs > 0;
   return {
-    kind: filling ? "filling" : serves ? "serving" : "plain",
+    kind: filling ? "filling" : isServing ? "serving" : "plain",
     tailTargetMs,
     image,
     milliCores: demand.milliCores,
--- a/packages/jobs/src/reconcileReport.ts
+++ b/packages/jobs/src/reconcileReport.ts
@@ -27,29 +27,24 @@
  */
 const hasVanished = (
   { at, hasMoreEnds }: HostReport,
-  {
-    phase,
-    lastSeenAt: answeredAt,
-    orderExpiresAt: orderLapsesAt,
-    stop,
-  }: ActiveRun,
+  { phase, lastSeenAt, orderExpiresAt, stop }: ActiveRun,
 ): boolean => {
   if (hasMoreEnds) return false;
-  if (answeredAt !== undefined) return at > answeredAt;
-  const barredAt = stop?.confirmedAt;
-  if (barredAt !== undefined && at > barredAt) return true;
-  return phase !== "starting" && at > orderLapsesAt;
+  if (lastSeenAt !== undefined) return at > lastSeenAt;
+  const fencedAt = stop?.confirmedAt;
+  if (fencedAt !== undefined && at > fencedAt) return true;
+  return phase !== "starting" && at > orderExpiresAt;
 };
 
 /** A filling task that gets less than this share of what it asks for crawls. */
 const CRAWL_SHARE = 0.35;
 
-const crawls = ({ task, reading }: ActiveRun): boolean => {
+const isCrawling = ({ task, reading }: ActiveRun): boolean => {
   const { filling, demand } = task.step.spec;
   return filling && reading < CRAWL_SHARE * demand.milliCores;
 };
 
-const noteReading = (
+const updateReading = (
   run: ActiveRun,
   row: RunningTask,
   now: Monotonic,
@@ -57,7 +52,7 @@
   if (row.progressPercent > run.progressPercent) run.progressedAt = now;
   run.progressPercent = row.progressPercent;
   run.reading = row.reading;
-  run.crawlingSince = crawls(run) ? (run.crawlingSince ?? now) : undefined;
+  run.crawlingSince = isCrawling(run) ? (run.crawlingSince ?? now) : undefined;
   run.task.step.job.recordCheckpoint(run.task, row.checkpoint);
 };
 
@@ -65,33 +60,33 @@
  * A lasting task outlives many workers, and must not be given up for the sum of
  * them: one that works for a while has crashed none by being started.
  */
-const clearLasting = (run: ActiveRun): void => {
-  const { crashLog: crashes, step } = run.task;
-  if (!step.spec.lasting || crashes.isEmpty) return;
+const clearLastingCrashLog = (run: ActiveRun): void => {
+  const { crashLog, step } = run.task;
+  if (!step.spec.lasting || crashLog.isEmpty) return;
   if (workedMs(run) < CRASH_LIMITS.clearAfterMs) return;
-  crashes.clear();
+  crashLog.clear();
   step.job.hasUnpersistedProgress = true;
 };
 
 /** Brings the ledger's runs up to date; what needs a decision is returned. */
 export const reconcileReport = (
-  ledger: HostState,
+  host: HostState,
   report: HostReport,
   now: Monotonic,
 ): ReportChanges => {
   const ended = report.ended
-    .filter(({ number }) => number > ledger.processedEnds)
+    .filter(({ number }) => number > host.processedEnds)
     .sort((a, b) => a.number - b.number);
   const endedRuns = new Set(ended.map(runKeyOf));
   const rows = new Map(report.running.map((row) => [runKeyOf(row), row]));
   const vanished: ActiveRun[] = [];
-  for (const [key, run] of ledger.runs) {
+  for (const [key, run] of host.runs) {
     const row = rows.get(key);
     if (row) {
       rows.delete(key);
-      noteReading(run, row, now);
+      updateReading(run, row, now);
       markSeen(run, report.at);
-      clearLasting(run);
+      clearLastingCrashLog(run);
       if (run.phase === "starting" || run.phase === "unsure") {
         run.phase = "running";
       }
@@ -101,8 +96,8 @@
     if (hasVanished(report, run)) vanished.push(run);
   }
   const last = ended.at(-1);
-  if (last) ledger.processedEnds = last.number;
-  ledger.reportedAt = report.at;
-  ledger.reportReceivedAt = now;
+  if (last) host.processedEnds = last.number;
+  host.reportedAt = report.at;
+  host.reportReceivedAt = now;
   return { ended, vanished, unknown: [...rows.values()] };
 };
--- a/packages/jobs/tests/interferenceEstimator.test.ts
+++ b/packages/jobs/tests/interferenceEstimator.test.ts
@@ -14,175 +14,182 @@
 ]);
 
 /** Readings of a tail that the true weights give, with noise of a tenth. */
-const teach = (book: InterferenceEstimator, readings: number): void => {
+const train = (estimator: InterferenceEstimator, readings: number): void => {
   const random = new SeededRandom(7);
   for (let at = 0; at < readings; at += 1) {
-    const beside = new Map(
+    const colocatedCores = new Map(
       [...TRUE_WEIGHTS.keys()].map((name) => [name, random.next() * 6]),
     );
     let tail = TAIL_MODEL.initialBase;
-    for (const [name, cores] of beside) {
+    for (const [name, cores] of colocatedCores) {
       tail += (TRUE_WEIGHTS.get(name) ?? 0) * cores;
     }
     const noise = 0.2 * (random.next() - 0.5);
-    book.learn(WEB, {
+    estimator.learn(WEB, {
       at: at * READ_EVERY_MS,
       tail: tail + noise,
       taskCount: 1,
-      colocatedCores: beside,
+      colocatedCores,
     });
   }
 };
 
 test("a pair that disturbs is told from one that does not", () => {
-  const book = new InterferenceEstimator();
-  teach(book, 200);
-  expect(book.weight(WEB, image("render")) > 0.15).toEqual(true);
-  expect(book.weight(WEB, image("index")) < 0.03).toEqual(true);
+  const estimator = new InterferenceEstimator();
+  train(estimator, 200);
+  expect(estimator.weight(WEB, image("render")) > 0.15).toEqual(true);
+  expect(estimator.weight(WEB, image("index")) < 0.03).toEqual(true);
 });
 
 test("weights stay within their bounds, whatever the readings are", () => {
-  const book = new InterferenceEstimator();
-  const beside = new Map([[image("render"), 3]]);
+  const estimator = new InterferenceEstimator();
+  const colocatedCores = new Map([[image("render"), 3]]);
   for (const [at, tail] of [20, -20, -700, 20, 4].entries()) {
-    book.learn(WEB, {
+    estimator.learn(WEB, {
       at: at * READ_EVERY_MS,
       tail,
       taskCount: 1,
-      colocatedCores: beside,
+      colocatedCores,
     });
-    const weight = book.weight(WEB, image("render"));
+    const weight = estimator.weight(WEB, image("render"));
     expect(weight >= 0 && weight <= TAIL_MODEL.maxWeight).toEqual(true);
   }
 });
 
 test("readings without filling tasks move only the base", () => {
-  const book = new InterferenceEstimator();
+  const estimator = new InterferenceEstimator();
   const reading = {
     tail: Math.log(0.7),
     taskCount: 1,
     colocatedCores: new Map(),
   };
   for (let at = 0; at < 200; at += 1)
-    book.learn(WEB, { ...reading, at: at * READ_EVERY_MS });
-  const undisturbed = Math.exp(book.predict(WEB, new Map()));
+    estimator.learn(WEB, { ...reading, at: at * READ_EVERY_MS });
+  const undisturbed = Math.exp(estimator.predict(WEB, new Map()));
   expect(Math.abs(undisturbed - 0.7) < 0.02).toEqual(true);
-  expect(book.weight(WEB, image("render"))).toEqual(TAIL_MODEL.initialWeight);
+  expect(estimator.weight(WEB, image("render"))).toEqual(
+    TAIL_MODEL.initialWeight,
+  );
 });
 
 test("an image that only stood beside the one that disturbs is not blamed for long", () => {
-  const book = new InterferenceEstimator();
+  const estimator = new InterferenceEstimator();
   const [render, index] = [image("render"), image("index")];
   const both = new Map([
     [render, 4],
     [index, 4],
   ]);
-  const tailOf = (beside: ReadonlyMap<ImageName, number>): number =>
-    TAIL_MODEL.initialBase + 0.2 * (beside.get(render) ?? 0);
-  const learn = (at: number, beside: ReadonlyMap<ImageName, number>): void =>
-    book.learn(WEB, {
+  const tailOf = (colocatedCores: ReadonlyMap<ImageName, number>): number =>
+    TAIL_MODEL.initialBase + 0.2 * (colocatedCores.get(render) ?? 0);
+  const learn = (
+    at: number,
+    colocatedCores: ReadonlyMap<ImageName, number>,
+  ): void =>
+    estimator.learn(WEB, {
       at: at * READ_EVERY_MS,
-      tail: tailOf(beside),
+      tail: tailOf(colocatedCores),
       taskCount: 1,
-      colocatedCores: beside,
+      colocatedCores,
     });
   for (let at = 0; at < 10; at += 1) learn(at, both);
   for (let at = 10; at < 20; at += 1) learn(at, new Map([[index, 4]]));
-  expect(book.weight(WEB, index) < 0.03).toEqual(true);
+  expect(estimator.weight(WEB, index) < 0.03).toEqual(true);
   // What is taken from one is given to the other, without another look at it.
-  expect(book.weight(WEB, render) > 0.15).toEqual(true);
+  expect(estimator.weight(WEB, render) > 0.15).toEqual(true);
 });
 
 test("the image not seen for longest is forgotten when there are too many", () => {
-  const book = new InterferenceEstimator();
+  const estimator = new InterferenceEstimator();
   let readings = 0;
-  const read = (tail: number, beside: Map<ImageName, number>): void =>
-    book.learn(WEB, {
+  const read = (tail: number, colocatedCores: Map<ImageName, number>): void =>
+    estimator.learn(WEB, {
       at: (readings += 1) * READ_EVERY_MS,
       tail,
       taskCount: 1,
-      colocatedCores: beside,
+      colocatedCores,
     });
   // One reading with the image and one without: the base is told apart from it.
-  const teachOne = (name: string): void => {
+  const trainOne = (name: string): void => {
     read(TAIL_MODEL.initialBase, new Map());
     read(0.5, new Map([[image(name), 3]]));
   };
-  for (let at = 0; at < 5; at += 1) teachOne("first");
-  expect(book.weight(WEB, image("first")) > 0.1).toEqual(true);
-  for (let at = 0; at < TAIL_MODEL.maxImages; at += 1) teachOne(`image${at}`);
-  expect(book.weight(WEB, image("first"))).toEqual(TAIL_MODEL.initialWeight);
-  expect(book.weight(WEB, image("image0")) > 0.05).toEqual(true);
+  for (let at = 0; at < 5; at += 1) trainOne("first");
+  expect(estimator.weight(WEB, image("first")) > 0.1).toEqual(true);
+  for (let at = 0; at < TAIL_MODEL.maxImages; at += 1) trainOne(`image${at}`);
+  expect(estimator.weight(WEB, image("first"))).toEqual(
+    TAIL_MODEL.initialWeight,
+  );
+  expect(estimator.weight(WEB, image("image0")) > 0.05).toEqual(true);
 });
 
 test("what is learnt stays finite over hours of readings", () => {
-  const book = new InterferenceEstimator();
+  const estimator = new InterferenceEstimator();
   const random = new SeededRandom(11);
   const images = Array.from({ length: 9 }, (_, at) => image(`image${at}`));
   for (let at = 0; at < 200_000; at += 1) {
-    const beside = new Map(
+    const colocatedCores = new Map(
       images
         .filter(() => random.next() < 0.4)
         .map((name) => [name, random.next() * 20]),
     );
     const tail = 4 * (random.next() - 0.5);
-    const tasks = 1 + Math.floor(random.next() * 5);
-    book.learn(WEB, {
+    const taskCount = 1 + Math.floor(random.next() * 5);
+    estimator.learn(WEB, {
       at: at * READ_EVERY_MS,
       tail,
-      taskCount: tasks,
-      colocatedCores: beside,
+      taskCount,
+      colocatedCores,
     });
   }
   for (const name of images) {
-    const weight = book.weight(WEB, name);
+    const weight = estimator.weight(WEB, name);
     expect(weight >= 0 && weight <= TAIL_MODEL.maxWeight).toEqual(true);
   }
-  expect(Math.abs(book.predict(WEB, new Map())) < 2).toEqual(true);
+  expect(Math.abs(estimator.predict(WEB, new Map())) < 2).toEqual(true);
 });
 
 test("a load that swings is not taken for disturbance by what stands beside it", () => {
-  const book = new InterferenceEstimator();
+  const estimator = new InterferenceEstimator();
   const [render, index] = [image("render"), image("index")];
   const random = new SeededRandom(3);
   const swingMs = 14_000;
   for (let at = 0; at < 30_000; at += READ_EVERY_MS) {
     const load = 0.45 * Math.sin((2 * Math.PI * at) / swingMs);
     // The harmless image happens to run while the load is high.
-    const beside = new Map([
+    const colocatedCores = new Map([
       [render, random.next() < 0.5 ? 3 : 0],
       [index, load > 0 ? 4 : 0],
     ]);
-    const disturbed = 0.2 * (beside.get(render) ?? 0);
+    const disturbed = 0.2 * (colocatedCores.get(render) ?? 0);
     const noise = 0.5 * (random.next() - 0.5);
     const tail = TAIL_MODEL.initialBase + load + disturbed + noise;
-    book.learn(WEB, { at, tail, taskCount: 4, colocatedCores: beside });
+    estimator.learn(WEB, { at, tail, taskCount: 4, colocatedCores });
   }
-  expect(Math.abs(book.weight(WEB, render) - 0.2) < 0.04).toEqual(true);
-  expect(book.weight(WEB, index) < 0.06).toEqual(true);
+  expect(Math.abs(estimator.weight(WEB, render) - 0.2) < 0.04).toEqual(true);
+  expect(estimator.weight(WEB, index) < 0.06).toEqual(true);
 });
 
 test("what was learnt goes over to the next leader, and is taken only once", () => {
-  const book = new InterferenceEstimator();
-  teach(book, 200);
-  const [record] = book.takeChanged(1_000);
+  const estimator = new InterferenceEstimator();
+  train(estimator, 200);
+  const [record] = estimator.takeChanged(1_000);
   if (!record) throw new Error("nothing was kept");
-  expect(book.takeChanged(2_000)).toEqual([]);
+  expect(estimator.takeChanged(2_000)).toEqual([]);
   const next = new InterferenceEstimator();
   expect(next.restore(record, 500)).toEqual(true);
   const render = image("render");
-  const lost = next.weight(WEB, render) - book.weight(WEB, render);
+  const lost = next.weight(WEB, render) - estimator.weight(WEB, render);
   expect(Math.abs(lost) < 1e-5).toEqual(true);
   // What this leader knows itself is newer.
   expect(next.restore({ ...record, mean: [0, 0, 0] }, 500)).toEqual(false);
-  teach(next, 20);
+  train(next, 20);
   expect(next.weight(WEB, render) > 0.15).toEqual(true);
 });
 
 test("a record whose parts do not belong together is not taken", () => {
-  const book = new InterferenceEstimator();
-  teach(book, 20);
-  const [record] = book.takeChanged(1_000);
+  const estimator = new InterferenceEstimator();
+  train(estimator, 20);
+  const [record] = estimator.takeChanged(1_000);
   if (!record) throw new Error("nothing was kept");
   for (const broken of [
     { ...record, mean: record.mean.slice(1) },
--- a/packages/scheduling/tests/byUtilityOrder.test.ts
+++ b/packages/scheduling/tests/byUtilityOrder.test.ts
@@ -42,9 +42,9 @@
 };
 
 test("a step that has begun is finished before a like one begins", () => {
-  const begun = candidateOf("begun", { taskCount: 20, placed: 8 });
+  const started = candidateOf("begun", { taskCount: 20, placed: 8 });
   const fresh = candidateOf("fresh", { taskCount: 20 });
-  expect(orderOf([fresh, begun])).toEqual(["begun", "fresh"]);
+  expect(orderOf([fresh, started])).toEqual(["begun", "fresh"]);
 });
 
 test("a large step that has nearly all its places goes before a small one that has none", () => {
--- a/packages/scheduling/tests/changingCapacity.test.ts
+++ b/packages/scheduling/tests/changingCapacity.test.ts
@@ -9,10 +9,11 @@
 const CORE = 1_000;
 const FULL = 32;
 
-const roomUsed = (host: FakeHost): number => host.runningTasks.length * CORE;
+const usedMilliCores = (host: FakeHost): number =>
+  host.runningTasks.length * CORE;
 
 /** A host whose room is as large as its tasks, and then half of that. */
-const shrunk = async () => {
+const createShrunkHost = async () => {
   const site = new EngineHarness();
   const host = await site.addHost("h1");
   const job = site.submit(JOB, [{ taskCount: FULL }]);
@@ -24,32 +25,32 @@
   return { site, host, jobs: [job, next] };
 };
 
-const endSome = (host: FakeHost, count: number): void => {
+const endTasks = (host: FakeHost, count: number): void => {
   for (const task of host.runningTasks.slice(0, count)) host.end(task, "done");
 };
 
 test("a worker whose room has shrunk below what runs there gets nothing before enough has ended", async () => {
-  const { site, host } = await shrunk();
+  const { site, host } = await createShrunkHost();
   const starts = host.starts.length;
-  endSome(host, FULL / 2);
+  endTasks(host, FULL / 2);
   await site.run(500);
   expect(host.starts.length).toEqual(starts);
-  endSome(host, 2);
+  endTasks(host, 2);
   await site.run(500);
   expect(host.starts.length).toEqual(starts + 2);
-  expect(roomUsed(host)).toBeLessThanOrEqual(host.milliCores);
+  expect(usedMilliCores(host)).toBeLessThanOrEqual(host.milliCores);
 });
 
 test("room that has grown again is used", async () => {
-  const { site, host } = await shrunk();
+  const { site, host } = await createShrunkHost();
   host.milliCores = (FULL + 4) * CORE;
   await site.run(500);
   expect(host.isRunning(taskId(`${NEXT}.0.0.0`))).toEqual(true);
-  expect(roomUsed(host)).toEqual(host.milliCores);
+  expect(usedMilliCores(host)).toEqual(host.milliCores);
 });
 
 test("what is being stopped takes room on a worker that has shrunk", async () => {
-  const { site, host, jobs } = await shrunk();
+  const { site, host, jobs } = await createShrunkHost();
   host.stopsAtOnce = false;
   const [first] = jobs;
   if (first) site.engine.cancelJob(first.spec.id);
@@ -59,11 +60,11 @@
 });
 
 test("the next leader counts what runs on a worker that has shrunk", async () => {
-  const { site: former, host, jobs } = await shrunk();
+  const { site: previous, host, jobs } = await createShrunkHost();
   const starts = host.starts.length;
-  former.engine.stop();
-  former.isLeader = false;
-  const { clock, store } = former;
+  previous.engine.stop();
+  previous.isLeader = false;
+  const { clock, store } = previous;
   const roster = [host.host];
   const next = new EngineHarness({ epoch: 2, clock, store, roster });
   next.hosts.push(host);
@@ -71,23 +72,23 @@
   next.engine.attach(host.host, host);
   await next.run(1_000);
   expect(host.starts.length).toEqual(starts);
-  endSome(host, FULL / 2 + 1);
+  endTasks(host, FULL / 2 + 1);
   await next.run(500);
   expect(host.starts.length).toEqual(starts + 1);
 });
 
 test("the next life of a worker is filled to its own room", async () => {
-  const { site, host } = await shrunk();
+  const { site, host } = await createShrunkHost();
   host.replaceWorker();
   await site.run(12_000);
-  expect(roomUsed(host)).toEqual(host.milliCores);
+  expect(usedMilliCores(host)).toEqual(host.milliCores);
 });
 
 test("a side that attaches anew tells the room as it is then", async () => {
-  const { site, host } = await shrunk();
+  const { site, host } = await createShrunkHost();
   site.engine.detach(host.host, host);
   host.milliCores = (FULL / 4) * CORE;
-  endSome(host, FULL / 2 + 2);
+  endTasks(host, FULL / 2 + 2);
   const starts = host.starts.length;
   site.engine.attach(host.host, host);
   await site.run(500);
--- a/packages/scheduling/tests/crashingTasks.test.ts
+++ b/packages/scheduling/tests/crashingTasks.test.ts
@@ -16,20 +16,20 @@
 const WHOLE_HOST = { milliCores: 30_000, memoryMiB: 100, accelerators: 0 };
 
 /** Ends the leader at once; the next one knows what the store keeps, and hears all hosts. */
-const succeed = (
-  former: EngineHarness,
+const changeLeader = (
+  previous: EngineHarness,
   jobs: readonly AcceptedJob[],
 ): EngineHarness => {
-  former.engine.stop();
-  former.isLeader = false;
-  const { clock, hosts, store } = former;
+  previous.engine.stop();
+  previous.isLeader = false;
+  const { clock, hosts, store } = previous;
   const roster = hosts.map(({ host }) => host);
-  const epoch = former.epoch + 1;
+  const epoch = previous.epoch + 1;
   const next = new EngineHarness({ clock, roster, store, epoch });
   next.hosts.push(...hosts);
   for (const job of jobs) {
     const { id } = job.spec;
-    next.engine.addJob(job, progressOf(former, id));
+    next.engine.addJob(job, progressOf(previous, id));
   }
   for (const host of hosts) next.engine.attach(host.host, host);
   return next;
@@ -77,18 +77,18 @@
 
 const isCrasher = (task: JobTaskId): boolean => task === TASK;
 
-const crashesOf = ({ hosts }: EngineHarness): number =>
+const crashCountOf = ({ hosts }: EngineHarness): number =>
   hosts.reduce((sum, host) => sum + host.crashCount, 0);
 
 test("a task that crashes each worker that starts it is given up, and its job shown as failed", async () => {
   const lines: string[] = [];
-  const note = (event: string, fields?: object): void =>
+  const record = (event: string, fields?: object): void =>
     void lines.push(`${event} ${JSON.stringify(fields)}`);
-  const logger = { ...silentLogger, info: note, warn: note } as Logger;
+  const logger = { ...silentLogger, info: record, warn: record } as Logger;
   const site = await createSite(3, logger);
   site.submit(JOB, [{}]);
   await runWithCrashes(site, { crashes: isCrasher }, 20_000);
-  expect(crashesOf(site)).toEqual(2);
+  expect(crashCountOf(site)).toEqual(2);
   expect(stateOf(site, JOB)).toEqual("failed");
   const ended = lines.find((line) => line.startsWith("job.ended"));
   expect(ended?.includes(`crashed-its-workers:${TASK}`)).toEqual(true);
@@ -98,7 +98,7 @@
   const site = await createSite(3);
   site.submit(JOB, [{ lasting: true }]);
   await runWithCrashes(site, { crashes: isCrasher }, 20_000);
-  expect(crashesOf(site)).toEqual(2);
+  expect(crashCountOf(site)).toEqual(2);
   expect(stateOf(site, JOB)).toEqual("failed");
 });
 
@@ -109,7 +109,7 @@
     site.submit(id, [{ taskCount: 8 }]);
   }
   await runWithCrashes(site, { crashes: isCrasher }, 20_000);
-  expect(crashesOf(site)).toEqual(2);
+  expect(crashCountOf(site)).toEqual(2);
   for (const id of [OTHER, `${OTHER}0`, `${OTHER}1`]) {
     expect(stateOf(site, id)).not.toEqual("failed");
     const tasks = site.hosts.flatMap(({ runningTasks }) => runningTasks);
@@ -130,20 +130,20 @@
     crashers.map(() => "failed"),
   );
   expect(others.filter((id) => stateOf(site, id) === "failed")).toEqual([]);
-  expect(crashesOf(site)).toBeLessThanOrEqual(3 * crashers.length);
+  expect(crashCountOf(site)).toBeLessThanOrEqual(3 * crashers.length);
 });
 
 test("what is counted outlives the leader that counted it", async () => {
   const site = await createSite(3);
   const job = site.submit(JOB, [{}]);
   await runWithCrashes(site, { crashes: isCrasher }, 1_500);
-  expect(crashesOf(site)).toEqual(2);
-  const again = new EngineHarness({ epoch: 2 });
-  const kept = progressOf(site, JOB);
-  again.engine.addJob(job, kept && { ...kept, state: "running" });
-  await again.addHost("h9");
-  await runWithCrashes(again, { crashes: isCrasher }, 5_000);
-  expect(crashesOf(again)).toBeLessThanOrEqual(1);
+  expect(crashCountOf(site)).toEqual(2);
+  const next = new EngineHarness({ epoch: 2 });
+  const progress = progressOf(site, JOB);
+  next.engine.addJob(job, progress && { ...progress, state: "running" });
+  await next.addHost("h9");
+  await runWithCrashes(next, { crashes: isCrasher }, 5_000);
+  expect(crashCountOf(next)).toBeLessThanOrEqual(1);
 });
 
 test("a leader that ends with each crash does not have the task started for ever", async () => {
@@ -153,12 +153,12 @@
   const onCrash = (site: EngineHarness): EngineHarness => {
     changes += 1;
     // Nobody has told the first leader of the first crash.
-    return succeed(site, [job]);
+    return changeLeader(site, [job]);
   };
   const plan = { crashes: isCrasher, onCrash };
   const last = await runWithCrashes(first, plan, 60_000);
   expect(changes).toBeGreaterThan(0);
-  expect(crashesOf(last)).toBeLessThanOrEqual(MOST_CRASHES);
+  expect(crashCountOf(last)).toBeLessThanOrEqual(MOST_CRASHES);
   expect(stateOf(last, JOB)).toEqual("failed");
 });
 
@@ -170,13 +170,13 @@
     isCrasher(task) && crashed++ === 0;
   await runWithCrashes(site, { crashes }, 2_000);
   expect(progressOf(site, JOB)?.announced.length).toEqual(1);
-  const next = succeed(site, [job]);
+  const next = changeLeader(site, [job]);
   await next.run(2_000);
   const [host] = next.hosts.filter((one) => one.isRunning(TASK));
   host?.end(TASK, "done");
   await next.run(500);
   expect(stateOf(next, JOB)).toEqual("completed");
-  expect(crashesOf(next)).toEqual(1);
+  expect(crashCountOf(next)).toEqual(1);
 });
 
 test("a task that works for a while before its worker crashes is given up too", async () => {
@@ -185,7 +185,7 @@
   site.submit(OTHER, [{ taskCount: 6 }]);
   const plan = { crashes: isCrasher, afterMs: 2_000 };
   await runWithCrashes(site, plan, 40_000);
-  expect(crashesOf(site)).toEqual(3);
+  expect(crashCountOf(site)).toEqual(3);
   expect(stateOf(site, JOB)).toEqual("failed");
   expect(stateOf(site, OTHER)).not.toEqual("failed");
 });
@@ -201,7 +201,7 @@
   };
   const plan = { crashes: isCrasher, onCrash: endGang };
   await runWithCrashes(site, plan, 40_000);
-  expect(crashesOf(site)).toBeLessThanOrEqual(MOST_CRASHES);
+  expect(crashCountOf(site)).toBeLessThanOrEqual(MOST_CRASHES);
   expect(stateOf(site, JOB)).toEqual("failed");
 });
 
@@ -246,7 +246,7 @@
   const site = await createSite(3);
   site.submit(JOB, [{}]);
   await runWithCrashes(site, { crashes: isCrasher }, 300);
-  expect(crashesOf(site)).toEqual(1);
+  expect(crashCountOf(site)).toEqual(1);
   site.store.fault = "refuses";
   site.submit(OTHER, [{ taskCount: 4 }]);
   await runWithCrashes(site, { crashes: isCrasher }, 1_000);
--- a/packages/scheduling/tests/departureWithoutLeader.test.ts
+++ b/packages/scheduling/tests/departureWithoutLeader.test.ts
@@ -8,15 +8,15 @@
 const SOON_MS = (LEADERSHIP_TTL_MS + LEASE_MS) / 5;
 
 test("a worker that left while nobody led holds up no starts", async () => {
-  const former = new EngineHarness();
-  const { clock } = former;
-  const leaving = await former.addHost("h1");
-  const staying = await former.addHost("h2");
+  const previous = new EngineHarness();
+  const { clock } = previous;
+  const leaving = await previous.addHost("h1");
+  const staying = await previous.addHost("h2");
   leaving.draining = true;
-  await former.run(200);
-  const job = former.submit("j", [{}]);
-  former.isLeader = false;
-  former.engine.stop();
+  await previous.run(200);
+  const job = previous.submit("j", [{}]);
+  previous.isLeader = false;
+  previous.engine.stop();
   const roster = [leaving.host, staying.host];
   const next = new EngineHarness({ epoch: 2, roster, clock });
   next.engine.addJob(job, undefined);
--- a/packages/scheduling/tests/deregistration.test.ts
+++ b/packages/scheduling/tests/deregistration.test.ts
@@ -5,21 +5,21 @@
 import { brand, type WorkerInstance } from "@rackspan/common";
 import { EngineHarness } from "./engineHarness.js";
 
-const goodbye = async (h: EngineHarness): Promise<boolean> => {
+const deregister = async (h: EngineHarness): Promise<boolean> => {
   const host = await h.addHost("host-1");
   return h.engine.handleWorkerGone(host.host, host.instance);
 };
 
 test("the end of a worker is noted once the store's roster names its host no more", async () => {
   const h = new EngineHarness();
-  expect(await goodbye(h)).toEqual(true);
+  expect(await deregister(h)).toEqual(true);
   expect(h.roster.recordedInstance(brand("host-1"))).toEqual(undefined);
 });
 
 test("the end of a worker is not noted by a leader whose writes the store refuses", async () => {
   const h = new EngineHarness();
   h.roster.isStoreAvailable = false;
-  expect(await goodbye(h)).toEqual(false);
+  expect(await deregister(h)).toEqual(false);
 });
 
 test("the end of a worker is not noted by a leader that may decide nothing any more", async () => {
@@ -34,7 +34,7 @@
 test("the end of a life that is not the host's leaves the host as it is", async () => {
   const h = new EngineHarness();
   const host = await h.addHost("host-1");
-  const former = brand<WorkerInstance>("host-1-before");
-  expect(await h.engine.handleWorkerGone(host.host, former)).toEqual(true);
+  const previous = brand<WorkerInstance>("host-1-before");
+  expect(await h.engine.handleWorkerGone(host.host, previous)).toEqual(true);
   expect(h.roster.recordedInstance(host.host)).toEqual(host.instance);
 });
--- a/packages/scheduling/tests/duplicateStarts.test.ts
+++ b/packages/scheduling/tests/duplicateStarts.test.ts
@@ -6,7 +6,7 @@
 import { EngineHarness, taskId, type FakeHost } from "./engineHarness.js";
 
 /** Longer than a pass may be overdue. */
-const STANDSTILL_MS = 600;
+const STALL_MS = 600;
 const TASK_COUNT = 5;
 /** Of the harness's queue. */
 const MAX_ATTEMPTS = 2;
@@ -19,7 +19,7 @@
   readonly others: readonly FakeHost[];
 }
 
-const orderAtSilentHost = async (taskCount: number): Promise<Site> => {
+const orderFromSilentHost = async (taskCount: number): Promise<Site> => {
   const harness = new EngineHarness();
   const lost = await harness.addHost("h1");
   lost.answers = "held";
@@ -39,11 +39,11 @@
   startedTasks(hosts).length;
 
 test("tasks of a lost worker are started once by a leader that is short of time", async () => {
-  const { harness, lost, others } = await orderAtSilentHost(TASK_COUNT);
+  const { harness, lost, others } = await orderFromSilentHost(TASK_COUNT);
   const [next] = others;
   if (!next) throw new Error("no other host");
   harness.engine.handleWorkerGone(lost.host, lost.instance);
-  harness.clock.freeze(STANDSTILL_MS);
+  harness.clock.freeze(STALL_MS);
   harness.reportOf(next);
   expect(startCount(others)).toEqual(TASK_COUNT);
   lost.answerHeld({ kind: "replaced" });
@@ -56,9 +56,9 @@
 });
 
 test("a worker that is lost while a pass is overdue has its tasks started once", async () => {
-  const { harness, lost, others } = await orderAtSilentHost(TASK_COUNT);
+  const { harness, lost, others } = await orderFromSilentHost(TASK_COUNT);
   harness.engine.handleOperatorChange();
-  harness.clock.freeze(STANDSTILL_MS);
+  harness.clock.freeze(STALL_MS);
   harness.engine.handleWorkerGone(lost.host, lost.instance);
   lost.answerHeld({ kind: "replaced" });
   await harness.run(1_000, others);
@@ -66,7 +66,7 @@
 });
 
 /** Fails all runs of the task at once, whichever host tells of it first. */
-const failEverywhere = (hosts: readonly FakeHost[]): number => {
+const failAllRuns = (hosts: readonly FakeHost[]): number => {
   let failures = 0;
   for (const host of hosts) {
     for (; host.isRunning(TASK); failures += 1) host.end(TASK, "failed");
@@ -76,18 +76,18 @@
 
 test("a task that always fails is not started past its attempts once its worker was lost", async () => {
   for (const lastFirst of [false, true]) {
-    const { harness, lost, others } = await orderAtSilentHost(1);
+    const { harness, lost, others } = await orderFromSilentHost(1);
     harness.engine.handleWorkerGone(lost.host, lost.instance);
     await harness.run(50, others);
     lost.answerHeld({ kind: "replaced" });
     await harness.run(50, others);
-    const telling = [...others].sort((a, b) =>
+    const reporting = [...others].sort((a, b) =>
       lastFirst ? latestRun(b) - latestRun(a) : latestRun(a) - latestRun(b),
     );
     for (let failures = 0; failures < MAX_ATTEMPTS;) {
-      failures += failEverywhere(others);
+      failures += failAllRuns(others);
       const before = startCount(others);
-      for (const host of telling) {
+      for (const host of reporting) {
         harness.reportOf(host);
         await harness.clock.advance(20);
       }
--- a/packages/scheduling/tests/ejectedHosts.test.ts
+++ b/packages/scheduling/tests/ejectedHosts.test.ts
@@ -7,7 +7,7 @@
 import { EngineHarness, taskId } from "./engineHarness.js";
 
 /** Longer than a lasting task waits for hosts in service, shorter than an ejection. */
-const PATIENCE_MS = 2_500;
+const GRACE_MS = 2_500;
 
 const cores = (milliCores: number) => ({
   demand: { milliCores, memoryMiB: 10, accelerators: 0 },
@@ -21,7 +21,7 @@
   full.milliCores = 1_000;
   await harness.run(100);
   harness.submit("l", [{ lasting: true, ...cores(10_000) }]);
-  await harness.run(PATIENCE_MS);
+  await harness.run(GRACE_MS);
   expect(ejected.isRunning(taskId("l.0.0.0"))).toEqual(true);
 });
 
@@ -35,7 +35,7 @@
   expect(full.isRunning(taskId("l.0.0.0"))).toEqual(true);
   full.replaceWorker();
   full.milliCores = 1_000;
-  await harness.run(PATIENCE_MS - 200);
+  await harness.run(GRACE_MS - 200);
   expect(ejected.isRunning(taskId("l.0.0.0"))).toEqual(true);
 });
 
--- a/packages/scheduling/tests/engineHarness.ts
+++ b/packages/scheduling/tests/engineHarness.ts
@@ -100,17 +100,17 @@
   /** By run: a worker may run two of one task. */
   private running = new Map<string, RunRef>();
   /** The highest run of each task that was stopped; none up to it begins. */
-  private readonly barred = new Map<JobTaskId, RunNumber>();
+  private readonly fencedRuns = new Map<JobTaskId, RunNumber>();
   private ended: HostReport["ended"] = [];
   private ends = 0;
-  private readonly percents = new Map<JobTaskId, number>();
+  private readonly progressPercents = new Map<JobTaskId, number>();
   private readonly readings = new Map<JobTaskId, number>();
-  private readonly saved = new Map<JobTaskId, string>();
+  private readonly checkpoints = new Map<JobTaskId, string>();
 
   constructor(
     readonly host: HostId,
     private readonly clock: ManualClock,
-    public instance = firstLifeOf(host),
+    public instance = firstIncarnationOf(host),
     public milliCores = 32_000,
     readonly zone = ZONE,
   ) {}
@@ -134,7 +134,7 @@
     if (this.stopsAtOnce && this.running.has(runKeyOf(call))) {
       this.end(call.task, "stopped", call.run);
     }
-    if (this.stopsAtOnce || this.answers === "ok") this.bar(call);
+    if (this.stopsAtOnce || this.answers === "ok") this.fence(call);
     return this.answer();
   }
 
@@ -149,7 +149,7 @@
 
   /** The worker carries the order out late, unless a stop has barred the run. */
   startLate({ task, run }: RunRef): void {
-    if (run <= (this.barred.get(task) ?? 0)) return;
+    if (run <= (this.fencedRuns.get(task) ?? 0)) return;
     this.running.set(runKeyOf({ task, run }), { task, run });
   }
 
@@ -157,7 +157,7 @@
   end(task: JobTaskId, outcome: RunOutcome, run = this.runOf(task)): void {
     if (run === undefined) throw new Error(`${task} does not run`);
     this.running.delete(runKeyOf({ task, run }));
-    this.bar({ task, run });
+    this.fence({ task, run });
     this.ends += 1;
     this.ended.push({
       number: this.ends,
@@ -176,11 +176,11 @@
 
   /** The running task has saved its progress. */
   saveCheckpoint(task: JobTaskId, checkpoint: string): void {
-    this.saved.set(task, checkpoint);
+    this.checkpoints.set(task, checkpoint);
   }
 
   setProgress(task: JobTaskId, percent: number): void {
-    this.percents.set(task, percent);
+    this.progressPercents.set(task, percent);
   }
 
   /** The tail of a serving task, or the processor time of another; see TaskHost. */
@@ -196,7 +196,7 @@
     }
     this.instance = brand<WorkerInstance>(`${this.instance}x`);
     this.running.clear();
-    this.barred.clear();
+    this.fencedRuns.clear();
     this.ended = [];
     this.ends = 0;
   }
@@ -220,10 +220,10 @@
    * the answers alone, so that the tests of these stand for themselves.
    */
   reportTo(epoch: number): HostReport {
-    const isFormer = (call: StartTaskCall): boolean =>
+    const isOfPreviousLeader = (call: StartTaskCall): boolean =>
       Number(call.epoch) < epoch;
     const open = this.held.flatMap(({ start }) =>
-      start && isFormer(start) ? [runKeyOf(start)] : [],
+      start && isOfPreviousLeader(start) ? [runKeyOf(start)] : [],
     );
     const report = this.report();
     return {
@@ -231,7 +231,7 @@
       lostRuns: report.lostRuns.map((lost) =>
         open.includes(runKeyOf(lost)) ? { ...lost, isOrderOpen: true } : lost,
       ),
-      neverBegun: this.neverBegun.filter(isFormer),
+      neverBegun: this.neverBegun.filter(isOfPreviousLeader),
     };
   }
 
@@ -252,8 +252,8 @@
       running: this.runs.map(({ task, run }) => ({
         task,
         run,
-        checkpoint: this.saved.get(task) ?? "",
-        progressPercent: this.percents.get(task) ?? 90,
+        checkpoint: this.checkpoints.get(task) ?? "",
+        progressPercent: this.progressPercents.get(task) ?? 90,
         reading: this.readings.get(task) ?? 0,
       })),
       ended: this.ended.slice(0, MAX_LISTED_ENDS),
@@ -266,16 +266,16 @@
 
   /** The answers to all orders held so far arrive now. */
   answerHeld(result: HostCallResult): void {
-    const isNotBegun = ["refused", "replaced", "draining"].includes(
+    const isNeverStarted = ["refused", "replaced", "draining"].includes(
       result.kind,
     );
     for (const { start, resolve } of this.held.splice(0)) {
-      if (start && isNotBegun) this.noteNotBegun(start);
+      if (start && isNeverStarted) this.recordNeverStarted(start);
       resolve(result);
     }
   }
 
-  private noteNotBegun(start: StartTaskCall): void {
+  private recordNeverStarted(start: StartTaskCall): void {
     this.neverBegun.push(start);
     const key = runKeyOf(start);
     this.lostRuns = this.lostRuns.filter((lost) => runKeyOf(lost) !== key);
@@ -289,9 +289,9 @@
       openKeys.has(runKeyOf(lost)),
     );
     this.unheardEnds = [];
-    const told = new Set(neverBegun.map(runKeyOf));
+    const reported = new Set(neverBegun.map(runKeyOf));
     this.neverBegun = this.neverBegun.filter(
-      (call) => !told.has(runKeyOf(call)),
+      (call) => !reported.has(runKeyOf(call)),
     );
   }
 
@@ -304,8 +304,8 @@
     return runs.find((run) => run.task === task)?.run;
   }
 
-  private bar({ task, run }: RunRef): void {
-    if (run > (this.barred.get(task) ?? 0)) this.barred.set(task, run);
+  private fence({ task, run }: RunRef): void {
+    if (run > (this.fencedRuns.get(task) ?? 0)) this.fencedRuns.set(task, run);
   }
 
   private answer(): HostCallResult {
@@ -325,7 +325,7 @@
   }
 }
 
-const firstLifeOf = (host: HostId): WorkerInstance =>
+const firstIncarnationOf = (host: HostId): WorkerInstance =>
   brand<WorkerInstance>(`${host}-1`);
 
 class FakeRoster implements HostRoster {
@@ -334,8 +334,10 @@
   private readonly hosts: Map<HostId, WorkerInstance>;
 
   /** @param former hosts in whose first life a former leader may have left leases */
-  constructor(former: readonly HostId[]) {
-    this.hosts = new Map(former.map((host) => [host, firstLifeOf(host)]));
+  constructor(previousHosts: readonly HostId[]) {
+    this.hosts = new Map(
+      previousHosts.map((host) => [host, firstIncarnationOf(host)]),
+    );
   }
 
   async persist(host: HostId, instance: WorkerInstance): Promise<void> {
--- a/packages/scheduling/tests/evacuatedZones.test.ts
+++ b/packages/scheduling/tests/evacuatedZones.test.ts
@@ -126,6 +126,6 @@
   const [order] = here[0]?.starts ?? [];
   const { at } = here[0] ?? {};
   // Worker clocks run up to 2 % slow.
-  const lapsesInMs = 1.02 * ((order?.leaseUntil ?? 0) - (at ?? 0));
-  expect(lapsesInMs).toBeLessThan(5_000 - LEADERSHIP_TTL_MS);
+  const expiresInMs = 1.02 * ((order?.leaseUntil ?? 0) - (at ?? 0));
+  expect(expiresInMs).toBeLessThan(5_000 - LEADERSHIP_TTL_MS);
 });
--- a/packages/scheduling/tests/gangAttempts.test.ts
+++ b/packages/scheduling/tests/gangAttempts.test.ts
@@ -37,7 +37,7 @@
 const runCount = ({ hosts }: EngineHarness): number =>
   new Set(hosts.flatMap(({ starts }) => starts.map(({ run }) => run))).size;
 
-const keptState = ({ store }: EngineHarness): JobStateName | undefined => {
+const persistedState = ({ store }: EngineHarness): JobStateName | undefined => {
   const record = store.recordsOf(TOPICS.progress).at(-1);
   if (!record?.value) return undefined;
   return decodeProgress(JOB as never, record.value).state;
@@ -49,12 +49,12 @@
   expect(runCount(site)).toEqual(2);
   await breakGang(site, 1);
   expect(runCount(site)).toEqual(2);
-  expect(keptState(site)).toEqual("failed");
+  expect(persistedState(site)).toEqual("failed");
 });
 
 test("a gang of which two members fail in one run has failed once", async () => {
   const site = await gangOnTwoHosts();
   await breakGang(site, 0, 2);
   expect(runCount(site)).toEqual(2);
-  expect(keptState(site)).toEqual("running");
+  expect(persistedState(site)).toEqual("running");
 });
--- a/packages/scheduling/tests/inconclusiveCrashes.test.ts
+++ b/packages/scheduling/tests/inconclusiveCrashes.test.ts
@@ -19,15 +19,23 @@
 /** Crashes that may give a task up without proof. */
 const MOST_CRASHES = 4;
 
-type Told = Pick<LostRun, "workedMs" | "wasAtWork" | "orderedMs">;
+type ReportedState = Pick<LostRun, "workedMs" | "wasAtWork" | "orderedMs">;
 
 /** It was looked at all the time, and was far from its end. */
-const AT_WORK: Told = { workedMs: 90, wasAtWork: true, orderedMs: 100 };
+const AT_WORK: ReportedState = {
+  workedMs: 90,
+  wasAtWork: true,
+  orderedMs: 100,
+};
 /** Last shown early, and due when the look at its worker broke off. */
-const DUE: Told = { workedMs: 90, wasAtWork: true, orderedMs: 635 };
+const END_DUE: ReportedState = {
+  workedMs: 90,
+  wasAtWork: true,
+  orderedMs: 635,
+};
 
 /** After the time for which proof waits for other workers that are lost. */
-const judgedStateOf = async (
+const finalStateOf = async (
   site: EngineHarness,
 ): Promise<string | undefined> => {
   await site.run(1_700);
@@ -35,12 +43,15 @@
 };
 
 /** The worker of the task ends; its side tells that of the task. */
-const loseWorker = async (site: EngineHarness, told: Told): Promise<void> => {
+const crashWorker = async (
+  site: EngineHarness,
+  state: ReportedState,
+): Promise<void> => {
   const host = await hostOfTask(site);
   await site.run(100);
   host.replaceWorker();
   host.lostRuns = host.lostRuns.map((lost) =>
-    lost.task === TASK ? { ...lost, ...told } : lost,
+    lost.task === TASK ? { ...lost, ...state } : lost,
   );
   await site.run(100);
 };
@@ -48,8 +59,8 @@
 test("a run that was due when the look at its worker broke off is no proof against its task", async () => {
   const site = await createSite(3);
   site.submit(JOB, [{ estimateMs: ESTIMATE_MS }]);
-  await loseWorker(site, AT_WORK);
-  await loseWorker(site, DUE);
+  await crashWorker(site, AT_WORK);
+  await crashWorker(site, END_DUE);
   expect(evidenceOf(site)).toEqual(["young", "unanswered"]);
   const host = await hostOfTask(site);
   host.end(TASK, "done");
@@ -61,16 +72,16 @@
 test("a run that was lost after a third of its expected time is no proof against its task", async () => {
   const site = await createSite(3);
   site.submit(JOB, [{ estimateMs: ESTIMATE_MS }]);
-  await loseWorker(site, AT_WORK);
-  await loseWorker(site, { ...DUE, orderedMs: ESTIMATE_MS / 3 });
+  await crashWorker(site, AT_WORK);
+  await crashWorker(site, { ...END_DUE, orderedMs: ESTIMATE_MS / 3 });
   expect(evidenceOf(site)).toEqual(["young", "unanswered"]);
 });
 
 test("a task whose runs had ended unheard of under two workers that ended by chance is started again", async () => {
   const site = await createSite(3);
   site.submit(JOB, [{ estimateMs: ESTIMATE_MS }]);
-  await loseWorker(site, DUE);
-  await loseWorker(site, DUE);
+  await crashWorker(site, END_DUE);
+  await crashWorker(site, END_DUE);
   const host = await hostOfTask(site);
   host.end(TASK, "done");
   await site.run(500);
@@ -82,7 +93,7 @@
   site.submit(JOB, [{ estimateMs: ESTIMATE_MS }]);
   let crashes = 0;
   while (stateOf(site) !== "failed" && crashes <= MOST_CRASHES) {
-    await loseWorker(site, DUE);
+    await crashWorker(site, END_DUE);
     crashes += 1;
   }
   expect(crashes).toEqual(MOST_CRASHES);
@@ -91,12 +102,12 @@
 test("after one crash at work two more that cannot be told give the task up", async () => {
   const site = await createSite(3);
   site.submit(JOB, [{ estimateMs: ESTIMATE_MS }]);
-  await loseWorker(site, AT_WORK);
-  await loseWorker(site, DUE);
+  await crashWorker(site, AT_WORK);
+  await crashWorker(site, END_DUE);
   await hostOfTask(site);
   expect(stateOf(site)).not.toEqual("failed");
-  await loseWorker(site, DUE);
-  expect(await judgedStateOf(site)).toEqual("failed");
+  await crashWorker(site, END_DUE);
+  expect(await finalStateOf(site)).toEqual("failed");
 });
 
 test("runs beside one that began apart go free although that one may have ended", async () => {
@@ -104,9 +115,9 @@
   site.submit(OTHER, [{ lasting: true, taskCount: 3, maxPerHost: 1 }]);
   await site.run(1_000);
   site.submit(JOB, [{ estimateMs: ESTIMATE_MS }]);
-  await loseWorker(site, AT_WORK);
+  await crashWorker(site, AT_WORK);
   expect(evidenceOf(site, OTHER)).toEqual(["settled"]);
-  await loseWorker(site, DUE);
+  await crashWorker(site, END_DUE);
   expect(evidenceOf(site)).toEqual(["young", "unanswered"]);
   expect(evidenceOf(site, OTHER)).toEqual(["settled"]);
 });
@@ -114,10 +125,10 @@
 test("a lasting task is at work however long ago it was ordered", async () => {
   const site = await createSite(3);
   site.submit(JOB, [{ lasting: true }]);
-  await loseWorker(site, { ...DUE, orderedMs: 600_000 });
-  await loseWorker(site, { ...DUE, orderedMs: 600_000 });
+  await crashWorker(site, { ...END_DUE, orderedMs: 600_000 });
+  await crashWorker(site, { ...END_DUE, orderedMs: 600_000 });
   expect(evidenceOf(site)).toEqual(["young", "sole"]);
-  expect(await judgedStateOf(site)).toEqual("failed");
+  expect(await finalStateOf(site)).toEqual("failed");
 });
 
 test("a run that went on from a checkpoint may have had little left to do", async () => {
@@ -126,13 +137,13 @@
   const host = await hostOfTask(site);
   host.saveCheckpoint(TASK, "nearly done");
   await site.run(2_000);
-  for (let crash = 0; crash < 3; crash += 1) await loseWorker(site, AT_WORK);
+  for (let crash = 0; crash < 3; crash += 1) await crashWorker(site, AT_WORK);
   expect(evidenceOf(site)).toEqual(["settled", "young", "unanswered"]);
-  expect(await judgedStateOf(site)).not.toEqual("failed");
+  expect(await finalStateOf(site)).not.toEqual("failed");
 });
 
 /** The worker lists the run's end, and crashes before its leader takes note of that. */
-const loseEnd = async (site: EngineHarness): Promise<FakeHost> => {
+const crashAfterEnd = async (site: EngineHarness): Promise<FakeHost> => {
   const host = await hostOfTask(site);
   await site.run(100);
   host.replaceWorker();
@@ -146,7 +157,7 @@
   const site = await createSite(3);
   site.submit(JOB, [{ estimateMs: ESTIMATE_MS }]);
   for (let end = 0; end <= MOST_CRASHES; end += 1) {
-    await loseEnd(site);
+    await crashAfterEnd(site);
     await site.run(100);
   }
   expect(evidenceOf(site)).toEqual([]);
@@ -161,7 +172,7 @@
   site.submit(JOB, [{ estimateMs: ESTIMATE_MS }]);
   const host = await hostOfTask(site);
   const { instance } = host;
-  await loseEnd(site);
+  await crashAfterEnd(site);
   const { unheardEnds } = host;
   void site.engine.handleWorkerGone(host.host, instance, [], unheardEnds);
   await site.run(100, []);
@@ -173,9 +184,9 @@
   site.submit(OTHER, [{ lasting: true, taskCount: 3, maxPerHost: 1 }]);
   await site.run(1_000);
   site.submit(JOB, [{ estimateMs: ESTIMATE_MS }]);
-  await loseWorker(site, AT_WORK);
+  await crashWorker(site, AT_WORK);
   expect(evidenceOf(site, OTHER)).toEqual(["settled"]);
-  await loseEnd(site);
+  await crashAfterEnd(site);
   await site.run(100);
   expect(evidenceOf(site)).toEqual(["young"]);
   expect(evidenceOf(site, OTHER)).toEqual(["settled", "settled"]);
--- a/packages/scheduling/tests/isolatedStartOrder.test.ts
+++ b/packages/scheduling/tests/isolatedStartOrder.test.ts
@@ -11,7 +11,7 @@
 const LARGE_MS = 120_000;
 
 /** What a former leader has kept of a job under whose task a worker has crashed. */
-const SUSPECTED: ProgressRecord = {
+const SUSPECT_PROGRESS: ProgressRecord = {
   ...BEGUN_PROGRESS,
   crashes: [["0.0.0", [[7, "young"]]]],
 };
@@ -23,7 +23,7 @@
 ): void => {
   const acceptedAt = site.clock.now();
   const job = plainJob({ id, steps: [{ estimateMs }], acceptedAt });
-  site.engine.addJob(job, SUSPECTED);
+  site.engine.addJob(job, SUSPECT_PROGRESS);
 };
 
 // Turns go by how long a suspect has waited, not by worth alone.
--- a/packages/scheduling/tests/lateStartAnswers.test.ts
+++ b/packages/scheduling/tests/lateStartAnswers.test.ts
@@ -41,14 +41,14 @@
     .length;
 
 /** Answers which say that the run never begins. */
-const NEVER_BEGINS: readonly HostCallResult[] = [
+const NEVER_STARTS: readonly HostCallResult[] = [
   { kind: "replaced" },
   { kind: "draining" },
   { kind: "refused", reason: "no-room" },
 ];
 
 test("an answer that comes after its run was lost leaves the next run alone", async () => {
-  for (const answer of NEVER_BEGINS) {
+  for (const answer of NEVER_STARTS) {
     const { harness, lost, next, spare } = await loseUnansweredStart();
     lost.answerHeld(answer);
     await harness.run(1_000, [next, spare]);
@@ -72,9 +72,9 @@
   const { harness, lost, next, spare, lines } = await loseUnansweredStart();
   lost.answerHeld({ kind: "replaced" });
   await harness.run(300, [next, spare]);
-  const givenBack = lines.filter((line) => line.includes("task.given-back"));
-  expect(givenBack.length).toEqual(1);
-  for (const line of givenBack) {
+  const returned = lines.filter((line) => line.includes("task.given-back"));
+  expect(returned.length).toEqual(1);
+  for (const line of returned) {
     const run = / run=(\d+)/.exec(line)?.[1];
     expect(/ currentRun=(\d+)/.exec(line)?.[1]).toEqual(run);
   }
@@ -86,15 +86,15 @@
 /** Ends runs that have lasted their time: the first failing ones as failed, the others as done. */
 const endDue = (
   hosts: readonly FakeHost[],
-  begunAt: Map<number, number>,
+  startTimes: Map<number, number>,
   now: number,
   failing: Set<number>,
 ): void => {
   for (const host of hosts) {
     for (const { task, run } of host.runs) {
-      const began = begunAt.get(run) ?? now;
-      begunAt.set(run, began);
-      if (now - began < RUN_MS) continue;
+      const startedAt = startTimes.get(run) ?? now;
+      startTimes.set(run, startedAt);
+      if (now - startedAt < RUN_MS) continue;
       host.end(task, failing.delete(run) ? "failed" : "done", run);
     }
   }
@@ -111,10 +111,10 @@
   await harness.clock.advance(10);
   lost.answerHeld({ kind: "replaced" });
   await harness.clock.advance(10);
-  const begunAt = new Map<number, number>();
+  const startTimes = new Map<number, number>();
   const failing = new Set([latestRunOf(others)]);
   for (let step = 0; step < 80; step += 1) {
-    endDue(others, begunAt, harness.clock.monotonic(), failing);
+    endDue(others, startTimes, harness.clock.monotonic(), failing);
     await harness.run(50, others);
   }
   // The one that fails, and the one that is done.
--- a/packages/scheduling/tests/leaderLog.test.ts
+++ b/packages/scheduling/tests/leaderLog.test.ts
@@ -7,7 +7,7 @@
 
 const ANSWER_MS = 70;
 /** Longer than a timer may be late without a line. */
-const FREEZE_MS = 700;
+const STALL_MS = 700;
 /** A wait of a second and more. */
 const LONG_WAIT = /rackspan_longest_wait_ms\{kind="plain"\} \d{4}/;
 
@@ -47,7 +47,7 @@
   const { harness, lines } = harnessWithLog();
   await harness.run(1_000);
   expect(linesOf(lines, "engine.late")).toEqual([]);
-  harness.clock.freeze(FREEZE_MS);
+  harness.clock.freeze(STALL_MS);
   await harness.run(1_000);
   expect(linesOf(lines, "engine.late").length).toEqual(1);
 });
--- a/packages/scheduling/tests/neverStartedRuns.test.ts
+++ b/packages/scheduling/tests/neverStartedRuns.test.ts
@@ -30,16 +30,16 @@
   ],
 };
 
-const orderedAt = (site: EngineHarness): FakeHost | undefined =>
+const hostWithOrder = (site: EngineHarness): FakeHost | undefined =>
   site.hosts.find(
     ({ answers, starts }) =>
       answers === "held" && starts.some(({ task }) => task === TASK),
   );
 
 /** The worker crashes beside the running task; later orders are answered in that way. */
-const loseRunning = async (
+const crashWorker = async (
   site: EngineHarness,
-  told: Partial<LostRun>,
+  state: Partial<LostRun>,
   answers: FakeHost["answers"] = "ok",
 ): Promise<void> => {
   const host = await hostOfTask(site);
@@ -49,21 +49,21 @@
   host.lostRuns = host.lostRuns.map((lost) => ({
     ...lost,
     workedMs: 90,
-    ...told,
+    ...state,
   }));
   await site.run(100);
 };
 
 /** The worker crashes while the order has no answer, which arrives after that. */
-const crashUnderOrder = async (
+const crashDuringOrder = async (
   site: EngineHarness,
   answer: HostCallResult | undefined,
-  told: Partial<LostRun> = {},
+  state: Partial<LostRun> = {},
 ): Promise<void> => {
-  const host = orderedAt(site);
+  const host = hostWithOrder(site);
   const order = host?.starts.findLast(({ task }) => task === TASK);
   if (!host || !order) throw new Error("the task was not ordered");
-  const lost = { task: TASK, run: order.run, wasAtWork: false, ...told };
+  const lost = { task: TASK, run: order.run, wasAtWork: false, ...state };
   // Its next run goes elsewhere.
   host.answers = "ok";
   for (const other of site.hosts) if (other !== host) other.answers = "held";
@@ -79,7 +79,7 @@
   for (const host of site.hosts) host.answers = "held";
   site.submit(JOB, [{ estimateMs: 500 }]);
   await site.run(100);
-  await crashUnderOrder(site, { kind: "replaced" });
+  await crashDuringOrder(site, { kind: "replaced" });
   expect(evidenceOf(site)).toEqual([]);
 });
 
@@ -88,18 +88,18 @@
   for (const host of site.hosts) host.answers = "held";
   site.submit(JOB, [{ estimateMs: 500 }]);
   await site.run(100);
-  await crashUnderOrder(site, { kind: "silent" });
+  await crashDuringOrder(site, { kind: "silent" });
   expect(evidenceOf(site)).toEqual(["unseen"]);
 });
 
 test("a task is not given up before the order to its last run is answered", async () => {
   const site = await createSite(4);
   site.submit(JOB, [{ estimateMs: 500 }]);
-  await loseRunning(site, { orderedMs: 100 });
-  await loseRunning(site, { orderedMs: 635 }, "held");
+  await crashWorker(site, { orderedMs: 100 });
+  await crashWorker(site, { orderedMs: 635 }, "held");
   expect(evidenceOf(site)).toEqual(["young", "unanswered"]);
   await site.run(200);
-  await crashUnderOrder(site, undefined, { wasAtWork: true, orderedMs: 10 });
+  await crashDuringOrder(site, undefined, { wasAtWork: true, orderedMs: 10 });
   expect(evidenceOf(site)).toEqual(["young", "unanswered"]);
   expect(stateOf(site)).toEqual("running");
   for (const host of site.hosts) host.answerHeld({ kind: "replaced" });
@@ -113,7 +113,7 @@
   for (const host of site.hosts) host.answers = "held";
   site.submit(JOB, [{ estimateMs: 500 }]);
   await site.run(100);
-  await crashUnderOrder(site, { kind: "silent" }, { orderedMs: -40 });
+  await crashDuringOrder(site, { kind: "silent" }, { orderedMs: -40 });
   expect(evidenceOf(site)).toEqual(["unknown"]);
 });
 
@@ -128,7 +128,7 @@
 };
 
 /** The next leader, to which all sides attach at once. */
-const leadNext = (
+const startNextLeader = (
   site: EngineHarness,
   job: AcceptedJob,
   progress: ProgressRecord | undefined,
@@ -145,7 +145,7 @@
   return next;
 };
 
-const loseOrdered = (host: FakeHost): void => {
+const crashAfterOrder = (host: FakeHost): void => {
   const { task, run } = host.starts.at(-1) ?? {};
   if (task === undefined || run === undefined) throw new Error("no order");
   host.replaceWorker();
@@ -155,14 +155,14 @@
 test("a run whose order is open when its leader ends gives no task up at the next leader", async () => {
   const site = await createSite(3);
   const job = await orderNearLimit(site);
-  const host = orderedAt(site);
+  const host = hostWithOrder(site);
   if (!host) throw new Error("the task was not ordered");
-  loseOrdered(host);
+  crashAfterOrder(host);
   await site.run(300);
   site.isLeader = false;
   site.engine.stop();
   host.answerHeld({ kind: "replaced" });
-  const next = leadNext(site, job, progressOf(site));
+  const next = startNextLeader(site, job, progressOf(site));
   await next.run(3_000);
   expect(stateOf(next)).toEqual("running");
 });
@@ -170,9 +170,9 @@
 test("an answer that came does not shorten the wait for that of the next order", async () => {
   const site = await createSite(4);
   await orderNearLimit(site);
-  const first = orderedAt(site);
+  const first = hostWithOrder(site);
   if (!first) throw new Error("the task was not ordered");
-  loseOrdered(first);
+  crashAfterOrder(first);
   await site.run(300);
   first.answerHeld({ kind: "replaced" });
   await site.run(300);
@@ -180,7 +180,7 @@
     (host) => host.starts.length > (host === first ? 1 : 0),
   );
   if (!second) throw new Error("the task was not ordered again");
-  loseOrdered(second);
+  crashAfterOrder(second);
   await site.run(1_700);
   second.answerHeld({ kind: "replaced" });
   await site.run(300);
@@ -190,13 +190,13 @@
 test("a run that a side tells a new leader of while its order is open gives no task up", async () => {
   const site = await createSite(3);
   const job = await orderNearLimit(site);
-  const host = orderedAt(site);
+  const host = hostWithOrder(site);
   if (!host) throw new Error("the task was not ordered");
   const progress = progressOf(site);
   site.isLeader = false;
   site.engine.stop();
-  loseOrdered(host);
-  const next = leadNext(site, job, progress);
+  crashAfterOrder(host);
+  const next = startNextLeader(site, job, progress);
   await next.run(60);
   host.answerHeld({ kind: "replaced" });
   await next.run(3_000);
@@ -204,19 +204,19 @@
 });
 
 /** A side tells the next leader of the run while it still repeats the order to it. */
-const tellNextWhileOpen = async (): Promise<{
+const reportWhileOpen = async (): Promise<{
   readonly next: EngineHarness;
   readonly host: FakeHost;
 }> => {
   const site = await createSite(3);
   const job = await orderNearLimit(site);
-  const host = orderedAt(site);
+  const host = hostWithOrder(site);
   if (!host) throw new Error("the task was not ordered");
   const progress = progressOf(site);
   site.isLeader = false;
   site.engine.stop();
-  loseOrdered(host);
-  const next = leadNext(site, job, progress);
+  crashAfterOrder(host);
+  const next = startNextLeader(site, job, progress);
   await next.run(1_000);
   return { next, host };
 };
@@ -226,7 +226,7 @@
     .length;
 
 test("a task that an open order may give up starts no more until the order is over", async () => {
-  const { next, host } = await tellNextWhileOpen();
+  const { next, host } = await reportWhileOpen();
   expect(startsOf(next)).toEqual(1);
   expect(stateOf(next)).toEqual("running");
   host.answerHeld({ kind: "silent" });
@@ -236,7 +236,7 @@
 });
 
 test("a task is given up where its side does not tell what came of an open order", async () => {
-  const { next } = await tellNextWhileOpen();
+  const { next } = await reportWhileOpen();
   await next.run(1_000, []);
   expect(stateOf(next)).toEqual("failed");
   expect(startsOf(next)).toEqual(1);
@@ -245,7 +245,7 @@
 test("an open order that its leader gave over a former connection gives no task up", async () => {
   const site = await createSite(3);
   await orderNearLimit(site);
-  const host = orderedAt(site);
+  const host = hostWithOrder(site);
   const order = host?.starts.at(-1);
   if (!host || !order) throw new Error("the task was not ordered");
   site.engine.attach(host.host, host);
@@ -266,7 +266,7 @@
 });
 
 test("a run that a side tells of as never begun while its worker is silent is taken back", async () => {
-  const { next, host } = await tellNextWhileOpen();
+  const { next, host } = await reportWhileOpen();
   const { task, run } = host.starts[0] ?? {};
   if (task === undefined || run === undefined) throw new Error("no order");
   next.engine.handleWorkerSilent(host.host, undefined, [{ task, run }]);
--- a/packages/scheduling/tests/oneRunProperty.test.ts
+++ b/packages/scheduling/tests/oneRunProperty.test.ts
@@ -21,11 +21,11 @@
 const HOSTS = 3;
 const TASKS_PER_JOB = 4;
 /** Longer than an unanswered order lasts. */
-const CALM_MS = 6_000;
+const RECOVERY_MS = 6_000;
 /** A leader has kept what it was told by then. */
-const KEPT_BY_MS = 30;
+const PERSISTENCE_MS = 30;
 /** Seeds are named so that a failure can be played again. */
-const PLAYED = { seed: 1, numRuns: 150 } as const;
+const PROPERTY_OPTIONS = { seed: 1, numRuns: 150 } as const;
 
 /** An order that its side has not answered yet. */
 interface OpenOrder {
@@ -36,14 +36,14 @@
 }
 
 /** A host whose orders arrive, and are answered, when the play says so. */
-class SlowHost extends FakeHost {
+class DelayedHost extends FakeHost {
   /** Highest that the worker has heard; it refuses what bears a lower one. */
   private epoch = 0;
   /** What the worker showed last, while its leader has not been told. */
-  private shown: HostReport | undefined;
+  private polled: HostReport | undefined;
   private orders: OpenOrder[] = [];
   /** Orders whose answers were given up; the worker may yet carry them out. */
-  private readonly silent: OpenOrder[] = [];
+  private readonly timedOut: OpenOrder[] = [];
 
   override startTask(call: StartTaskCall): Promise<HostCallResult> {
     this.starts.push(call);
@@ -53,48 +53,48 @@
   }
 
   /** The side looks at the worker, and tells the leader later. */
-  look(epoch: number): void {
+  poll(epoch: number): void {
     this.epoch = epoch;
-    this.shown = this.report();
+    this.polled = this.report();
   }
 
   /** What the leader is told: the last look, or one of now. */
-  takeShown(epoch: number): HostReport {
-    if (!this.shown) this.look(epoch);
-    const shown = this.shown as HostReport;
-    this.shown = undefined;
-    const ended = shown.ended.filter(
+  takePolled(epoch: number): HostReport {
+    if (!this.polled) this.poll(epoch);
+    const polled = this.polled as HostReport;
+    this.polled = undefined;
+    const ended = polled.ended.filter(
       ({ number }) => number > this.acknowledged,
     );
-    return { ...shown, ended };
+    return { ...polled, ended };
   }
 
   /** The side reports no look of before it attached, or of a former life. */
-  forgetShown(): void {
-    this.shown = undefined;
+  dropPolled(): void {
+    this.polled = undefined;
   }
 
   override replaceWorker(): void {
     super.replaceWorker();
-    this.forgetShown();
+    this.dropPolled();
     this.acknowledged = 0;
     this.epoch = 0;
   }
 
   /** @param isGivenUp whether its side has given the order up */
   arrive(pick: number, isGivenUp: boolean): void {
-    const orders = isGivenUp ? this.silent : this.orders;
+    const orders = isGivenUp ? this.timedOut : this.orders;
     const open = orders.filter(({ outcome }) => outcome === undefined);
-    const order = chosen(open, pick);
-    if (order) order.outcome = this.carryOut(order.call);
+    const order = pickFrom(open, pick);
+    if (order) order.outcome = this.execute(order.call);
   }
 
   /** An order is answered: with what the worker has said, if that is known. */
   answerOne(pick: number, isKnown: boolean): void {
-    const order = chosen(this.orders, pick);
+    const order = pickFrom(this.orders, pick);
     if (!order) return;
     this.orders = this.orders.filter((other) => other !== order);
-    if (!order.outcome) this.silent.push(order);
+    if (!order.outcome) this.timedOut.push(order);
     order.resolve(isKnown && order.outcome ? order.outcome : SILENT);
   }
 
@@ -105,14 +105,16 @@
     }
   }
 
-  private carryOut(call: StartTaskCall): HostCallResult {
+  private execute(call: StartTaskCall): HostCallResult {
     if (call.instance !== this.instance) return { kind: "replaced" };
     if (call.epoch < this.epoch) return { kind: "refused", reason: "fenced" };
     if (this.draining) return { kind: "draining" };
     if (call.leaseUntil < this.at) return { kind: "refused", reason: "late" };
     this.startLate(call);
-    const hasBegun = this.runs.some((run) => runKeyOf(run) === runKeyOf(call));
-    return hasBegun
+    const hasStarted = this.runs.some(
+      (run) => runKeyOf(run) === runKeyOf(call),
+    );
+    return hasStarted
       ? { kind: "ok", at: this.at }
       : { kind: "refused", reason: "old-run" };
   }
@@ -120,7 +122,7 @@
 
 const SILENT: HostCallResult = { kind: "silent" };
 
-const chosen = <T>(items: readonly T[], pick: number): T | undefined =>
+const pickFrom = <T>(items: readonly T[], pick: number): T | undefined =>
   items[pick % Math.max(1, items.length)];
 
 const pick = fc.nat(20);
@@ -179,7 +181,7 @@
   }),
 );
 type Event = typeof eventArbitrary extends fc.Arbitrary<infer T> ? T : never;
-type StartAfterLook = Extract<Event, { kind: "start-after-look" }>;
+type StartAfterPoll = Extract<Event, { kind: "start-after-look" }>;
 type PlainEvent = Exclude<
   Event,
   { kind: "pass" | "change-leader" | "start-after-look" }
@@ -195,24 +197,24 @@
 
 const TERMS = { maxAttempts: 50 } as const;
 
-class Play {
+class Simulation {
   /** Second runs, runs of tasks that are done, and runs of cancelled jobs. */
-  readonly faults: string[] = [];
+  readonly violations: string[] = [];
   private harness = new EngineHarness({ terms: TERMS });
-  private readonly hosts: SlowHost[] = [];
+  private readonly hosts: DelayedHost[] = [];
   /** Lives that are over, and of which the leader may be told again. */
-  private readonly gone: [SlowHost, WorkerInstance][] = [];
+  private readonly gone: [DelayedHost, WorkerInstance][] = [];
   /** Tasks that the leader was told are done. */
   private readonly done = new Set<JobTaskId>();
   /** A worker whose clock has not gone on has answered nothing new. */
-  private readonly reportedAt = new Map<SlowHost, WorkerTime>();
+  private readonly reportedAt = new Map<DelayedHost, WorkerTime>();
   private readonly jobs: AcceptedJob[] = [];
   private readonly cancelled = new Set<AcceptedJob>();
 
-  async begin(): Promise<void> {
+  async start(): Promise<void> {
     for (let number = 1; number <= HOSTS; number += 1) {
       const id = `h${number}` as unknown as FakeHost["host"];
-      const each = new SlowHost(
+      const each = new DelayedHost(
         id,
         this.harness.clock,
         undefined,
@@ -222,32 +224,32 @@
       this.hosts.push(each);
       this.harness.engine.attach(each.host, each);
     }
-    await this.pass(200);
+    await this.advance(200);
   }
 
-  async take({ event, thenMs }: Step): Promise<void> {
-    if (event.kind === "pass") await this.pass(event.ms);
+  async apply({ event, thenMs }: Step): Promise<void> {
+    if (event.kind === "pass") await this.advance(event.ms);
     else if (event.kind === "change-leader") await this.changeLeader();
     else if (event.kind === "start-after-look")
-      await this.startAfterLook(event);
-    else this.befall(event);
+      await this.startAfterPoll(event);
+    else this.applyEvent(event);
     await this.harness.clock.advance(thenMs);
-    this.look();
+    this.checkInvariants();
   }
 
-  async calmDown(): Promise<void> {
-    for (let at = 0; at < CALM_MS; at += 100) {
+  async recover(): Promise<void> {
+    for (let at = 0; at < RECOVERY_MS; at += 100) {
       for (const each of this.hosts) {
         each.draining = false;
         each.answerAll();
       }
-      await this.pass(100);
-      this.look();
+      await this.advance(100);
+      this.checkInvariants();
     }
-    this.findUnasked();
+    this.checkCancelledJobs();
   }
 
-  private befall(event: PlainEvent): void {
+  private applyEvent(event: PlainEvent): void {
     switch (event.kind) {
       case "submit":
         return this.submit();
@@ -259,16 +261,16 @@
       case "end":
         return this.endRun(event.pick, event.outcome);
       case "tell-gone": {
-        const told = chosen(this.gone, event.pick);
-        if (told) this.tellGone(...told);
+        const ended = pickFrom(this.gone, event.pick);
+        if (ended) this.reportGone(...ended);
         return;
       }
       default:
-        this.befallHost(this.hosts[event.host] as SlowHost, event);
+        this.applyHostEvent(this.hosts[event.host] as DelayedHost, event);
     }
   }
 
-  private befallHost(at: SlowHost, event: HostEvent): void {
+  private applyHostEvent(at: DelayedHost, event: HostEvent): void {
     switch (event.kind) {
       case "arrive":
         return at.arrive(event.pick, event.isGivenUp);
@@ -277,7 +279,7 @@
       case "report":
         return this.report(at);
       case "look":
-        return at.look(this.harness.epoch);
+        return at.poll(this.harness.epoch);
       case "drain":
         at.draining = !at.draining;
         return;
@@ -295,34 +297,34 @@
   }
 
   private cancel(pick: number): void {
-    const job = chosen(this.jobs, pick);
+    const job = pickFrom(this.jobs, pick);
     if (!job) return;
     this.cancelled.add(job);
     this.harness.engine.cancelJob(job.spec.id);
   }
 
   /** The worker answers a start in the millisecond of the look that is told next. */
-  private async startAfterLook({ host, pick }: StartAfterLook): Promise<void> {
-    const at = this.hosts[host] as SlowHost;
-    at.look(this.harness.epoch);
+  private async startAfterPoll({ host, pick }: StartAfterPoll): Promise<void> {
+    const at = this.hosts[host] as DelayedHost;
+    at.poll(this.harness.epoch);
     at.arrive(pick, false);
     at.answerOne(pick, true);
     await this.harness.clock.advance(0);
     this.report(at);
   }
 
-  private attach(at: SlowHost): void {
-    at.forgetShown();
+  private attach(at: DelayedHost): void {
+    at.dropPolled();
     this.harness.engine.attach(at.host, at);
   }
 
   /** The next leader reads what the one before has kept, and all hosts attach to it. */
   private async changeLeader(): Promise<void> {
-    const former = this.harness;
-    const { clock, store, epoch } = former;
-    await clock.advance(KEPT_BY_MS);
-    former.isLeader = false;
-    former.engine.stop();
+    const previous = this.harness;
+    const { clock, store, epoch } = previous;
+    await clock.advance(PERSISTENCE_MS);
+    previous.isLeader = false;
+    previous.engine.stop();
     const roster = this.hosts.map(({ host }) => host);
     this.harness = new EngineHarness({
       epoch: epoch + 1,
@@ -332,12 +334,12 @@
       terms: TERMS,
     });
     for (const host of roster) {
-      const instance = former.roster.recordedInstance(host);
+      const instance = previous.roster.recordedInstance(host);
       if (instance) await this.harness.roster.persist(host, instance);
     }
-    const kept = await progressIn(former);
+    const progressOf = await progressIn(previous);
     for (const job of this.jobs) {
-      this.harness.engine.addJob(job, kept(job));
+      this.harness.engine.addJob(job, progressOf(job));
       if (this.cancelled.has(job)) this.harness.engine.cancelJob(job.spec.id);
     }
     for (const each of this.hosts) this.attach(each);
@@ -345,26 +347,26 @@
 
   private endRun(pick: number, outcome: "done" | "failed"): void {
     const all = this.hosts.flatMap((at) => at.runs.map((run) => ({ at, run })));
-    const found = chosen(all, pick);
+    const found = pickFrom(all, pick);
     found?.at.end(found.run.task, outcome, found.run.run);
   }
 
-  private replaceWorker(at: SlowHost, isToldFirst: boolean): void {
+  private replaceWorker(at: DelayedHost, isToldFirst: boolean): void {
     const { instance } = at;
     this.gone.push([at, instance]);
     at.draining = false;
     at.replaceWorker();
     at.lostRuns = [];
-    if (isToldFirst) this.tellGone(at, instance);
+    if (isToldFirst) this.reportGone(at, instance);
   }
 
-  private tellGone(at: SlowHost, instance: WorkerInstance): void {
+  private reportGone(at: DelayedHost, instance: WorkerInstance): void {
     void this.harness.engine.handleWorkerGone(at.host, instance);
   }
 
-  private report(at: SlowHost): void {
+  private report(at: DelayedHost): void {
     const { engine, epoch } = this.harness;
-    const report = at.takeShown(epoch);
+    const report = at.takePolled(epoch);
     if (this.reportedAt.get(at) === report.at) return;
     this.reportedAt.set(at, report.at);
     const grant = engine.handleReport(at.host, at.zone, report);
@@ -375,30 +377,32 @@
   }
 
   /** Lets time pass while all hosts report as usual. */
-  private async pass(ms: number): Promise<void> {
+  private async advance(ms: number): Promise<void> {
     const until = this.harness.clock.monotonic() + ms;
     for (const each of this.hosts) this.report(each);
     while (this.harness.clock.monotonic() < until) {
       await this.harness.clock.advance(50);
       for (const each of this.hosts) this.report(each);
-      this.look();
+      this.checkInvariants();
     }
   }
 
-  private look(): void {
+  private checkInvariants(): void {
     const running = new Set<JobTaskId>();
     for (const { task } of this.hosts.flatMap(({ runs }) => runs)) {
-      if (running.has(task)) this.faults.push(`${task} has two runs`);
-      if (this.done.has(task)) this.faults.push(`${task} runs, and is done`);
+      if (running.has(task)) this.violations.push(`${task} has two runs`);
+      if (this.done.has(task))
+        this.violations.push(`${task} runs, and is done`);
       running.add(task);
     }
   }
 
-  private findUnasked(): void {
+  private checkCancelledJobs(): void {
     const isCancelled = (task: JobTaskId): boolean =>
       [...this.cancelled].some(({ spec }) => task.startsWith(`${spec.id}.`));
     for (const { task } of this.hosts.flatMap(({ runs }) => runs)) {
-      if (isCancelled(task)) this.faults.push(`${task} runs, and is cancelled`);
+      if (isCancelled(task))
+        this.violations.push(`${task} runs, and is cancelled`);
     }
   }
 }
@@ -422,13 +426,13 @@
     fc.asyncProperty(
       fc.array(stepArbitrary, { minLength: 20, maxLength: 60, size: "max" }),
       async (steps) => {
-        const play = new Play();
-        await play.begin();
-        for (const step of steps) await play.take(step);
-        await play.calmDown();
-        expect(play.faults).toEqual([]);
+        const simulation = new Simulation();
+        await simulation.start();
+        for (const step of steps) await simulation.apply(step);
+        await simulation.recover();
+        expect(simulation.violations).toEqual([]);
       },
     ),
-    PLAYED,
+    PROPERTY_OPTIONS,
   );
 });
--- a/packages/scheduling/tests/orphanRuns.test.ts
+++ b/packages/scheduling/tests/orphanRuns.test.ts
@@ -27,7 +27,7 @@
   host.stopsAtOnce = false;
 };
 
-const heed = (host: FakeHost): void => {
+const executeOrders = (host: FakeHost): void => {
   host.answers = "ok";
   host.stopsAtOnce = true;
 };
@@ -39,7 +39,7 @@
   host.refusal = "unhealthy";
   harness.engine.cancelJob(job);
   await harness.run(600);
-  heed(host);
+  executeOrders(host);
   await harness.run(GONE_BY_MS);
   expect(host.isRunning(TASK)).toEqual(false);
 });
@@ -50,7 +50,7 @@
   loseOrders(host, "silent");
   harness.engine.cancelJob(job);
   await harness.run(600);
-  heed(host);
+  executeOrders(host);
   await harness.run(GONE_BY_MS);
   expect(host.isRunning(TASK)).toEqual(false);
 });
@@ -72,7 +72,7 @@
   loseOrders(host, "hang");
   harness.engine.cancelJob(job);
   await harness.clock.advance(100);
-  heed(host);
+  executeOrders(host);
   harness.engine.attach(host.host, host);
   harness.reportOf(host);
   await harness.run(500);
@@ -87,7 +87,7 @@
   await harness.run(100);
   expect(host.stops.length).toEqual(1);
   await harness.run(500);
-  heed(host);
+  executeOrders(host);
   await harness.run(GONE_BY_MS);
   expect(host.isRunning(TASK)).toEqual(false);
 });
@@ -101,7 +101,7 @@
   expect(host.stops.length > 0).toEqual(true);
   harness.engine.cancelJob(job);
   await harness.run(600);
-  heed(host);
+  executeOrders(host);
   await harness.run(GONE_BY_MS);
   expect(host.isRunning(TASK)).toEqual(false);
 });
@@ -126,14 +126,14 @@
   host.startLate(order);
   await harness.run(500);
   expect(host.isRunning(TASK)).toEqual(true);
-  heed(host);
+  executeOrders(host);
   await harness.run(GONE_BY_MS);
   expect(host.isRunning(TASK)).toEqual(false);
 });
 
 test("a start that a confirmed stop has overtaken never begins, and frees its room", async () => {
   const { harness, host, order, job } = await startUnanswered();
-  heed(host);
+  executeOrders(host);
   harness.engine.cancelJob(job);
   await harness.run(100);
   host.startLate(order);
@@ -160,19 +160,19 @@
 });
 
 /** The run before the given one, of the same task. */
-const runBefore = ({ task, run }: RunRef): RunRef => ({
+const previousRun = ({ task, run }: RunRef): RunRef => ({
   task,
   run: (run - 1) as unknown as RunNumber,
 });
 
 test("a late run beside the task's own on one worker is stopped, whichever is listed first", async () => {
   // Rows of a report are told apart by run, not by task.
-  for (const newestFirst of [false, true]) {
+  for (const listsNewestFirst of [false, true]) {
     const { harness, host } = await startLasting();
     const [order] = host.starts;
     if (!order) throw new Error("nothing was ordered");
-    host.listsNewestFirst = newestFirst;
-    host.startLate(runBefore(order));
+    host.listsNewestFirst = listsNewestFirst;
+    host.startLate(previousRun(order));
     await harness.run(1_000);
     expect(host.runs.map(({ run }) => run)).toEqual([order.run]);
     expect(host.starts.length).toEqual(1);
@@ -180,7 +180,7 @@
 });
 
 /** The next leader, to which the host has not attached yet. */
-const takeOver = (
+const createNextLeader = (
   before: EngineHarness,
   host: FakeHost,
   silent: readonly HostId[] = [],
@@ -197,9 +197,9 @@
   const { host } = before;
   const [order] = host.starts;
   if (!order) throw new Error("nothing was ordered");
-  host.startLate(runBefore(order));
+  host.startLate(previousRun(order));
   before.harness.isLeader = false;
-  const after = takeOver(before.harness, host);
+  const after = createNextLeader(before.harness, host);
   const job = after.submit("j", [{ lasting: true }]);
   after.engine.cancelJob(job.spec.id);
   after.engine.attach(host.host, host);
@@ -209,15 +209,15 @@
 
 test("a new leader keeps the later of two runs of one task, and stops the other", async () => {
   // Rows of a report are told apart by run, not by task.
-  for (const newestFirst of [false, true]) {
+  for (const listsNewestFirst of [false, true]) {
     const before = await startLasting();
     const { host } = before;
     const [order] = host.starts;
     if (!order) throw new Error("nothing was ordered");
-    host.startLate(runBefore(order));
-    host.listsNewestFirst = newestFirst;
+    host.startLate(previousRun(order));
+    host.listsNewestFirst = listsNewestFirst;
     before.harness.isLeader = false;
-    const after = takeOver(before.harness, host);
+    const after = createNextLeader(before.harness, host);
     after.submit("j", [{ lasting: true }]);
     after.engine.attach(host.host, host);
     await after.run(1_000);
@@ -253,7 +253,7 @@
   const before = await startLasting();
   const { host } = before;
   before.harness.isLeader = false;
-  const after = takeOver(before.harness, host);
+  const after = createNextLeader(before.harness, host);
   const job = after.submit("j", [{ lasting: true }]);
   after.engine.cancelJob(job.spec.id);
   after.engine.forgetJob(job.spec.id);
@@ -261,7 +261,7 @@
   after.engine.attach(host.host, host);
   await after.run(1_500);
   expect(host.stops.length).toEqual(1);
-  heed(host);
+  executeOrders(host);
   await after.run(GONE_BY_MS - 1_500);
   expect(host.isRunning(TASK)).toEqual(false);
 });
@@ -274,11 +274,11 @@
   await before.harness.run(100);
   before.harness.isLeader = false;
   const silent = brand<HostId>("h2");
-  const after = takeOver(before.harness, host, [silent]);
+  const after = createNextLeader(before.harness, host, [silent]);
   const job = after.submit("j", [{ lasting: true }]);
   after.engine.cancelJob(job.spec.id);
   after.submit("k", [{}]);
-  heed(host);
+  executeOrders(host);
   after.engine.attach(host.host, host);
   await after.run(300);
   expect(host.runs).toEqual([]);
@@ -296,7 +296,7 @@
   host.startLate(order);
   await harness.run(1_000);
   expect(host.isRunning(TASK)).toEqual(true);
-  heed(host);
+  executeOrders(host);
   await harness.run(500);
   expect(host.isRunning(TASK)).toEqual(false);
 });
--- a/packages/scheduling/tests/orphanRunsProperty.test.ts
+++ b/packages/scheduling/tests/orphanRunsProperty.test.ts
@@ -10,7 +10,7 @@
 const GONE_BY_MS = 3_200;
 const HOSTS = 3;
 /** Seeds are named so that a failure can be played again. */
-const PLAYED = { seed: 1, numRuns: 120 } as const;
+const PROPERTY_OPTIONS = { seed: 1, numRuns: 120 } as const;
 
 const hostIndex = fc.nat(HOSTS - 1);
 
@@ -38,7 +38,7 @@
 type Event = typeof eventArbitrary extends fc.Arbitrary<infer T> ? T : never;
 
 /** A site whose leaders and hosts come and go; jobs and cancels are kept. */
-class Play {
+class Simulation {
   private harness = new EngineHarness();
   private readonly hosts: FakeHost[] = [];
   private readonly attached = new Set<FakeHost>();
@@ -47,7 +47,7 @@
   private readonly cancelled = new Set<string>();
   private epoch = 1;
 
-  async begin(): Promise<void> {
+  async start(): Promise<void> {
     for (let number = 1; number <= HOSTS; number += 1) {
       const host = await this.harness.addHost(`h${number}`);
       host.refusal = "unhealthy";
@@ -56,7 +56,7 @@
     }
   }
 
-  async take(event: Event): Promise<void> {
+  async apply(event: Event): Promise<void> {
     switch (event.kind) {
       case "submit":
         this.submit(event.lasting);
@@ -65,29 +65,29 @@
         this.cancel(event.job);
         break;
       case "wait":
-        await this.pass(event.ms);
+        await this.advance(event.ms);
         return;
       case "change-leader":
         this.changeLeader();
         break;
       default:
-        this.befall(this.hosts[event.host] as FakeHost, event);
+        this.applyHostEvent(this.hosts[event.host] as FakeHost, event);
     }
-    await this.pass(20);
+    await this.advance(20);
   }
 
   /** All is well again for as long as the users allow. */
-  async calmDown(): Promise<void> {
+  async recover(): Promise<void> {
     for (const host of this.hosts) {
       host.answers = "ok";
       host.stopsAtOnce = true;
       this.attach(host);
     }
-    await this.pass(GONE_BY_MS);
+    await this.advance(GONE_BY_MS);
   }
 
   /** Runs of cancelled jobs. */
-  get unasked(): string[] {
+  get cancelledRuns(): string[] {
     return this.hosts.flatMap(({ runs }) =>
       runs
         .filter(({ task }) => this.cancelled.has(task.split(".", 1)[0] ?? ""))
@@ -95,14 +95,14 @@
     );
   }
 
-  private befall(host: FakeHost, event: Event): void {
+  private applyHostEvent(host: FakeHost, event: Event): void {
     switch (event.kind) {
       case "answers":
         host.answers = event.answers as FakeHost["answers"];
         host.stopsAtOnce = event.answers === "ok" || event.carriesOut;
         return;
       case "begin-late":
-        beginLate(host);
+        startLate(host);
         return;
       case "attach":
         this.attach(host);
@@ -158,13 +158,13 @@
     }
   }
 
-  private pass(ms: number): Promise<void> {
+  private advance(ms: number): Promise<void> {
     return this.harness.run(ms, [...this.attached]);
   }
 }
 
 /** The worker carries out what it left unanswered and what has not lapsed. */
-const beginLate = (host: FakeHost): void => {
+const startLate = (host: FakeHost): void => {
   for (const start of host.starts) {
     if (start.instance !== host.instance || start.leaseUntil < host.at)
       continue;
@@ -177,13 +177,13 @@
     fc.asyncProperty(
       fc.array(eventArbitrary, { minLength: 5, maxLength: 40 }),
       async (events) => {
-        const play = new Play();
-        await play.begin();
-        for (const event of events) await play.take(event);
-        await play.calmDown();
-        expect(play.unasked).toEqual([]);
+        const simulation = new Simulation();
+        await simulation.start();
+        for (const event of events) await simulation.apply(event);
+        await simulation.recover();
+        expect(simulation.cancelledRuns).toEqual([]);
       },
     ),
-    PLAYED,
+    PROPERTY_OPTIONS,
   );
 });
--- a/packages/scheduling/tests/overload.test.ts
+++ b/packages/scheduling/tests/overload.test.ts
@@ -11,7 +11,7 @@
 const mean = (values: readonly number[]): number =>
   values.reduce((sum, value) => sum + value, 0) / values.length;
 
-const playAll = async (order: string): Promise<OverloadResult[]> => {
+const simulateAll = async (order: string): Promise<OverloadResult[]> => {
   const results: OverloadResult[] = [];
   for (const load of LOADS) {
     for (const seed of SEEDS) {
@@ -22,16 +22,16 @@
 };
 
 test("past what a site can do callers get no less by worth than by slack, and large jobs are served too", async () => {
-  const bySlack = await playAll("bySlack");
-  const byWorth = await playAll("byWorth");
-  const earned = (results: readonly OverloadResult[]): number =>
+  const bySlack = await simulateAll("bySlack");
+  const byUtility = await simulateAll("byWorth");
+  const meanUtility = (results: readonly OverloadResult[]): number =>
     mean(results.map((one) => one.utilityShare));
-  expect(earned(byWorth)).toBeGreaterThanOrEqual(earned(bySlack));
+  expect(meanUtility(byUtility)).toBeGreaterThanOrEqual(meanUtility(bySlack));
   // The users' rule of sizes: the largest tenth at least half as often as all.
   for (const {
     largestServedShare: largestServed,
     servedShare: served,
-  } of byWorth) {
+  } of byUtility) {
     expect(largestServed).toBeGreaterThanOrEqual(served / 2);
   }
 });
--- a/packages/scheduling/tests/previousIncarnations.test.ts
+++ b/packages/scheduling/tests/previousIncarnations.test.ts
@@ -24,23 +24,23 @@
 
 test("that a former life is gone is passed over once the next one works", async () => {
   const { harness, host } = await createSite();
-  const former = host.instance;
+  const previous = host.instance;
   host.replaceWorker();
   await harness.run(500);
   expect(host.isRunning(TASK)).toEqual(true);
   const startCount = host.starts.length;
   const other = await harness.addHost("h2");
-  harness.engine.handleWorkerGone(host.host, former);
+  harness.engine.handleWorkerGone(host.host, previous);
   await harness.run(500);
   expect(host.starts.length + other.starts.length).toEqual(startCount);
 });
 
 test("that a former connection is closed does not take the present one away", async () => {
   const { harness, host } = await createSite();
-  const former: FakeHost = Object.create(host) as FakeHost;
-  harness.engine.attach(host.host, former);
+  const previous: FakeHost = Object.create(host) as FakeHost;
+  harness.engine.attach(host.host, previous);
   harness.engine.attach(host.host, host);
-  harness.engine.detach(host.host, former);
+  harness.engine.detach(host.host, previous);
   harness.submit("0f3b5d7a9c1e2468", [{}]);
   await harness.run(200);
   expect(host.runningTasks.length).toEqual(2);
--- a/packages/scheduling/tests/reportAfterSuspension.test.ts
+++ b/packages/scheduling/tests/reportAfterSuspension.test.ts
@@ -5,7 +5,7 @@
 import { EngineHarness, LEASE_MS, taskId } from "./engineHarness.js";
 
 /** Longer than a pass may be overdue. */
-const FREEZE_MS = 600;
+const SUSPENSION_MS = 600;
 
 test("a report after a freeze counts the last failure before anything is started", async () => {
   const harness = new EngineHarness();
@@ -16,7 +16,7 @@
   await harness.run(200);
   expect(host.isRunning(taskId("j.0.0.0"))).toEqual(true);
   harness.engine.handleOperatorChange();
-  harness.clock.freeze(FREEZE_MS);
+  harness.clock.freeze(SUSPENSION_MS);
   host.end(taskId("j.0.0.0"), "failed");
   harness.reportOf(host);
   await harness.run(300);
@@ -43,7 +43,7 @@
   late.vanish(taskId("lost.0.0.0"));
   late.startLate(order);
   harness.engine.handleOperatorChange();
-  harness.clock.freeze(FREEZE_MS);
+  harness.clock.freeze(SUSPENSION_MS);
   harness.reportOf(late);
   await harness.run(300);
   const starts = [late, other].flatMap(({ starts }) => starts);
@@ -56,7 +56,7 @@
   const host = await harness.addHost("h1");
   await harness.run(100);
   harness.submit("j", [{}]);
-  harness.clock.freeze(FREEZE_MS);
+  harness.clock.freeze(SUSPENSION_MS);
   expect(host.starts.length).toEqual(0);
   harness.reportOf(host);
   expect(host.starts.length).toEqual(1);
--- a/packages/scheduling/tests/rosterIncarnations.test.ts
+++ b/packages/scheduling/tests/rosterIncarnations.test.ts
@@ -20,37 +20,37 @@
 
 /** A new leader with a host that is heard, one that is not, and a job from before. */
 const takeOver = async () => {
-  const former = new EngineHarness();
-  const job = former.submit("j", [{}]);
-  former.engine.stop();
-  const { clock } = former;
+  const previous = new EngineHarness();
+  const job = previous.submit("j", [{}]);
+  previous.engine.stop();
+  const { clock } = previous;
   const next = new EngineHarness({ epoch: 2, roster: [GONE], clock });
   next.engine.addJob(job, undefined);
-  const heard = await next.addHost("heard");
-  return { next, heard };
+  const reporting = await next.addHost("heard");
+  return { next, reporting };
 };
 
 test("the end of a life that the roster does not name lets a new leader wait on", async () => {
-  const { next, heard } = await takeOver();
+  const { next, reporting } = await takeOver();
   next.engine.handleWorkerGone(GONE, brand<WorkerInstance>("gone-0"));
   await next.run(LEADERSHIP_TTL_MS);
-  expect(heard.starts.length).toEqual(0);
+  expect(reporting.starts.length).toEqual(0);
 });
 
 test("the end of the life that the roster names takes the host off it", async () => {
-  const { next, heard } = await takeOver();
+  const { next, reporting } = await takeOver();
   next.engine.handleWorkerGone(GONE, brand<WorkerInstance>("gone-1"));
   await next.run(200);
-  expect(heard.starts.length).toEqual(1);
+  expect(reporting.starts.length).toEqual(1);
   expect(next.roster.recordedInstance(GONE)).toEqual(undefined);
 });
 
 test("a host that never reports leaves the roster with its last lease", async () => {
-  const { next, heard } = await takeOver();
+  const { next, reporting } = await takeOver();
   await next.run(LEADERSHIP_TTL_MS + LEASE_MS - 100);
   expect(next.roster.recordedInstance(GONE)).not.toEqual(undefined);
   await next.run(PAST_LEASES_MS - (LEADERSHIP_TTL_MS + LEASE_MS));
-  expect(heard.starts.length).toEqual(1);
+  expect(reporting.starts.length).toEqual(1);
   expect(next.roster.recordedInstance(GONE)).toEqual(undefined);
 });
 
--- a/packages/scheduling/tests/runtimeEstimator.test.ts
+++ b/packages/scheduling/tests/runtimeEstimator.test.ts
@@ -15,33 +15,35 @@
 };
 
 test("the tasks of a step are expected to take what those that are done took", () => {
-  const book = new RuntimeEstimator(true);
+  const estimator = new RuntimeEstimator(true);
   const step = stepOf("a", 1_000);
-  expect(book.taskMs(step)).toEqual(1_000);
-  book.recordRunTime(step, 2_900);
-  book.recordRunTime(step, 3_100);
-  expect(book.taskMs(step)).toEqual(3_000);
-  expect(book.remainingWork(step.job)).toEqual(book.totalWork(step.job));
+  expect(estimator.taskMs(step)).toEqual(1_000);
+  estimator.recordRunTime(step, 2_900);
+  estimator.recordRunTime(step, 3_100);
+  expect(estimator.taskMs(step)).toEqual(3_000);
+  expect(estimator.remainingWork(step.job)).toEqual(
+    estimator.totalWork(step.job),
+  );
 });
 
 test("a step of which nothing is done follows its queue a little", () => {
-  const book = new RuntimeEstimator(true);
-  book.recordRunTime(stepOf("a", 1_000), 3_000);
-  const expectedMs = book.taskMs(stepOf("b", 1_000));
+  const estimator = new RuntimeEstimator(true);
+  estimator.recordRunTime(stepOf("a", 1_000), 3_000);
+  const expectedMs = estimator.taskMs(stepOf("b", 1_000));
   expect(expectedMs).toBeGreaterThan(1_000);
   expect(expectedMs).toBeLessThan(1_200);
 });
 
 test("a step without an estimate is known once one of its tasks is done", () => {
-  const book = new RuntimeEstimator(true);
+  const estimator = new RuntimeEstimator(true);
   const step = stepOf("a", 0);
-  book.recordRunTime(step, 700);
-  expect(book.taskMs(step)).toEqual(700);
+  estimator.recordRunTime(step, 700);
+  expect(estimator.taskMs(step)).toEqual(700);
 });
 
 test("nothing that was seen changes an estimate where corrections are switched off", () => {
-  const book = new RuntimeEstimator(false);
+  const estimator = new RuntimeEstimator(false);
   const step = stepOf("a", 1_000);
-  book.recordRunTime(step, 3_000);
-  expect(book.taskMs(step)).toEqual(1_000);
+  estimator.recordRunTime(step, 3_000);
+  expect(estimator.taskMs(step)).toEqual(1_000);
 });
--- a/packages/scheduling/tests/simulateOverload.ts
+++ b/packages/scheduling/tests/simulateOverload.ts
@@ -21,14 +21,14 @@
   /** Cores of a host. */
   cores: 64,
   /** For which jobs come, milliseconds. */
-  forMs: 34_000,
+  arrivalMs: 34_000,
   /** After that, until the account is made. */
-  restMs: 30_000,
+  settleMs: 30_000,
   stepMs: 100,
   /** Means of what is drawn, and the spread of its logarithm. */
-  tasks: { mean: 20, spread: 0.6, most: 80 },
-  taskCores: { mean: 7, spread: 0.3, most: 14 },
-  taskMs: { mean: 2_400, spread: 0.5, most: 6_000 },
+  tasks: { mean: 20, spread: 0.6, max: 80 },
+  taskCores: { mean: 7, spread: 0.3, max: 14 },
+  taskMs: { mean: 2_400, spread: 0.5, max: 6_000 },
   estimateSpread: 0.5,
   steps: 2,
   /** Of a job's objective; see JobTerms. */
@@ -37,9 +37,9 @@
 } as const;
 
 /** What an end is worth that is late, to one that is in time. */
-const LATE_WORTH = 0.15;
+const LATE_UTILITY = 0.15;
 /** A job that ends later than this many times its objective is of no use. */
-const USELESS_AFTER = 3;
+const MAX_USEFUL_LATENESS = 3;
 
 export interface OverloadResult {
   /** Worth of what was done in time or late, of the worth of all jobs. */
@@ -55,7 +55,7 @@
   readonly medianSpanMs: number;
 }
 
-interface DrawnJob {
+interface SampledJob {
   readonly id: string;
   readonly at: number;
   readonly steps: readonly Partial<StepSpec>[];
@@ -64,28 +64,28 @@
   readonly work: number;
 }
 
-interface Drawn {
+interface Distribution {
   readonly mean: number;
   readonly spread: number;
-  readonly most: number;
+  readonly max: number;
 }
 
 const gaussian = (random: Random): number =>
   Math.sqrt(-2 * Math.log(1 - random.next())) *
   Math.cos(2 * Math.PI * random.next());
 
-const draw = (random: Random, { mean, spread, most }: Drawn): number =>
-  Math.min(most, mean * Math.exp(spread * gaussian(random) - spread ** 2 / 2));
+const sample = (random: Random, { mean, spread, max }: Distribution): number =>
+  Math.min(max, mean * Math.exp(spread * gaussian(random) - spread ** 2 / 2));
 
-const drawJob = (random: Random, number: number, at: number): DrawnJob => {
-  const taskCount = Math.max(1, Math.round(draw(random, LOAD.tasks)));
-  const milliCores = Math.round(1_000 * draw(random, LOAD.taskCores));
+const sampleJob = (random: Random, number: number, at: number): SampledJob => {
+  const taskCount = Math.max(1, Math.round(sample(random, LOAD.tasks)));
+  const milliCores = Math.round(1_000 * sample(random, LOAD.taskCores));
   const demand = { milliCores, memoryMiB: 100, accelerators: 0 };
   const steps: Partial<StepSpec>[] = [];
   const taskMs: number[] = [];
   let work = 0;
   for (let step = 0; step < LOAD.steps; step += 1) {
-    const ms = draw(random, LOAD.taskMs);
+    const ms = sample(random, LOAD.taskMs);
     const estimateMs = ms * Math.exp(LOAD.estimateSpread * gaussian(random));
     const after = step === 0 ? [] : [step - 1];
     steps.push({ taskCount, demand, estimateMs, after });
@@ -97,11 +97,11 @@
 };
 
 /** @param load work that comes, as a share of what the hosts can do */
-const drawJobs = (random: Random, load: number): DrawnJob[] => {
-  const jobs: DrawnJob[] = [];
+const sampleJobs = (random: Random, load: number): SampledJob[] => {
+  const jobs: SampledJob[] = [];
   const perMs = LOAD.hosts * LOAD.cores * load;
-  for (let work = 0; work < perMs * LOAD.forMs;) {
-    const job = drawJob(random, jobs.length, work / perMs);
+  for (let work = 0; work < perMs * LOAD.arrivalMs;) {
+    const job = sampleJob(random, jobs.length, work / perMs);
     jobs.push(job);
     work += job.work;
   }
@@ -112,24 +112,24 @@
 class TaskTimes {
   readonly firstAt = new Map<string, number>();
   readonly lastAt = new Map<string, number>();
-  private readonly began = new Map<string, number>();
+  private readonly startTimes = new Map<string, number>();
 
-  constructor(private readonly jobs: ReadonlyMap<string, DrawnJob>) {}
+  constructor(private readonly jobs: ReadonlyMap<string, SampledJob>) {}
 
   endDue(host: FakeHost, now: number): void {
     for (const { task, run } of host.runs) {
       const share =
-        (now - this.beganAt(host, { task, run }, now)) / this.msOf(task);
+        (now - this.startOf(host, { task, run }, now)) / this.msOf(task);
       if (share >= 1) host.end(task, "done", run);
       else host.setProgress(task, Math.floor(100 * share));
     }
   }
 
-  private beganAt(host: FakeHost, { task, run }: RunRef, now: number): number {
+  private startOf(host: FakeHost, { task, run }: RunRef, now: number): number {
     const key = `${host.host}#${task}#${run}`;
-    const known = this.began.get(key);
+    const known = this.startTimes.get(key);
     if (known !== undefined) return known;
-    this.began.set(key, now);
+    this.startTimes.set(key, now);
     const job = String(parseTaskId(task)?.job);
     if (!this.firstAt.has(job)) this.firstAt.set(job, now);
     this.lastAt.set(job, now);
@@ -162,16 +162,16 @@
     host.milliCores = LOAD.cores * 1_000;
     site.reportOf(host);
   }
-  const drawn = drawJobs(new SeededRandom(seed), load);
-  const jobs = new Map(drawn.map((job) => [job.id, job]));
+  const sampledJobs = sampleJobs(new SeededRandom(seed), load);
+  const jobs = new Map(sampledJobs.map((job) => [job.id, job]));
   const times = new TaskTimes(jobs);
   const { clock } = site;
-  const beganAt = clock.monotonic();
-  const waiting = [...drawn];
-  const acceptedAt = new Map<DrawnJob, Instant>();
-  while (clock.monotonic() - beganAt < LOAD.forMs + LOAD.restMs) {
+  const startedAt = clock.monotonic();
+  const waiting = [...sampledJobs];
+  const acceptedAt = new Map<SampledJob, Instant>();
+  while (clock.monotonic() - startedAt < LOAD.arrivalMs + LOAD.settleMs) {
     const now = clock.monotonic();
-    while (waiting[0] && waiting[0].at <= now - beganAt) {
+    while (waiting[0] && waiting[0].at <= now - startedAt) {
       const job = waiting.shift();
       if (!job) break;
       site.submit(job.id, job.steps);
@@ -183,36 +183,36 @@
   const outcomes = new Map(
     [...acceptedAt].map(([job, at]) => [job, outcomeOf(site, job, at)]),
   );
-  return accountOf(drawn, outcomes, times);
+  return evaluate(sampledJobs, outcomes, times);
 };
 
 type Outcome = "in-time" | "late" | "undone";
 
-const accountOf = (
-  jobs: readonly DrawnJob[],
-  outcomes: ReadonlyMap<DrawnJob, Outcome>,
+const evaluate = (
+  jobs: readonly SampledJob[],
+  outcomes: ReadonlyMap<SampledJob, Outcome>,
   times: TaskTimes,
 ): OverloadResult => {
   const meanWork = sum(jobs.map(({ work }) => work)) / jobs.length;
-  const worthOf = ({ work }: DrawnJob): number =>
+  const utilityOf = ({ work }: SampledJob): number =>
     Math.min(4, 0.3 + (0.7 * work) / meanWork);
-  const earnedBy = (job: DrawnJob): number => {
+  const earnedUtility = (job: SampledJob): number => {
     const outcome = outcomes.get(job);
     if (outcome === "undone") return 0;
-    return worthOf(job) * (outcome === "late" ? LATE_WORTH : 1);
+    return utilityOf(job) * (outcome === "late" ? LATE_UTILITY : 1);
   };
   const count = (outcome: Outcome): number =>
     [...outcomes.values()].filter((one) => one === outcome).length;
   const largest = [...jobs]
     .sort((a, b) => b.work - a.work)
     .slice(0, Math.ceil(jobs.length / 10));
-  const isServed = (job: DrawnJob): boolean => outcomes.get(job) !== "undone";
+  const isServed = (job: SampledJob): boolean => outcomes.get(job) !== "undone";
   const spans = jobs
     .filter(isServed)
     .map(({ id }) => (times.lastAt.get(id) ?? 0) - (times.firstAt.get(id) ?? 0))
     .sort((a, b) => a - b);
   return {
-    utilityShare: sum(jobs.map(earnedBy)) / sum(jobs.map(worthOf)),
+    utilityShare: sum(jobs.map(earnedUtility)) / sum(jobs.map(utilityOf)),
     inTime: count("in-time") / jobs.length,
     late: count("late") / jobs.length,
     unfinished: count("undone") / jobs.length,
@@ -224,7 +224,7 @@
 
 const outcomeOf = (
   site: EngineHarness,
-  job: DrawnJob,
+  job: SampledJob,
   acceptedAt: Instant,
 ): Outcome => {
   const record = site.store
@@ -236,7 +236,7 @@
   const tookMs = progress.endedAt - acceptedAt;
   const objectiveMs = LOAD.stretch * sum(job.taskMs) + LOAD.targetLatencyMs;
   if (tookMs <= objectiveMs) return "in-time";
-  return tookMs <= USELESS_AFTER * objectiveMs ? "late" : "undone";
+  return tookMs <= MAX_USEFUL_LATENESS * objectiveMs ? "late" : "undone";
 };
 
 const sum = (values: readonly number[]): number =>
--- a/packages/scheduling/tests/truncatedEndLists.test.ts
+++ b/packages/scheduling/tests/truncatedEndLists.test.ts
@@ -36,11 +36,11 @@
 });
 
 test("a new leader starts nothing while a host has more ends to list", async () => {
-  const { site: former, host, job } = await startAll();
-  const { clock } = former;
-  former.store.fault = "refuses";
+  const { site: previous, host, job } = await startAll();
+  const { clock } = previous;
+  previous.store.fault = "refuses";
   endAll(host);
-  former.engine.stop();
+  previous.engine.stop();
   const next = new EngineHarness({ epoch: 2, roster: [host.host], clock });
   next.hosts.push(host);
   next.engine.addJob(job, undefined);
