--- a/packages/jobs/src/ClaimReconciler.ts
+++ b/packages/jobs/src/ClaimReconciler.ts
@@ -1,6 +1,7 @@
 /**
- * Holds what sides report against what the log says of the claims on them:
- * records ends, stops what must not run, and frees claims that never started.
+ * Reconciles the tasks that sides report with the claims on the log: records the ends
+ * of tasks, stops tasks without a current claim, and frees claims whose tasks never
+ * started.
  */
 
 import {
@@ -36,13 +37,13 @@
   readonly metrics: Metrics;
   readonly logger: Logger;
   readonly takeoverMs: number;
-  /** A claim whose task is not seen at its side for this long never started. */
+  /** A claim is freed when its side has not listed the task for this long, milliseconds. */
   readonly notStartedMs: number;
   readonly appendTimeoutMs: number;
 }
 
 export class ClaimReconciler {
-  /** How long each report has waited for somebody to act on it. */
+  /** For how long each action has been pending. */
   private readonly presence: PresenceTracker<string>;
   private readonly inProgress = new Set<string>();
 
@@ -50,7 +51,7 @@
     this.presence = new PresenceTracker(options.clock);
   }
 
-  /** Looks at every host once; called whenever something changed. */
+  /** Reconciles every host once; called after each change. */
   sweep(): void {
     const pending = new Set<string>();
     for (const view of this.options.hosts.views()) {
@@ -70,7 +71,10 @@
     }
   }
 
-  /** A task that the side reports: is it the one that the log says should run there? */
+  /**
+   * Checks a reported task against the log: records or acknowledges its end, and stops
+   * the task if the log holds no current claim for it on this host.
+   */
   private checkTask(
     status: TaskStatus,
     view: HostView,
@@ -78,7 +82,7 @@
     pending: Set<string>,
   ): void {
     const { fold } = this.options;
-    // A fold that has not seen the claim yet knows nothing about the task.
+    // The fold has not applied the entry of the task's claim yet.
     if (fold.sequence < status.fencingToken) return;
     const unit = fold.units.get(status.unit);
     const isCurrent =
@@ -103,7 +107,10 @@
     }
   }
 
-  /** A claim on the host: does its task exist, and should it go on? */
+  /**
+   * Checks a claim against the report: frees it if its task never started, and stops
+   * the task if its unit is not wanted any more or has a newer specification.
+   */
   private checkClaim(
     unit: Unit,
     view: HostView,
@@ -127,7 +134,7 @@
     }
   }
 
-  /** A changed declaration is rolled out one replica at a time. */
+  /** Whether the unit's turn has come: a changed declaration is rolled out replica by replica. */
   private mayReplace(unit: Unit): boolean {
     if (!unit.claim || unit.claim.specVersion >= unit.specVersion) return false;
     return allReplicasClaimed(this.options.fold, unit);
@@ -173,7 +180,7 @@
     await this.options.appender.submit(record, this.options.appendTimeoutMs);
   }
 
-  /** Does it when it is this entry's turn, once at a time. */
+  /** Runs the action if it is this entry's turn and the same action is not in progress. */
   private runAction(
     name: string,
     pending: Set<string>,
--- a/packages/jobs/src/CrashLog.ts
+++ b/packages/jobs/src/CrashLog.ts
@@ -1,80 +1,84 @@
 /**
- * What is known of the runs of one task that were lost with their workers, and
- * whether that is enough to give the task up. A crashed worker lists no ends, so
- * no attempt counts for these; without this count a task that crashes its workers
- * is started again for ever, and takes all their other runs with it each time.
+ * Evidence from the runs of one task that were lost with their workers, and whether it
+ * suffices to fail the task permanently. A crashed worker reports no ends, so these runs
+ * do not count as attempts. Without this log a task that crashes its workers would be
+ * restarted forever, and would end all other runs on them each time.
  */
 
 import type { CrashEvidence } from "@rackspan/state";
 
 /**
- * How much a lost run speaks against its task:
- * - `sole`: it had begun apart from other new runs, and its worker crashed;
- * - `doubted`: the same as `sole`, but other workers were lost at about that time;
- * - `young`: it had just begun when its worker crashed, as others may have;
- * - `unanswered`: the same as `sole`, but its worker had not shown the run before, or
- *   the run may have ended unheard of;
- * - `unknown`: it was announced, or ordered from a worker that did not answer any more,
- *   and nobody knows whether it began;
- * - `unseen`: its worker crashed before it showed the run, which may not have begun, or
- *   after it had worked for a while, so that it may have ended;
- * - `unheard`: its worker had shown the run and crashed, and nobody knows whether it was
- *   at work then: it may have ended unheard of;
- * - `settled`: it had worked for a while when its worker crashed;
- * - `lost`: its host fell silent until the lease was over.
+ * Points per lost run, by kind of evidence:
+ * - `sole`: the run was isolated when its worker crashed;
+ * - `doubted`: as `sole`, but other workers were lost at about the same time;
+ * - `young`: the run had just started when its worker crashed, as others there may have;
+ * - `unanswered`: as `sole`, but the worker had not reported the run before, or the run
+ *   may have ended unreported;
+ * - `unknown`: the run is named by a write-ahead record or was ordered from a worker that
+ *   no longer answered, and it is not known whether it started;
+ * - `unseen`: the worker crashed before it reported the run, which may not have started,
+ *   or after the run had worked for a while, so that it may have ended;
+ * - `unheard`: the worker had reported the run and crashed, and it is not known whether
+ *   the run was still at work: it may have ended unreported;
+ * - `settled`: the run had worked for a while when its worker crashed;
+ * - `lost`: the host was silent until its lease expired.
  */
 const POINTS: Readonly<Record<CrashEvidence, number>> = {
   sole: 4,
-  // More than runs that share a worker: those of innocent tasks are lost three times.
+  // More than `young`: tasks that only share workers with a crashing one lose three runs.
   doubted: 5,
   young: 4,
   unanswered: 4,
   unseen: 2,
-  // Four reach the limit: sides of busy workers seldom know more.
+  // Four reach the limit: sides of busy workers seldom have better evidence.
   unheard: 3,
   settled: 2,
   lost: 2,
-  // Each change of leader between an announcement and its order leaves one.
+  // Each change of leader between a write-ahead record and its order leaves one.
   unknown: 1,
 };
 
 /**
- * All announcements without an order together: changes of leader alone must not give a
- * task up that only shared its workers with one that crashes them.
+ * Limit for the sum of all `unknown` points: changes of leader alone must not fail a task
+ * that only shared its workers with a crashing one.
  */
 const MAX_UNKNOWN_POINTS = 2;
 
 export const CRASH_LIMITS = {
-  /** A task with this much against it is announced to the store before it starts, and starts apart. */
+  /** From this number of points a task is suspect: its starts are isolated, after a write-ahead record. */
   suspectPoints: 4,
-  /** Crashes, one of them the task's alone, after which it is given up. */
+  /** A task fails permanently after this many crashes, at least one of them `sole`. */
   provenCrashes: 2,
   /**
-   * Without such proof it is given up at this. Losses of hosts, which cuts bring about
-   * as well, count for it once two workers are known to have crashed.
+   * Without such proof a task fails permanently at this number of points. Losses of hosts,
+   * which network partitions cause as well, count only if at least `provenCrashes` workers
+   * are known to have crashed.
    */
   unprovenPoints: 12,
-  /** Where no run is known to have been at work, points are enough with so many that began. */
+  /**
+   * If no run is known to have been at work when its worker crashed, this many lost runs
+   * must have started in addition to the points.
+   */
   minStartedRuns: 4,
-  /** The same with so many lost runs, of which some may never have begun. */
+  /** Alternative to `minStartedRuns`: this many lost runs, some of which may not have started. */
   minLostRuns: 5,
-  /** Proof is doubted when another worker was lost within this of it, milliseconds. */
+  /** `sole` becomes `doubted` if another worker was lost within this time, milliseconds. */
   correlatedLossMs: 1_500,
-  /** A run that has worked for this long is not thought of first when its worker crashes, milliseconds. */
+  /** After this working time a run is an unlikely cause of a crash of its worker, milliseconds. */
   settledMs: 500,
-  /** A run is known to be at work up to this share of the time that it is expected to take. */
+  /** Up to this share of its expected duration a run counts as at work when its worker is lost. */
   maxAtWorkShare: 0.25,
-  /** A run of a task that is suspected for the first time begins apart for this long, milliseconds. */
+  /** How long a run is isolated if its task is suspect because of one lost run, milliseconds. */
   isolationMs: 500,
-  /** The same once it is suspected again, for tasks that crash their workers later. */
+  /** The same after several lost runs, for tasks that crash their workers later. */
   longIsolationMs: 2_500,
-  /** One that has waited this long takes a host that would be left to others, milliseconds. */
+  /** Grace period after which an isolated start may take a host that would be left to others, milliseconds. */
   isolationGraceMs: 2_000,
-  /** A lasting task that has worked for this long starts with a clean log, milliseconds. */
+  /** After this working time the crash log of a lasting task is cleared, milliseconds. */
   clearAfterMs: 60_000,
 } as const;
 
-/** Whether the worker is known to have crashed under the run, or only to have crashed. */
+/** Whether the worker is known to have crashed during the run, or only known to have crashed. */
 const CRASH_KIND: Readonly<
   Record<CrashEvidence, "under-run" | "of-worker" | "none">
 > = {
@@ -89,7 +93,7 @@
   lost: "none",
 };
 
-/** Evidence of runs that had just begun. */
+/** Evidence from runs that had just started. */
 const EVIDENCE_AT_START: ReadonlySet<CrashEvidence> = new Set([
   "sole",
   "doubted",
@@ -101,7 +105,7 @@
   /** By run. */
   private readonly evidenceByRun = new Map<number, CrashEvidence>();
 
-  /** @param entries what was kept of a log before */
+  /** @param entries the entries of a persisted log */
   constructor(entries: Iterable<readonly [number, CrashEvidence]> = []) {
     for (const [run, evidence] of entries) this.record(run, evidence);
   }
@@ -110,7 +114,7 @@
     this.evidenceByRun.set(run, evidence);
   }
 
-  /** @returns whether anything was known of the run */
+  /** @returns whether the log had evidence from the run */
   remove(run: number): boolean {
     return this.evidenceByRun.delete(run);
   }
@@ -140,23 +144,23 @@
     );
   }
 
-  /** How many workers are known to have crashed under the task. */
+  /** Number of workers that are known to have crashed during a run of the task. */
   get crashCount(): number {
     return this.evidence.filter((one) => CRASH_KIND[one] === "under-run")
       .length;
   }
 
-  /** Whether the task is to be announced before it starts again. */
+  /** Whether the task needs a write-ahead record and an isolated start. */
   get isSuspect(): boolean {
     return this.points >= CRASH_LIMITS.suspectPoints;
   }
 
-  /** Whether no run of it is known to have crashed its worker just after its start. */
+  /** Whether no worker crashed just after the start of one of its runs. */
   get hasNoCrashAtStart(): boolean {
     return !this.evidence.some((one) => EVIDENCE_AT_START.has(one));
   }
 
-  /** Whether the task is to be started no more. */
+  /** Whether the evidence suffices to fail the task permanently. */
   get hasReachedLimit(): boolean {
     const { provenCrashes, unprovenPoints } = CRASH_LIMITS;
     const isProven = this.evidence.includes("sole");
@@ -166,7 +170,10 @@
     return this.crashCount > 0 || this.hasLostEnoughRuns;
   }
 
-  /** Without announcements: each change of leader may leave one that was never ordered. */
+  /**
+   * Whether enough runs were lost. `unknown` does not count: each change of leader may
+   * leave a write-ahead record of a run that was never ordered.
+   */
   private get hasLostEnoughRuns(): boolean {
     const lost = this.evidence.filter((one) => one !== "unknown");
     const started = lost.filter((one) => one !== "unseen" && one !== "lost");
@@ -177,8 +184,8 @@
   }
 
   /**
-   * How many workers are known to have crashed while the task had a run there. Hosts
-   * that only fell silent are no reason to give a task up: their workers may go on.
+   * Number of workers that are known to have crashed while the task had a run there. Hosts
+   * that only became silent do not count, as their workers may still be running.
    */
   private get lostWorkers(): number {
     return this.evidence.filter((one) => CRASH_KIND[one] !== "none").length;
@@ -188,7 +195,7 @@
     return [...this.evidenceByRun.values()];
   }
 
-  /** For how long the next run is to begin apart from others, milliseconds; 0 for not at all. */
+  /** For how long the next run is to be isolated, milliseconds; 0 if it need not be. */
   get isolationMs(): number {
     if (!this.isSuspect) return 0;
     return this.evidenceByRun.size > 1
--- a/packages/jobs/src/HostCertifier.ts
+++ b/packages/jobs/src/HostCertifier.ts
@@ -1,6 +1,7 @@
 /**
- * Certifies the end of hosts: only the host list and then the longest lease's
- * time count. Not hearing from a host is never enough.
+ * Certifies on the log that hosts have ended. A host is certified only after the host
+ * list has shown it as replaced or gone for the duration of the longest lease. A host
+ * that merely does not report is never certified.
  */
 
 import {
@@ -23,7 +24,7 @@
   readonly clock: Clock;
   readonly metrics: Metrics;
   readonly logger: Logger;
-  /** The longest lease that any worker grants, and some more for its clock's drift. */
+  /** The longest lease that any worker grants, plus a margin for the drift of its clock. */
   readonly longestLeaseMs: number;
   readonly takeoverMs: number;
   readonly appendTimeoutMs: number;
@@ -37,7 +38,7 @@
     this.goneHosts = new PresenceTracker(options.clock);
   }
 
-  /** @param listed the host list as it was just read */
+  /** @param listed the host list as just read */
   sweep(listed: readonly HostRecord[]): void {
     const generations = new Map(
       listed.map(({ host, generation }) => [host, generation]),
@@ -59,7 +60,7 @@
     return longestLeaseMs + ownership.rank(name) * takeoverMs;
   }
 
-  /** The highest claimed generation that the list shows as replaced or gone. */
+  /** The highest claimed generation that is replaced or gone according to the list. */
   private endedGeneration(
     host: HostId,
     listed: HostGeneration | undefined,
--- a/packages/jobs/src/HostDrainer.ts
+++ b/packages/jobs/src/HostDrainer.ts
@@ -1,6 +1,7 @@
 /**
- * Tells sides to leave whenever the log or the host list says so and they do not
- * know it: a side process that was started again has forgotten it.
+ * Orders sides to drain their hosts. An order is sent whenever the log or the host list
+ * marks a host as leaving and its side does not report that: a side process loses the
+ * order when it restarts.
  */
 
 import {
@@ -25,7 +26,7 @@
 
   constructor(private readonly options: HostDrainerOptions) {}
 
-  /** @param listed the host list as it was last read */
+  /** @param listed the host list as last read */
   sweep(listed: readonly HostRecord[]): void {
     const leaving = new Set(
       listed.filter(({ state }) => state === "leaving").map(({ host }) => host),
--- a/packages/jobs/src/HostState.ts
+++ b/packages/jobs/src/HostState.ts
@@ -1,6 +1,6 @@
 /**
- * What the leader believes of one host: its worker, the room that is taken,
- * the runs there, and until when they may go on if the host falls silent.
+ * The leader's state of one host: its worker, the allocated resources, the active runs,
+ * and the time until which they may continue if the host becomes silent.
  */
 
 import {
@@ -20,9 +20,10 @@
 import type { StopOrder, StoppingRun } from "./StopOrder.js";
 
 /**
- * `starting`: ordered, not confirmed. `running`: seen by the worker.
- * `unsure`: ordered without an answer; it may begin until its order lapses.
- * `stopping`: a stop was ordered; its room is taken until the end is listed.
+ * - `starting`: ordered, not confirmed yet;
+ * - `running`: listed or confirmed by the worker;
+ * - `unsure`: ordered without an answer; it may start until its order expires;
+ * - `stopping`: a stop was ordered; its resources stay allocated until its end is listed.
  */
 export type RunPhase = "starting" | "running" | "unsure" | "stopping";
 
@@ -30,38 +31,47 @@
   readonly task: JobTask;
   readonly run: RunNumber;
   phase: RunPhase;
-  /** On the leader's clock. */
+  /** When the leader ordered or adopted the run, on its own clock. */
   readonly startedAt: Monotonic;
-  /** Begins apart from other new runs until it has worked for this long, milliseconds. */
+  /**
+   * The run is isolated until it has worked for this long, milliseconds: no other run
+   * starts on its host. 0 if it does not need an isolated start.
+   */
   readonly isolationMs: number;
-  /** Worker's clock when it first showed the run; undefined before. */
+  /** Worker's clock when it first reported the run; undefined before. */
   firstSeenAt: WorkerTime | undefined;
-  /** Worker's clock when it last showed the run, by a list or its answer to the start; undefined before. */
+  /**
+   * Worker's clock when it last reported the run, in a list or in its answer to the
+   * start; undefined before.
+   */
   lastSeenAt: WorkerTime | undefined;
-  /** Worker's clock after which an unanswered order does nothing. */
+  /** Worker's clock after which an unanswered order has no effect. */
   readonly orderExpiresAt: WorkerTime;
   progressPercent: number;
-  /** When the progress last grew, on the leader's clock. */
+  /** When the progress last increased, on the leader's clock. */
   progressedAt: Monotonic;
-  /** Tail latency in milliseconds, or thousandths of a core in use; see TaskHost. */
+  /** Tail latency in milliseconds, or millicores in use; see TaskHost. */
   reading: number;
-  /** Since when a filling task has crawled, on the leader's clock; undefined while it does not. */
+  /** Since when a filling task has been crawling, on the leader's clock; undefined if it is not. */
   crawlingSince: Monotonic | undefined;
   /** Undefined while the run is wanted. */
   stop: StopOrder | undefined;
 }
 
-/** For how long the worker has shown the run, milliseconds of its clock. */
+/** Time between the worker's first and last report of the run, milliseconds of its clock. */
 export const workedMs = ({ firstSeenAt, lastSeenAt }: ActiveRun): number =>
   firstSeenAt === undefined || lastSeenAt === undefined
     ? 0
     : lastSeenAt - firstSeenAt;
 
-/** Whether no other run may begin on its host yet, so that a crash there is this one's. */
+/**
+ * Whether the run is still isolated: no other run may start on its host, so that a crash
+ * of the worker can be attributed to this run.
+ */
 export const isIsolated = (run: ActiveRun): boolean =>
   workedMs(run) < run.isolationMs;
 
-/** The worker has shown the run at that time of its clock. */
+/** Records that the worker reported the run at the given time of its clock. */
 export const markSeen = (run: ActiveRun, at: WorkerTime): void => {
   run.firstSeenAt ??= at;
   run.lastSeenAt = at;
@@ -73,17 +83,20 @@
 });
 
 /**
- * A run that the worker lists and that no waiting task accounts for, such as one
- * of a job that its caller cancelled under a former leader.
+ * A run that the worker lists and that no task waits for, such as one of a job that its
+ * caller cancelled under a previous leader.
  */
 export interface OrphanRun {
   readonly run: RunRef;
-  /** Undefined when no record tells what it is. */
+  /** Undefined when no record describes the task. */
   readonly task: JobTask | undefined;
   readonly stop: StopOrder;
 }
 
-/** Sums over the runs of one host; `filling` ones take memory only. */
+/**
+ * Resources allocated to the runs of one host. Filling tasks occupy memory but reserve
+ * no cores; the cores that they request are summed separately.
+ */
 export interface AllocatedResources {
   plainMilliCores: number;
   servingMilliCores: number;
@@ -100,9 +113,9 @@
   accelerators: 0,
 };
 
-/** What the tasks of a host showed in its last report, by image. */
+/** Readings of the tasks of a host in its last report, by image. */
 export interface HostReadings {
-  /** Logarithm of the longest tail of each serving image, as a share of its target. */
+  /** Logarithm of the longest tail latency of each serving image, relative to its target. */
   readonly tails: ReadonlyMap<ImageName, number>;
   /** Cores in use by each filling image. */
   readonly usedCores: ReadonlyMap<ImageName, number>;
@@ -111,41 +124,46 @@
 const NO_READINGS: HostReadings = { tails: new Map(), usedCores: new Map() };
 
 export class HostState {
-  /** By run: a worker may run two of one task. */
+  /** By run, as a worker may have two runs of one task. */
   readonly runs = new Map<string, ActiveRun>();
-  /** The worker's clock when it last reported, and when the report arrived. */
+  /** The worker's clock at its last report. */
   reportedAt: WorkerTime | undefined;
+  /** When that report arrived, on the leader's clock. */
   reportReceivedAt: Monotonic = -Infinity;
-  /** When every lease granted so far is over for certain. */
+  /** When every lease granted so far is known to have expired. */
   private grantsExpireBy: Monotonic = -Infinity;
-  /** When every lease is over that a start to a former life may bring, carried out late. */
+  /**
+   * When every lease has expired that belongs to a start for a previous incarnation, in
+   * case that start is executed late.
+   */
   private previousStartsExpireBy: Monotonic = -Infinity;
-  /** When all that its side has sent is over, as the side told; Infinity before it did. */
+  /** When every lease that the side has sent expires, as reported by it; Infinity until then. */
   private sentLeasesExpireBy: Monotonic = Infinity;
-  /** When every order to start given so far has lapsed for certain, and its lease is over. */
+  /** When every start order sent so far is known to have expired together with its lease. */
   private ordersExpireBy: Monotonic = -Infinity;
-  /** No tasks are started there before; set when the worker refuses one. */
+  /** No tasks are started there before this time; set when the worker refuses one. */
   pausedUntil: Monotonic = -Infinity;
   /**
-   * Moving mean of the logarithm of (run time as it shows / that of tasks of the
-   * same step on other hosts): 0 for an ordinary host, 0.7 for one half as fast.
+   * Moving mean of the logarithm of the ratio between the run time of tasks on this host
+   * and that of tasks of the same step on other hosts: 0 for a host of average speed,
+   * 0.7 for a host that is half as fast.
    */
   slowness = 0;
-  /** Ends up to this number were taken note of, and are being kept. */
+  /** Ends up to this number have been processed; their records may not be persisted yet. */
   processedEnds = 0;
-  /** Ends up to this number are kept. */
+  /** Ends up to this number are persisted. */
   acknowledgedEnds = 0;
-  /** What its tasks showed in the last report. */
+  /** Readings of its tasks in the last report. */
   readings: HostReadings = NO_READINGS;
   private readonly servingCounts = new Map<ImageName, number>();
   private readonly requestedFillingCores = new Map<ImageName, number>();
   private readonly totals: AllocatedResources = { ...NOTHING_ALLOCATED };
   private readonly runsPerStep = new Map<object, number>();
-  /** Runs that were to begin apart, also those that have. */
+  /** Runs with an isolation time, including those whose isolation has ended. */
   private readonly isolatedRuns = new Set<ActiveRun>();
   /** By run. */
   private readonly orphans = new Map<string, OrphanRun>();
-  /** How many of the strays no record tells of. */
+  /** Number of orphans without a record; their demand is unknown. */
   private orphansWithoutRecord = 0;
 
   constructor(
@@ -168,13 +186,13 @@
     this.account(run.task, 1);
   }
 
-  /** Whether a run there begins apart: no other is to begin beside it. */
+  /** Whether a run there is isolated, so that no other run may start on the host. */
   get hasIsolatedRun(): boolean {
     for (const run of this.isolatedRuns) if (isIsolated(run)) return true;
     return false;
   }
 
-  /** Whether the run takes room there by the leader's books. */
+  /** Whether the leader counts the run as active on this host. */
   has(run: ActiveRun): boolean {
     return this.runs.get(runKeyOf(runRefOf(run))) === run;
   }
@@ -187,8 +205,9 @@
   }
 
   /**
-   * Takes the strays of the newest report in place of those before. A stop takes
-   * its time, and workers that do not guard their room would start more beside them.
+   * Replaces the orphans with those of the latest report. Their resources stay allocated,
+   * because a stop takes time, and a worker that does not enforce its capacity would
+   * start further tasks beside them.
    */
   replaceOrphans(orphans: readonly OrphanRun[]): void {
     for (const orphan of this.orphans.values()) this.accountOrphan(orphan, -1);
@@ -199,12 +218,12 @@
     }
   }
 
-  /** The stray that the newest report listed as this run. */
+  /** The orphan that the latest report listed under this run. */
   orphanOf(run: RunRef): OrphanRun | undefined {
     return this.orphans.get(runKeyOf(run));
   }
 
-  /** All runs there that are to stop. */
+  /** All runs there that are to stop, including orphans. */
   get stopping(): readonly StoppingRun[] {
     const stopping: StoppingRun[] = [];
     for (const run of this.runs.values()) {
@@ -217,7 +236,7 @@
     return stopping;
   }
 
-  /** A stray has ended. */
+  /** Removes an orphan that has ended and frees its resources. */
   removeOrphan(run: RunRef): void {
     const key = runKeyOf(run);
     const orphan = this.orphans.get(key);
@@ -226,12 +245,12 @@
     this.accountOrphan(orphan, -1);
   }
 
-  /** Whether a run of unknown size may take all that the host has. */
+  /** Whether the host counts as full because an orphan of unknown demand runs there. */
   get mayBeFull(): boolean {
     return this.orphansWithoutRecord > 0;
   }
 
-  /** When nothing runs there any more for certain, unless the host is heard before. */
+  /** When every run there is known to have ended, unless the host reports before. */
   get leasesExpireBy(): Monotonic {
     const grantedExpireBy = Math.max(
       this.grantsExpireBy,
@@ -241,13 +260,16 @@
     return Math.max(leasesExpireBy, this.ordersExpireBy);
   }
 
-  /** A lease was granted that is over by then for certain. */
+  /** Records a granted lease that expires by the given time at the latest. */
   recordGrant(expiresBy: Monotonic): void {
     this.grantsExpireBy = Math.max(this.grantsExpireBy, expiresBy);
     this.clearSilence();
   }
 
-  /** The worker may carry out a start of a former life, whose lease is over by then. */
+  /**
+   * Records that the worker may execute a start for a previous incarnation, whose lease
+   * expires by the given time at the latest.
+   */
   recordPreviousStarts(expiresBy: Monotonic): void {
     this.previousStartsExpireBy = Math.max(
       this.previousStartsExpireBy,
@@ -255,16 +277,17 @@
     );
   }
 
-  /** An order was given whose lease is over by then for certain. */
+  /** Records a start order whose lease expires by the given time at the latest. */
   recordOrder(expiresBy: Monotonic): void {
     this.ordersExpireBy = Math.max(this.ordersExpireBy, expiresBy);
   }
 
   /**
-   * The side renews nothing before it hears of the next grant, and all that it has sent
-   * is over by then. Orders that are on their way to it keep their time.
+   * Records that the worker is silent and when the leases expire that its side has sent.
+   * The side renews no lease before it receives the next grant. Start orders that are in
+   * flight to it keep their own expiry.
    *
-   * @returns by how much sooner nothing runs there any more, milliseconds; negative when later
+   * @returns by how many milliseconds the expiry moved forward; negative if it is later
    */
   recordSilence(expiresBy: Monotonic): number {
     const before = this.leasesExpireBy;
@@ -272,7 +295,7 @@
     return before - this.leasesExpireBy;
   }
 
-  /** Another process of the side, which knows nothing of that time, may serve the host. */
+  /** Drops the reported expiry, as another side process may serve the host without knowing it. */
   clearSilence(): void {
     this.sentLeasesExpireBy = Infinity;
   }
@@ -281,17 +304,17 @@
     return this.runsPerStep.get(step) ?? 0;
   }
 
-  /** Images of the serving tasks that run there. */
+  /** Images of the serving tasks on the host. */
   get servingImages(): Iterable<ImageName> {
     return this.servingCounts.keys();
   }
 
-  /** Whether serving tasks run there, and all of this image. */
+  /** Whether there are serving tasks on the host and all of them are of this image. */
   servesOnly(image: ImageName): boolean {
     return this.servingCounts.size === 1 && this.servingCounts.has(image);
   }
 
-  /** Cores that the filling tasks there ask for, by image. */
+  /** Cores that the filling tasks on the host request, by image. */
   get fillingCores(): ReadonlyMap<ImageName, number> {
     return this.requestedFillingCores;
   }
@@ -300,7 +323,7 @@
     return label === "" || this.worker.labels.includes(label);
   }
 
-  /** A new life of the worker: nothing of the old one is left. */
+  /** Resets the state for a new incarnation of the worker; the previous one has left nothing. */
   replaceWorker(worker: WorkerDescription): void {
     this.worker = worker;
     this.slowness = 0;
@@ -342,10 +365,10 @@
   }
 }
 
-/** Sums below this are nothing but the error of adding fractions. */
+/** Sums below this are rounding errors. */
 const MIN_SUM = 1e-6;
 
-/** Adds to a sum; sums that come down to nothing are dropped. */
+/** Adds to a sum and removes it if it becomes zero. */
 const addTo = <K>(sums: Map<K, number>, key: K, amount: number): void => {
   const sum = (sums.get(key) ?? 0) + amount;
   if (sum < MIN_SUM) sums.delete(key);
--- a/packages/jobs/src/InterferenceEstimator.ts
+++ b/packages/jobs/src/InterferenceEstimator.ts
@@ -1,6 +1,6 @@
 /**
- * What is known of how filling tasks disturb serving tasks, by their images. Few
- * pairs matter, and they differ by image on both sides
+ * Estimates how much filling tasks raise the tail latency of serving tasks, per pair of
+ * images. Only few pairs interfere noticeably, and which ones depends on both images
  * (docs/measurements/platform.md, "Interference").
  */
 
@@ -8,19 +8,19 @@
 import { BoundedMap, type ImageName, type LearnedTail } from "@rackspan/state";
 import { TailModel, type FillingCores, type TailReading } from "./TailModel.js";
 
-/** Stands for images of which nothing is known; never taught. */
+/** Model of images without readings; it is never trained. */
 const UNTRAINED_MODEL = new TailModel();
 
-/** Serving images followed at once; the one first learnt is forgotten. */
+/** Limit of serving images with a model; beyond it the model created first is dropped. */
 const MAX_MODELS = 256;
 
 export class InterferenceEstimator {
-  /** In the order in which they were first learnt. */
+  /** In the order of creation. */
   private readonly models = new BoundedMap<ImageName, TailModel>(MAX_MODELS);
-  /** Serving images of which more was learnt since they were last kept. */
+  /** Serving images whose models have changed since they were last taken for the store. */
   private readonly changed = new Set<ImageName>();
 
-  /** @param learns whether readings change anything; else all pairs are alike */
+  /** @param learns whether readings train the models; if not, all pairs have the initial weight */
   constructor(private readonly learns = true) {}
 
   learn(serving: ImageName, reading: TailReading): void {
@@ -29,7 +29,7 @@
     this.changed.add(serving);
   }
 
-  /** Models that have changed since they were last taken here. */
+  /** Records of the models that have changed since the last call. */
   takeChanged(now: Instant): LearnedTail[] {
     const records: LearnedTail[] = [];
     for (const serving of this.changed) {
@@ -50,8 +50,8 @@
   }
 
   /**
-   * Takes what a former leader learnt of an image.
-   * @returns whether it was of use: nothing is known of the image yet
+   * Restores the model that a previous leader learned for a serving image.
+   * @returns whether it was used; it is ignored if the image already has a model
    */
   restore(record: LearnedTail, ageMs: number): boolean {
     if (!this.learns || this.models.get(record.serving)) return false;
@@ -68,12 +68,12 @@
     return model;
   }
 
-  /** What one core of the filling image adds to the logarithm of the tail. */
+  /** What one core of the filling image adds to the logarithm of the tail latency. */
   weight(serving: ImageName, filling: ImageName): number {
     return (this.models.get(serving) ?? UNTRAINED_MODEL).weight(filling);
   }
 
-  /** The same, so many standard deviations above what is expected. */
+  /** Upper bound of the weight: the given number of standard deviations above its mean. */
   weightBound(
     serving: ImageName,
     filling: ImageName,
@@ -83,7 +83,7 @@
     return model.weightBound(filling, deviations);
   }
 
-  /** Expected logarithm of the tail, as a share of its target. */
+  /** Expected logarithm of the tail latency relative to its target. */
   predict(serving: ImageName, colocatedCores: FillingCores): number {
     return (this.models.get(serving) ?? UNTRAINED_MODEL).predict(
       colocatedCores,
--- a/packages/jobs/src/JobRun.ts
+++ b/packages/jobs/src/JobRun.ts
@@ -1,6 +1,6 @@
 /**
- * One accepted job as the leader works on it: its steps and tasks, which of
- * them run, and how those that ended did. Knows nothing of hosts but their ids.
+ * The leader's state of one accepted job: its steps and tasks, which of them run,
+ * and how ended runs ended. It refers to hosts by their ids only.
  */
 
 import type { Instant, RunNumber } from "@rackspan/common";
@@ -23,7 +23,10 @@
   task.step.newestCheckpoint = checkpoint;
 };
 
-/** A gang is given up as one, so what speaks against its members speaks against it. */
+/**
+ * Crash log that decides whether a task fails permanently. The members of a gang
+ * fail together, so it is the merged log of all members.
+ */
 export const crashLogOf = ({ step, crashLog }: JobTask): CrashLog =>
   step.spec.gang ? step.crashLog : crashLog;
 
@@ -35,11 +38,11 @@
   state: JobStateName = "queued";
   begun = false;
   endedAt: Instant = 0;
-  /** Whether a task has a checkpoint, or a crash log that was cleared, that no record holds yet. */
+  /** Whether a new checkpoint or the clearing of a crash log is not in the last record yet. */
   hasUnpersistedProgress = false;
   private readonly occurrences = new Map<number, readonly StepRun[]>();
   private doneOccurrences = 0;
-  /** Number of the first occurrence that is not done. */
+  /** Number of the first occurrence that is not complete. */
   private firstIncomplete = 0;
 
   constructor(
@@ -59,7 +62,7 @@
     return this.accepted.spec.repeat?.count ?? 1;
   }
 
-  /** When an occurrence may begin; jobs without repeats may at once. */
+  /** When an occurrence may start; a job without `repeat` may start when it is accepted. */
   dueAt(occurrence: number): Instant {
     const { repeat } = this.accepted.spec;
     if (!repeat) return this.accepted.acceptedAt;
@@ -71,7 +74,7 @@
     return this.occurrence(occurrence)[step]?.tasks[index];
   }
 
-  /** Steps with tasks to start now. */
+  /** Steps that have tasks to start now. */
   runnableSteps(now: Instant): StepRun[] {
     const runnable: StepRun[] = [];
     const count = this.occurrenceCount;
@@ -87,7 +90,7 @@
     return runnable;
   }
 
-  /** When the next occurrence falls due; undefined when none is to come. */
+  /** When the next occurrence is due; undefined if there is none. */
   nextDueAt(now: Instant): Instant | undefined {
     const { repeat } = this.accepted.spec;
     if (!repeat) return undefined;
@@ -97,7 +100,7 @@
     return begun < repeat.count ? this.dueAt(begun) : undefined;
   }
 
-  /** All steps that were looked at so far. */
+  /** The steps of all occurrences that were accessed so far. */
   get steps(): StepRun[] {
     return [...this.occurrences.values()].flat();
   }
@@ -116,8 +119,8 @@
   }
 
   /**
-   * Takes note of how a run of the task ended.
-   * @returns whether what must be kept has changed
+   * Records how a run of the task ended.
+   * @returns whether the job's progress must be persisted
    */
   recordEnd(
     task: JobTask,
@@ -141,8 +144,8 @@
   }
 
   /**
-   * Takes the newest checkpoint of a task; an empty one says nothing.
-   * @returns whether it is another than before
+   * Records the newest checkpoint of a task; an empty one is ignored.
+   * @returns whether it differs from the previous one
    */
   recordCheckpoint(task: JobTask, checkpoint: string): boolean {
     if (checkpoint === "" || checkpoint === task.checkpoint) return false;
@@ -151,20 +154,20 @@
     return true;
   }
 
-  /** A gang goes on as one: its members bring the same checkpoint, that of any. */
+  /** Gives all members of a gang its newest checkpoint, as they resume together. */
   shareCheckpoint({ tasks, newestCheckpoint }: StepRun): void {
     if (newestCheckpoint === "") return;
     for (const task of tasks) this.recordCheckpoint(task, newestCheckpoint);
   }
 
-  /** A gang ends as one: one member's end stands for all. */
+  /** Marks all members of a gang as done, as the end of one member ends the gang. */
   markGangDone(step: StepRun): void {
     for (const task of step.tasks) {
       if (task.phase !== "done") this.markDone(task);
     }
   }
 
-  /** Whether a task, or the gang that it is of, has failed as often as its queue allows. */
+  /** Whether the task, or its gang, has failed as often as its queue allows. */
   hasReachedAttemptLimit({ step, failedRuns }: JobTask): boolean {
     const { gang, lasting } = step.spec;
     if (lasting) return false;
@@ -172,15 +175,16 @@
     return failed.size >= this.terms.maxAttempts;
   }
 
-  /** Whether too many workers crashed under the task, or under its gang. */
+  /** Whether the task, or its gang, has reached the limit of worker crashes. */
   hasReachedCrashLimit(task: JobTask): boolean {
     return crashLogOf(task).hasReachedLimit;
   }
 
   /**
-   * What was announced by a former leader and seen by none since may have crashed
-   * its worker; counted before the task is started again.
-   * @returns whether what must be kept has changed
+   * Counts the run of the task's write-ahead record as a possible crash. A previous
+   * leader recorded the run before ordering it, and no worker has listed it since, so
+   * it may have crashed its worker. Called before the task is started again.
+   * @returns whether the job's progress must be persisted
    */
   resolveWriteAheadRun(task: JobTask): boolean {
     const { writeAheadRun } = task;
@@ -203,7 +207,7 @@
     this.endedAt = now;
   }
 
-  /** What the store is to keep; asked for when it is about to be written. */
+  /** The job's progress for the store; called just before the record is written. */
   toRecord(): ProgressRecord {
     this.hasUnpersistedProgress = false;
     const done: Record<string, string> = {};
--- a/packages/jobs/src/JobTask.ts
+++ b/packages/jobs/src/JobTask.ts
@@ -1,4 +1,4 @@
-/** One task of a step as the leader works on it, whichever of its runs is active. */
+/** The leader's state of one task of a step, across all runs of the task. */
 
 import type { HostId, JobTaskId, Monotonic, RunNumber } from "@rackspan/common";
 import { taskIdAt } from "@rackspan/state";
@@ -11,20 +11,21 @@
 export class JobTask {
   readonly id: JobTaskId;
   phase: TaskPhase = "waiting";
-  /** Runs that failed. A new leader may hear of them in any order, and again. */
+  /** Runs that failed. Reports of them may reach a new leader in any order and repeatedly. */
   readonly failedRuns = new Set<number>();
-  /** Its runs that were lost with their workers. */
+  /** Evidence from its runs that were lost with their workers. */
   readonly crashLog = new CrashLog();
   /**
-   * The run that the store was told of before it was ordered; undefined once it is
-   * known how that run ended, and for tasks that are not suspected.
+   * The run that a write-ahead record in the store names: it was persisted before the
+   * run was ordered. Undefined once the end of that run is known, and for tasks that
+   * are not suspected of crashing workers.
    */
   writeAheadRun: RunNumber | undefined;
-  /** It is not started before: until then it may yet be given up. */
+  /** The task is not started before this time: until then it may still fail permanently. */
   heldUntil: Monotonic = -Infinity;
-  /** From which the next run goes on; empty for none. */
+  /** The checkpoint from which the next run resumes; empty if there is none. */
   checkpoint = "";
-  /** Hosts where it failed or stood still, the last ones. */
+  /** The last hosts on which the task failed or stalled. */
   readonly avoidedHosts: HostId[] = [];
 
   constructor(
--- a/packages/jobs/src/PresenceTracker.ts
+++ b/packages/jobs/src/PresenceTracker.ts
@@ -1,4 +1,4 @@
-/** Since when something has been seen without a break; forgets what is gone. */
+/** Tracks since when each key has been present without interruption. */
 
 import type { Clock, Monotonic } from "@rackspan/common";
 
@@ -7,7 +7,7 @@
 
   constructor(private readonly clock: Clock) {}
 
-  /** Notes that the key is seen now; @returns for how many milliseconds it has been */
+  /** Records that the key is present now; @returns for how many milliseconds it has been */
   observe(key: K): number {
     const now = this.clock.monotonic();
     const first = this.since.get(key) ?? now;
@@ -19,7 +19,7 @@
     this.since.delete(key);
   }
 
-  /** Forgets every key that is not among these. */
+  /** Removes every key that is not in the given set. */
   retainOnly(keys: ReadonlySet<K>): void {
     for (const key of this.since.keys()) {
       if (!keys.has(key)) this.since.delete(key);
--- a/packages/jobs/src/ProgressJournal.ts
+++ b/packages/jobs/src/ProgressJournal.ts
@@ -1,4 +1,4 @@
-/** Keeps the progress of jobs in the store; many changes of a job become one record. */
+/** Persists the progress of jobs in the store; several changes of a job become one record. */
 
 import type { Clock } from "@rackspan/common";
 import { encodeProgress, type TopicWriter } from "@rackspan/state";
@@ -7,7 +7,7 @@
 export interface ProgressJournalOptions {
   readonly writer: TopicWriter;
   readonly clock: Clock;
-  /** Time for which changes are gathered, milliseconds: each append has a price. */
+  /** Time for which changes are batched to save appends, milliseconds. */
   readonly batchWindowMs: number;
 }
 
@@ -18,13 +18,13 @@
 
 export class ProgressJournal {
   private next: Batch | undefined;
-  /** The last record of each job that is not known to be kept. */
+  /** The last write of each job that is not confirmed yet. */
   private readonly unpersisted = new Map<JobRun, Promise<void>>();
 
   constructor(private readonly options: ProgressJournalOptions) {}
 
   /**
-   * Resolves once the store keeps the job's progress, as it is now or newer.
+   * Resolves once the job's current progress, or newer progress, is persisted.
    * Rejects when another leader has taken over.
    */
   persist(job: JobRun): Promise<void> {
@@ -35,8 +35,8 @@
   }
 
   /**
-   * Resolves once all that was recorded of the job so far is kept; writes nothing.
-   * Rejects when another leader has taken over before.
+   * Resolves once all earlier writes for the job are persisted; writes nothing itself.
+   * Rejects when another leader has taken over before that.
    */
   flushed(job: JobRun): Promise<void> {
     return this.unpersisted.get(job) ?? Promise.resolve();
@@ -48,7 +48,7 @@
     const untrack = (): void => {
       if (this.unpersisted.get(job) === kept) this.unpersisted.delete(job);
     };
-    // What was refused stays: it never will be kept.
+    // A refused write stays in the map, as it will never be persisted.
     kept.then(untrack, () => undefined);
   }
 
--- a/packages/jobs/src/RendezvousOwnership.ts
+++ b/packages/jobs/src/RendezvousOwnership.ts
@@ -1,4 +1,7 @@
-/** Soft ownership by rendezvous hashing: no agreement needed, any member list will do. */
+/**
+ * Advisory ownership of keys by rendezvous hashing. It needs no agreement between the
+ * members and works with any member list.
+ */
 
 import { createHash } from "node:crypto";
 import type { HostId } from "@rackspan/common";
@@ -9,14 +12,14 @@
 
 export interface RendezvousOptions {
   readonly self: HostId;
-  /** All live members; may or may not name this one. */
+  /** All live members; the list may or may not contain this one. */
   readonly members: () => readonly HostId[];
 }
 
 export class RendezvousOwnership implements Ownership {
   constructor(private readonly options: RendezvousOptions) {}
 
-  /** How many members come before this one for the key. */
+  /** Number of members that rank before this one for the key. */
   rank(key: string): number {
     const { self, members } = this.options;
     const ownWeight = weight(key, self);
--- a/packages/jobs/src/StepRun.ts
+++ b/packages/jobs/src/StepRun.ts
@@ -1,4 +1,4 @@
-/** One step of a job as the leader works on it, and which of its tasks wait. */
+/** The leader's state of one step of a job, including which of its tasks wait. */
 
 import type { Monotonic } from "@rackspan/common";
 import type { StepSpec } from "@rackspan/state";
@@ -6,17 +6,17 @@
 import type { JobRun } from "./JobRun.js";
 import { JobTask } from "./JobTask.js";
 
-/** One step in one occurrence of its job. */
+/** One step within one occurrence of its job. */
 export class StepRun {
   readonly tasks: readonly JobTask[];
   /** In index order. */
   readonly waiting: Set<JobTask>;
   doneCount = 0;
-  /** Nothing of it is started before; set when a host refuses its ticket. */
+  /** No task of the step is started before this time; set when a host refuses its ticket. */
   heldUntil: Monotonic = -Infinity;
-  /** Since when a task of it has found no host; undefined when none waits. */
+  /** Since when a task of the step has found no host; undefined when none waits. */
   unplacedSince: Monotonic | undefined;
-  /** The checkpoint of any of its tasks that was heard of last; empty for none. */
+  /** The last received checkpoint of any of its tasks; empty if there is none. */
   newestCheckpoint = "";
 
   constructor(
@@ -36,17 +36,20 @@
     return this.doneCount === this.tasks.length;
   }
 
-  /** Runs in which any of its tasks failed: a gang fails as one, whichever began. */
+  /**
+   * Runs in which any of its tasks failed. The members of a gang share their run
+   * numbers, so a gang that failed in one run has failed once.
+   */
   get failedRuns(): ReadonlySet<number> {
     return new Set(this.tasks.flatMap(({ failedRuns }) => [...failedRuns]));
   }
 
-  /** Crashes under any of its tasks: a gang's members share their run numbers. */
+  /** Merged crash log of its tasks; the members of a gang share their run numbers. */
   get crashLog(): CrashLog {
     return new CrashLog(this.tasks.flatMap(({ crashLog }) => crashLog.entries));
   }
 
-  /** Estimated milliseconds of one task, at least one. */
+  /** Estimated run time of one task in milliseconds, at least 1. */
   get estimateMs(): number {
     return Math.max(1, this.spec.estimateMs);
   }
--- a/packages/jobs/src/StopOrder.ts
+++ b/packages/jobs/src/StopOrder.ts
@@ -1,18 +1,18 @@
 /**
- * A stop that is wanted of a run, and how far it has come. Only the worker's own
- * answer ends it: that a report still lists the run says that the stop has not
- * been carried out, never that it has arrived.
+ * Tracks a requested stop of a run. Only the worker's answer confirms that the stop has
+ * arrived. A report that still lists the run shows only that the stop has not been
+ * executed yet.
  */
 
 import type { Monotonic, WorkerTime } from "@rackspan/common";
 import type { RunRef } from "@rackspan/ports";
 
 export interface StopOrder {
-  /** Why the run is to end, for logs. */
+  /** Why the run is stopped, for logs. */
   readonly reason: string;
-  /** When the order that is on its way was sent, on the leader's clock; undefined while none is. */
+  /** When the order in flight was sent, on the leader's clock; undefined if none is in flight. */
   sentAt: Monotonic | undefined;
-  /** Worker's clock when it last confirmed the stop; undefined before. The run is barred from then on. */
+  /** Worker's clock when it last confirmed the stop; undefined before. The run cannot start after that. */
   confirmedAt: WorkerTime | undefined;
 }
 
@@ -20,14 +20,14 @@
 export interface StoppingRun {
   readonly ref: RunRef;
   readonly stop: StopOrder;
-  /** Worker's clock when it last showed the run; undefined when it never has. */
+  /** Worker's clock when it last reported the run; undefined if it never has. */
   readonly lastSeenAt: WorkerTime | undefined;
 }
 
 export interface StopTimeouts {
-  /** Time for the answer to an order, milliseconds. */
+  /** Timeout for the answer to an order, milliseconds. */
   readonly answerMs: number;
-  /** Time that a worker may take to stop a run, milliseconds. */
+  /** Time that a worker may take to stop a run after confirming the order, milliseconds. */
   readonly stopMs: number;
 }
 
@@ -38,8 +38,8 @@
 });
 
 /**
- * Whether the stop must be ordered now: not while an order is on its way, and
- * once the worker has confirmed it only if the run outlives its time to stop.
+ * Whether the stop must be ordered now. It is not repeated while an order is in flight,
+ * and after the worker's confirmation only if the run exceeds its time to stop.
  */
 export const isStopDue = (
   { stop, lastSeenAt }: StoppingRun,
--- a/packages/jobs/src/TailModel.ts
+++ b/packages/jobs/src/TailModel.ts
@@ -1,67 +1,67 @@
 /**
- * Learns what each image of filling tasks adds to the tails of one image of
- * serving tasks. The logarithm of a tail, as a share of its target, is modelled
- * as a base plus a weight for each core that each filling image uses beside it,
- * and followed by a Kalman filter: what stands beside the tail at one time is
- * told apart by what stood beside it, or did not, at others.
+ * Learns how much each image of filling tasks raises the tail latency of one image of
+ * serving tasks. The logarithm of a tail latency relative to its target is modelled as a
+ * base plus a weight per core that each colocated filling image uses. A Kalman filter
+ * estimates the base and the weights: readings with different combinations of images
+ * separate the effects of the images.
  *
- * Soft state: a new leader takes over what the last one kept, where there is any,
- * and learns the rest anew within some seconds.
+ * The model is soft state: a new leader restores what the previous one has persisted, if
+ * anything, and learns the rest again within seconds.
  */
 
 import { MS_PER_SECOND, type Monotonic } from "@rackspan/common";
 import type { ImageName } from "@rackspan/state";
 
-/** Where these come from: docs/CAPACITY.md, "How values were found". */
+/** The values are explained in docs/CAPACITY.md, "How values were found". */
 export const TAIL_MODEL = {
-  /** Logarithm of a tail's share of its target when nothing disturbs (0.42). */
+  /** Initial logarithm of the undisturbed tail latency relative to its target (0.42). */
   initialBase: -0.87,
-  /** How far off the first base may be, standard deviation: the load's swing and more. */
+  /** Standard deviation of the initial base; it covers more than the swing of the load. */
   baseDeviation: 0.4,
-  /** Weight of a pair that was never seen together, logarithm a core. */
+  /** Weight of a pair without readings, logarithm per core. */
   initialWeight: 0.03,
-  /** How far off that may be, standard deviation; pairs of 0.2 are common. */
+  /** Standard deviation of the initial weight; weights of 0.2 are common. */
   weightDeviation: 0.1,
-  /** Variance of one task's reading once the load of its image is known. */
+  /** Variance of one task's reading given the load of its image. */
   taskVariance: 0.06,
-  /** Part of it that the tasks of one host share. */
+  /** Part of `taskVariance` that the tasks of one host share. */
   hostVariance: 0.03,
-  /** Variance by which weights drift from one reading to the next. */
+  /** Variance that a weight gains from one reading to the next. */
   driftVariance: 3e-5,
   /**
-   * Variance a second by which the base moves. The users of an image come and go
-   * on all hosts together, so its tails rise and fall together. A base that stands
-   * still takes this for disturbance.
+   * Variance that the base gains per second. The load of an image changes on all hosts at
+   * once, so its tail latencies rise and fall together. With a fixed base such a change
+   * would be attributed to the filling tasks.
    */
   baseDriftVariance: 0.02,
-  /** Errors count as at most this many standard deviations: readings jump. */
+  /** Errors are limited to this many standard deviations because readings have outliers. */
   maxDeviations: 2,
-  /** Weights are kept within these two bounds; logarithm a core. */
+  /** Bounds of the weights, logarithm per core. */
   minWeight: -0.02,
   maxWeight: 0.8,
-  /** Fewer cores than this of an image teach nothing of it. */
+  /** Images that use fewer cores than this in a reading are ignored. */
   minCores: 0.05,
-  /** Images followed at once; the one not seen for longest is forgotten. */
+  /** Limit of filling images in a model; the least recently seen one is evicted. */
   maxImages: 48,
 } as const;
 
-/** Cores in use by the filling tasks of a host, by image. */
+/** Cores used by the filling tasks of a host, by image. */
 export type FillingCores = ReadonlyMap<ImageName, number>;
 
 export interface TailReading {
-  /** When it was taken, on the leader's clock. */
+  /** When the reading was taken, on the leader's clock. */
   readonly at: Monotonic;
-  /** Mean logarithm of the tails of the image's tasks on one host. */
+  /** Mean logarithm of the tail latencies of the image's tasks on one host. */
   readonly tail: number;
-  /** How many tasks that is the mean of. */
+  /** Number of tasks that the mean covers. */
   readonly taskCount: number;
-  /** What ran beside them in the half second of the reading. */
+  /** Cores used by colocated filling tasks during the half second of the reading. */
   readonly colocatedCores: FillingCores;
 }
 
-/** What a model knows, as it is kept for the next leader. */
+/** State of a model as persisted for the next leader. */
 export interface TailSnapshot {
-  /** In the order of their weights in `mean`. */
+  /** Filling images in the order of their weights in `mean`. */
   readonly filling: readonly ImageName[];
   /** The base, then the weights. */
   readonly mean: readonly number[];
@@ -69,11 +69,11 @@
   readonly covariance: readonly (readonly number[])[];
 }
 
-/** Place of the base in `mean`; weights stand behind it. */
+/** Index of the base in `mean`; the weights follow it. */
 const BASE_INDEX = 0;
 
 export class TailModel {
-  /** Place of each image's weight in `mean`; in the order last seen. */
+  /** Index of each image's weight in `mean`, least recently seen image first. */
   private readonly indexByImage = new Map<ImageName, number>();
   /** The base, then the weights. */
   private mean: number[] = [TAIL_MODEL.initialBase];
@@ -81,19 +81,19 @@
   /** When the last reading was taken; undefined before the first. */
   private lastReadingAt: Monotonic | undefined;
 
-  /** Expected logarithm of the tail when nothing disturbs it. */
+  /** Expected logarithm of the undisturbed tail latency. */
   get base(): number {
     return this.mean[BASE_INDEX] as number;
   }
 
-  /** What one core of the filling image adds to the logarithm; never below 0. */
+  /** What one core of the filling image adds to the logarithm; at least 0. */
   weight(image: ImageName): number {
     const index = this.indexByImage.get(image);
     if (index === undefined) return TAIL_MODEL.initialWeight;
     return Math.max(0, this.mean[index] as number);
   }
 
-  /** What one core of the image may add, so many standard deviations above what is expected. */
+  /** Upper bound of a weight: the given number of standard deviations above its mean. */
   weightBound(image: ImageName, deviations: number): number {
     const { initialWeight, weightDeviation } = TAIL_MODEL;
     const index = this.indexByImage.get(image);
@@ -105,7 +105,7 @@
     return Math.max(0, bound);
   }
 
-  /** Expected logarithm of the tail. */
+  /** Expected logarithm of the tail latency. */
   predict(colocatedCores: FillingCores): number {
     let tail = this.base;
     for (const [image, cores] of colocatedCores)
@@ -129,7 +129,7 @@
     this.correct(covariances, variance, clampError(tail - expected, variance));
   }
 
-  /** What the reading's parts are multiplied with, by place; the base counts once. */
+  /** Input vector of the reading, by index in `mean`; the input of the base is 1. */
   private inputsOf(colocatedCores: FillingCores): Map<number, number> {
     const inputs = new Map([[BASE_INDEX, 1]]);
     for (const [image, cores] of colocatedCores) {
@@ -144,7 +144,7 @@
     this.lastReadingAt = at;
   }
 
-  /** The base may have moved since it was last read, but not past all bounds. */
+  /** Increases the variance of the base by its drift, up to the initial variance. */
   private increaseBaseVariance(sinceMs: number): void {
     const { baseDriftVariance, baseDeviation } = TAIL_MODEL;
     const row = this.covariance[BASE_INDEX] as number[];
@@ -161,7 +161,7 @@
     }
   }
 
-  /** Covariance of one part with the expected reading. */
+  /** Covariance of one component of `mean` with the expected reading. */
   private covarianceWith(
     index: number,
     inputs: ReadonlyMap<number, number>,
@@ -194,7 +194,7 @@
     });
   }
 
-  /** What is known, with numbers rounded to what matters. */
+  /** State of the model with rounded numbers. */
   snapshot(): TailSnapshot {
     const filling = [...this.indexByImage]
       .sort(([, a], [, b]) => a - b)
@@ -209,8 +209,8 @@
   }
 
   /**
-   * @param ageMs how long ago the snapshot was taken; the base has moved since
-   * @returns undefined when its parts do not belong together
+   * @param ageMs how long ago the snapshot was taken; the base has drifted since
+   * @returns undefined when the sizes of its parts do not match
    */
   static restore(
     { filling, mean, covariance }: TailSnapshot,
@@ -237,11 +237,11 @@
     return model;
   }
 
-  /** The place of the image's weight; an image that is not known gets one. */
+  /** Index of the image's weight; a new image gets one, if necessary an evicted image's. */
   private indexOf(image: ImageName): number {
     const known = this.indexByImage.get(image);
     if (known !== undefined) {
-      // Seen last: the first of the map is the one not seen for longest.
+      // Moves the image to the end, so that the map starts with the least recently seen.
       this.indexByImage.delete(image);
       this.indexByImage.set(image, known);
       return known;
@@ -265,7 +265,7 @@
     return index;
   }
 
-  /** Knows nothing of the weight at this place any more. */
+  /** Resets the weight at this index to its initial mean and variance. */
   private reset(index: number): void {
     this.mean[index] = TAIL_MODEL.initialWeight;
     this.covariance.forEach((row, other) => {
@@ -277,7 +277,7 @@
   }
 }
 
-/** Variance of a reading that is the mean of so many tasks of one host. */
+/** Variance of a reading that is the mean over the given number of tasks of one host. */
 const readingVariance = (taskCount: number): number => {
   const { taskVariance, hostVariance } = TAIL_MODEL;
   return hostVariance + (taskVariance - hostVariance) / taskCount;
@@ -288,7 +288,7 @@
   return Math.max(-limit, Math.min(limit, error));
 };
 
-/** Weights and variances below this tell nothing. */
+/** Weights and variances are rounded to multiples of 1 / ROUNDING. */
 const ROUNDING = 1e6;
 
 const rounded = (value: number): number =>
--- a/packages/jobs/src/TakeoverGate.ts
+++ b/packages/jobs/src/TakeoverGate.ts
@@ -1,9 +1,10 @@
 /**
- * Holds starts back after a change of leader until no run of the former leader
- * can be hidden. Starts are not written down, so what runs is known only once
- * each host of the roster has reported to this leader, after which it obeys no
- * former one, or once every lease there is over: as its side tells, which alone
- * renews them, or at the latest as former leaders could grant them.
+ * Delays starts after a change of leader until no run of a previous leader can be unknown
+ * to this one. Starts are not persisted, so the running tasks are known only once each host
+ * of the roster has either reported to this leader, after which it rejects orders of
+ * previous leaders, or holds no valid lease any more. The latter is known from the expiry
+ * that its side reports, as only the side renews leases, or at the latest when the longest
+ * lease that previous leaders could grant has expired.
  */
 
 import type { HostId, Monotonic } from "@rackspan/common";
@@ -11,22 +12,22 @@
 
 export interface TakeoverGateOptions {
   readonly takenOverAt: Monotonic;
-  /** Hosts to which a former leader may have granted leases. */
+  /** Hosts to which a previous leader may have granted leases. */
   readonly roster: Iterable<HostId>;
-  /** A former leader decides nothing later than this after the take-over. */
+  /** Time after the takeover by which no previous leader makes decisions any more. */
   readonly leadershipTtlMs: number;
-  /** The longest lease that it may have granted until then. */
+  /** The longest lease that a previous leader may have granted until then. */
   readonly leaseMs: number;
 }
 
 export class TakeoverGate {
-  /** By host that was not heard: from then on nothing of a former leader runs there. */
+  /** For each unreported host, the time by which no run of a previous leader is left there. */
   private readonly expiryByHost: Map<HostId, Monotonic>;
-  /** The same for a host whose side tells nothing. */
+  /** The same for hosts whose side reports no expiry. */
   private readonly leasesExpireBy: Monotonic;
-  /** From then on no former leader decides anything. */
+  /** Time by which no previous leader makes decisions any more. */
   readonly authorityExpiresBy: Monotonic;
-  /** Jobs that were first seen after this are new for certain. */
+  /** Jobs that were first seen after this time are known to be new. */
   private viewCurrentAt: Monotonic = Infinity;
 
   constructor(options: TakeoverGateOptions) {
@@ -38,15 +39,15 @@
     );
   }
 
-  /** Nothing that a former leader started is hidden there, now or later. */
+  /** Records that the host has reported: no run of a previous leader can be unknown there. */
   recordReport(host: HostId): void {
     this.expiryByHost.delete(host);
   }
 
   /**
-   * The side of a host that was not heard tells when the leases there are over. The
-   * newest time that it told holds: a late start may bring a longer lease.
-   * @returns by how much sooner that is than was known, milliseconds; negative when later
+   * Records when the leases of an unreported host expire, as reported by its side. The
+   * latest report replaces earlier ones, because a late start may bring a longer lease.
+   * @returns by how many milliseconds the expiry moved forward; negative if it is later
    */
   recordSilence(host: HostId, expiresBy: Monotonic): number {
     const known = this.expiryByHost.get(host);
@@ -57,8 +58,8 @@
   }
 
   /**
-   * What the side has told holds no more: its worker answers again and has ends left to
-   * list, or another process of the side, which knows nothing of it, may serve the host.
+   * Drops the expiry that the side has reported: its worker answers again and has ends
+   * left to list, or another side process may serve the host without knowing it.
    */
   clearSilence(host: HostId): void {
     if (this.expiryByHost.has(host))
@@ -66,18 +67,16 @@
   }
 
   /**
-   * This leader has seen every job that the store kept when no former leader
-   * decided any more. To be seen late is not to be new: a take-over that lasts
-   * longer than the former term would take all jobs for new ones.
+   * Records that this leader has read every job that was stored when the authority of
+   * previous leaders expired. Only jobs first seen after that are new. The expiry itself
+   * is no such limit: if the takeover takes longer, all jobs would count as new.
    */
   markViewCurrent(now: Monotonic): void {
     if (now < this.authorityExpiresBy) return;
     this.viewCurrentAt = Math.min(this.viewCurrentAt, now);
   }
 
-  /**
-   * Hosts that were never heard of and hold no lease any more. Each is named once.
-   */
+  /** Unreported hosts whose leases have expired; each host is returned only once. */
   takeExpired(now: Monotonic): HostId[] {
     const expired = [...this.expiryByHost].filter(
       ([, expiresBy]) => now >= expiresBy,
@@ -86,12 +85,12 @@
     return expired.map(([host]) => host);
   }
 
-  /** When the next host that was not heard holds no lease any more; Infinity without any. */
+  /** When the leases of the next unreported host expire; Infinity if there is none. */
   get nextLeaseExpiry(): Monotonic {
     return Math.min(Infinity, ...this.expiryByHost.values());
   }
 
-  /** Hosts that may yet hide a run of a former leader. */
+  /** Unreported hosts that may still have a run of a previous leader. */
   unreported(now: Monotonic): readonly HostId[] {
     return [...this.expiryByHost].flatMap(([host, expiresBy]) =>
       now < expiresBy ? [host] : [],
@@ -105,7 +104,7 @@
   }
 
   /**
-   * Whether tasks of a job may be started that no host is known to run.
+   * Whether tasks of a job that are not known to run on any host may be started.
    * @param firstSeenAt when this leader first read the job from the store
    */
   mayStart(firstSeenAt: Monotonic, now: Monotonic): boolean {
--- a/packages/jobs/src/UnitPlacer.ts
+++ b/packages/jobs/src/UnitPlacer.ts
@@ -1,6 +1,6 @@
 /**
- * Brings open units to run: reserve at a side, claim on the log, start only
- * after the own claim was read back as the winner.
+ * Places open units: reserves resources at a side, claims the unit on the log, and
+ * starts it only after the log confirms that this claim has won.
  */
 
 import PQueue from "p-queue";
@@ -42,11 +42,11 @@
   readonly random: Random;
   readonly metrics: Metrics;
   readonly logger: Logger;
-  /** An entry that comes later for a unit waits this long for each before it. */
+  /** An entry waits this long for each entry that ranks before it for a unit, milliseconds. */
   readonly takeoverMs: number;
-  /** Longest wait for a claim to be read back; shorter than a reservation lives. */
+  /** Longest wait for the verdict on a claim; shorter than the lifetime of a reservation. */
   readonly claimTimeoutMs: number;
-  /** Placements in progress at once. */
+  /** Limit of concurrent placements. */
   readonly concurrency: number;
 }
 
@@ -76,7 +76,7 @@
     this.openUnits = new PresenceTracker(options.clock);
   }
 
-  /** Starts what may be started now; called again whenever something changed. */
+  /** Queues the open units that may be placed now; called after each change. */
   sweep(): void {
     const open = this.options.fold.units.openUnits();
     const names = new Set<string>();
@@ -94,7 +94,7 @@
     }
   }
 
-  /** Placements that are waiting or in progress. */
+  /** Number of placements that are queued or in progress. */
   get pendingCount(): number {
     return this.inProgress.size;
   }
@@ -109,7 +109,7 @@
     ) {
       return false;
     }
-    // One entry places all replicas of a declaration, so that it can spread them.
+    // Ranking by family lets one entry place all replicas of a declaration and spread them.
     const rank = ownership.rank(replicaGroupOf(unit));
     return openMs >= retryDelay(unit) + rank * takeoverMs;
   }
@@ -145,7 +145,7 @@
     this.backOff(unit);
   }
 
-  /** All hosts are looked at only when none of the sample has room. */
+  /** Ranks a sample of the hosts first, and all hosts only if the unit fits on none of it. */
   private rank(unit: Unit): readonly HostView[] {
     const { placer, hosts, random } = this.options;
     const sample = sampleHosts(hosts, random);
@@ -212,7 +212,8 @@
       }
       metrics.count("claims", { result: "won" });
     } catch (err) {
-      // Unknown or refused: nothing is started, and the reservation expires by itself.
+      // The claim was refused or its outcome is unknown: nothing is started, and the
+      // reservation expires.
       metrics.count("claims", { result: "no-answer" });
       logger.warn("claim.no-answer", {
         unit: id,
@@ -237,7 +238,7 @@
         host,
       });
     } catch (err) {
-      // The side's own list of tasks tells later whether it runs.
+      // The side's next status shows whether the task runs.
       const error = describeError(err);
       logger.warn("unit.start-failed", { unit: unit.id, host, error });
     }
@@ -256,7 +257,7 @@
   }
 }
 
-/** Wait before the next attempt of a unit that has failed, milliseconds. */
+/** Delay before the next attempt of a failed unit, milliseconds. */
 const retryDelay = ({ failures, lastEnd }: Unit): number =>
   lastEnd === "failed"
     ? Math.min(MAX_BACKOFF_MS, FIRST_BACKOFF_MS * 2 ** Math.min(failures, 10))
--- a/packages/jobs/src/attributeCrash.ts
+++ b/packages/jobs/src/attributeCrash.ts
@@ -1,4 +1,4 @@
-/** Tells which runs of a host speak against their tasks when its worker is lost. */
+/** Derives evidence against the tasks on a host from the loss of its worker. */
 
 import { runKeyOf } from "@rackspan/ports";
 import type { LostRun } from "@rackspan/protocol";
@@ -14,22 +14,25 @@
 import type { JobTask } from "./JobTask.js";
 import type { StepRun } from "./StepRun.js";
 
-/** How a worker's life was lost: it crashed, or its host was silent until its lease was over. */
+/** How a worker was lost: it crashed, or its host was silent until its lease expired. */
 export type WorkerLoss = "crashed" | "silent";
 
 /**
- * What the side knows of a lost run: whether it was at work when its worker ended.
- * `unreached`: its worker had stopped answering before the run was ordered.
+ * The last state of a lost run that the side has recorded:
+ * - `at-work`: it was at work when its worker ended;
+ * - `may-have-ended`: it was at work, but may have ended before its worker did;
+ * - `unheard`: it is not known whether it was at work;
+ * - `unreached`: its worker had stopped answering before the run was ordered.
  */
 export type LostRunState =
   "at-work" | "may-have-ended" | "unheard" | "unreached";
 
 /**
- * A look that breaks off shows a run at work only while it is far from its end: the
- * look, or the answer that tells of the end, may have been held up on its way.
+ * Determines the last known state of a lost run. An interrupted poll proves that a run was
+ * at work only if the run was far from its expected end, because the poll or the answer
+ * that reports the end may have been delayed.
  *
- * @param expectedMs how long a run of the task is expected to take; undefined for one
- *   that lasts
+ * @param expectedMs expected duration of a run of the task; undefined for a lasting task
  */
 export const lostRunStateOf = (
   { wasAtWork, orderedMs = 0 }: Pick<LostRun, "wasAtWork" | "orderedMs">,
@@ -45,21 +48,21 @@
 export interface WorkerCrash {
   readonly host: HostState;
   readonly loss: WorkerLoss;
-  /** What the side tells of the runs that were lost with the worker. */
+  /** The runs lost with the worker, as reported by the side. */
   readonly lostRuns: readonly LostRun[];
-  /** How long a run of the step is expected to take; undefined for one that lasts. */
+  /** Expected duration of a run of the step; undefined for a lasting one. */
   readonly expectedMs: (step: StepRun) => number | undefined;
-  /** Whether the side knows that the run had ended before its worker crashed. */
+  /** Whether the side has reported that the run ended before its worker crashed. */
   readonly hasEnded: (run: ActiveRun) => boolean;
 }
 
 /**
- * A run that began apart counts for the crash, and those beside it do not: they
- * only shared the worker. Else each run there may have done it, most of all those
- * of which the side knows that they were at work. Without that knowledge a run that
- * had ended unheard of would count as a crash under its task.
+ * Attributes the loss of a worker to its runs. If one of them was isolated, the crash
+ * counts against that one only, as the others merely shared the worker. Otherwise each
+ * run may be the cause, most likely those that the side reports to have been at work.
+ * Without that report a run that had ended unreported would count as a crash of its task.
  *
- * @returns nothing for a worker that was leaving: its end was planned
+ * @returns an empty map for a draining worker, whose end was planned
  */
 export const attributeCrash = ({
   host,
@@ -94,7 +97,7 @@
   );
 };
 
-/** The run that began apart, unless another one had begun just before it. */
+/** The isolated run, unless another run had started just before it. */
 const findIsolatedRun = (runs: readonly ActiveRun[]): ActiveRun | undefined => {
   const isolated = runs.find(isIsolated);
   if (!isolated) return undefined;
@@ -107,9 +110,9 @@
 };
 
 /**
- * What a run that began apart says of its task: proof, where the worker had shown it
- * and it was at work for certain. One that went on from a checkpoint may have had
- * little left to do.
+ * Evidence against the task of an isolated run. It is proof (`sole`) if the worker had
+ * reported the run and the run is known to have been at work. A run that resumed from a
+ * checkpoint is no proof, as it may have had little left to do.
  */
 export const evidenceOfIsolatedRun = (
   { checkpoint, step }: JobTask,
@@ -128,8 +131,10 @@
   firstSeenAt !== undefined;
 
 /**
- * @param ms for how long the worker had shown the run when it crashed; undefined
- *   when it never had
+ * Evidence against the task of a run that was not isolated.
+ *
+ * @param ms for how long the worker had reported the run when it crashed; undefined
+ *   if it never had
  */
 export const evidenceOfSharedRun = (
   ms: number | undefined,
@@ -139,11 +144,11 @@
   if (ms === undefined) return "unseen";
   if (state === "unheard") return "unheard";
   if (state === "at-work") return hasSettledAfter(ms) ? "settled" : "young";
-  // It may have ended, so it speaks less against its task.
+  // The run may have ended, so the evidence is weaker.
   return hasSettledAfter(ms) ? "unseen" : "unheard";
 };
 
-/** Whether a run that worked for so long is not thought of first when its worker crashes. */
+/** Whether a run with this working time is an unlikely cause of a crash of its worker. */
 export const hasSettledAfter = (ms: number): boolean =>
   ms >= CRASH_LIMITS.settledMs;
 
--- a/packages/jobs/src/describeTask.ts
+++ b/packages/jobs/src/describeTask.ts
@@ -1,10 +1,10 @@
-/** What a host is told of a task, for its side to pace it. */
+/** Describes tasks to their hosts, whose sides pace them accordingly. */
 
 import type { JobTaskId } from "@rackspan/common";
 import type { InterferenceProfile } from "@rackspan/protocol";
 import type { JobTask } from "./JobTask.js";
 
-/** A task as its host is told of it. */
+/** A task's description as sent to its host. */
 export interface TaskDescription {
   readonly task: JobTaskId;
   readonly nature: InterferenceProfile;
--- a/packages/jobs/src/reconcileReport.ts
+++ b/packages/jobs/src/reconcileReport.ts
@@ -1,4 +1,4 @@
-/** Compares what a host reports with what the leader believes of it. */
+/** Reconciles the report of a host with the leader's state of it. */
 
 import type { Monotonic } from "@rackspan/common";
 import type { HostReport } from "@rackspan/protocol";
@@ -12,18 +12,19 @@
 } from "./HostState.js";
 
 export interface ReportChanges {
-  /** Ends that were not taken note of before, in the worker's order. */
+  /** Ends that were not processed before, in the worker's order. */
   readonly ended: readonly EndedRun[];
-  /** Runs that neither run nor have ended: lapsed, or never begun. */
+  /** Runs that are neither running nor listed as ended: they lapsed or never started. */
   readonly vanished: readonly ActiveRun[];
-  /** Tasks that run there and that the leader did not know of. */
+  /** Running tasks that the leader has no run for. */
   readonly unknown: readonly RunningTask[];
 }
 
 /**
- * Whether a run that the report does not list is not there and never will be:
- * the worker has shown it before, or could not begin it any more by then. While
- * the list of ends is cut off, its end may be among those that are not told yet.
+ * Whether a run that the report does not list is gone and cannot start any more: the
+ * worker has reported it before, or its order had expired or was fenced by a stop at the
+ * time of the report. If the list of ends is truncated, nothing is concluded, as the
+ * run's end may be among those not listed yet.
  */
 const hasVanished = (
   { at, hasMoreEnds }: HostReport,
@@ -36,7 +37,7 @@
   return phase !== "starting" && at > orderExpiresAt;
 };
 
-/** A filling task that gets less than this share of what it asks for crawls. */
+/** A filling task crawls if it gets less than this share of the cores that it requests. */
 const CRAWL_SHARE = 0.35;
 
 const isCrawling = ({ task, reading }: ActiveRun): boolean => {
@@ -57,8 +58,9 @@
 };
 
 /**
- * A lasting task outlives many workers, and must not be given up for the sum of
- * them: one that works for a while has crashed none by being started.
+ * Clears the crash log of a lasting task that has worked for `clearAfterMs`. A lasting task
+ * outlives many workers and must not fail permanently because of their total number; a
+ * run that works for that long did not crash its worker by starting.
  */
 const clearLastingCrashLog = (run: ActiveRun): void => {
   const { crashLog, step } = run.task;
@@ -68,7 +70,7 @@
   step.job.hasUnpersistedProgress = true;
 };
 
-/** Brings the ledger's runs up to date; what needs a decision is returned. */
+/** Updates the runs of the host from its report and returns the changes that need a decision. */
 export const reconcileReport = (
   host: HostState,
   report: HostReport,
--- a/packages/jobs/src/sampleHosts.ts
+++ b/packages/jobs/src/sampleHosts.ts
@@ -1,12 +1,13 @@
 /**
- * A random part of the hosts, so that placing one unit costs the same at any size.
- * The emptiest of a few dozen random hosts is nearly as empty as the emptiest of all.
+ * Samples hosts at random, so that the cost of placing a unit does not grow with the
+ * number of hosts. The emptiest of a few dozen random hosts is nearly as empty as the
+ * emptiest of all.
  */
 
 import { pickIndex, type HostId, type Random } from "@rackspan/common";
 import type { HostDirectory, HostView } from "./types.js";
 
-/** Sites up to this size are looked at whole. */
+/** Up to this number of hosts no sample is taken and all hosts are considered. */
 export const SAMPLE_SIZE = 32;
 
 export const sampleHosts = (
--- a/packages/jobs/src/types.ts
+++ b/packages/jobs/src/types.ts
@@ -1,4 +1,4 @@
-/** What the control of units sees of hosts, and the ports it acts through. */
+/** The views and ports through which units are placed, started and stopped on hosts. */
 
 import type {
   AvailabilityZone,
@@ -14,7 +14,7 @@
 import type { TaskStatus } from "@rackspan/protocol";
 import type { Unit } from "@rackspan/state";
 
-/** A host as one entry sees it now; may be stale, the side decides. */
+/** An entry's current view of a host. It may be stale; the side makes the decision. */
 export interface HostView {
   readonly host: HostId;
   readonly generation: HostGeneration;
@@ -22,12 +22,12 @@
   readonly availabilityZone: AvailabilityZone;
   readonly rack: Rack;
   readonly capacity: Resources;
-  /** Free by the side's last status, less what this entry has reserved since. */
+  /** Free resources in the side's last status, minus this entry's reservations since then. */
   readonly free: Resources;
   readonly ready: boolean;
   readonly leaving: boolean;
   readonly tasks: readonly TaskStatus[];
-  /** Units that this entry is placing there and `tasks` does not show yet. */
+  /** Units that this entry is placing there and that `tasks` does not list yet. */
   readonly placing: readonly UnitId[];
 }
 
@@ -36,23 +36,23 @@
   readonly generation: HostGeneration;
 }
 
-/** Calls to the side process of one host; each may fail as RPC does. */
+/** Calls to the side process of one host; each may fail with an RPC error. */
 export interface HostControl {
   reserve(unit: Unit): Promise<HostReservation>;
   releaseReservation(reservation: ReservationId): Promise<void>;
   start(unit: Unit): Promise<void>;
   stop(task: TaskId, checkpoint: boolean): Promise<void>;
-  /** @returns `never` when the task is not there and never will be */
+  /** @returns `never` when the task is not on the host and can no longer start there */
   fenceTask(task: TaskId): Promise<"held" | "never">;
   acknowledge(tasks: readonly TaskId[]): Promise<void>;
-  /** Takes the host out of service; its tasks are checkpointed and stopped. */
+  /** Drains the host: its tasks are checkpointed and stopped. */
   drain(): Promise<void>;
 }
 
-/** All hosts that this entry knows. */
+/** All hosts known to this entry. */
 export interface HostDirectory {
   views(): readonly HostView[];
-  /** Names of all hosts, whether they have been heard of yet or not. */
+  /** Names of all hosts, including those that have not reported a status yet. */
   names(): readonly HostId[];
   view(host: HostId): HostView | undefined;
   control(host: HostId): HostControl | undefined;
@@ -60,12 +60,12 @@
 
 /** Chooses hosts for units; see the scheduling package for implementations. */
 export interface Placer {
-  /** Hosts that may hold the unit, the best first; empty when none can now. */
+  /** Hosts on which the unit fits, best first; empty if it fits on none. */
   rank(unit: Unit, hosts: readonly HostView[]): readonly HostView[];
 }
 
-/** Tells which entry acts first, so that entries seldom do the same work. */
+/** Ranks the entries for each key, so that two of them seldom do the same work. */
 export interface Ownership {
-  /** 0 for the entry that acts at once; others wait their turn. */
+  /** 0 for the entry that acts immediately; an entry of a higher rank waits longer. */
   rank(key: string): number;
 }
--- a/packages/jobs/tests/crashLog.test.ts
+++ b/packages/jobs/tests/crashLog.test.ts
@@ -1,4 +1,4 @@
-/** When what is known of a task's lost runs is enough to give it up. */
+/** When the evidence from a task's lost runs suffices to fail it permanently. */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -8,25 +8,25 @@
 const logOf = (...evidence: readonly CrashEvidence[]): CrashLog =>
   new CrashLog(evidence.map((one, run) => [run, one]));
 
-test("one crash just after the start makes a task suspected, and two losses do", () => {
+test("one crash just after the start makes a task suspect, and so do two losses", () => {
   expect(logOf("young").isSuspect).toEqual(true);
   expect(logOf("lost").isSuspect).toEqual(false);
   expect(logOf("lost", "settled").isSuspect).toEqual(true);
 });
 
-test("two crashes, one of them the task's alone, are enough", () => {
+test("two crashes suffice if one of them is attributed to the task alone", () => {
   expect(logOf("young", "sole").hasReachedLimit).toEqual(true);
   expect(logOf("young", "young").hasReachedLimit).toEqual(false);
   expect(logOf("sole").hasReachedLimit).toEqual(false);
 });
 
-test("what may not have been a crash under the task is no second crash", () => {
+test("a loss that may not have been a crash of the task does not count as the second crash", () => {
   for (const other of ["unseen", "unknown", "lost", "unanswered"] as const) {
     expect(logOf(other, "sole").hasReachedLimit).toEqual(false);
   }
 });
 
-test("without proof three crashes are enough, or twelve points of which two crashed workers", () => {
+test("without proof three crashes suffice, or twelve points with two crashed workers", () => {
   expect(logOf("young", "young", "young").hasReachedLimit).toEqual(true);
   const losses = Array.from({ length: 4 }, () => "lost" as const);
   expect(logOf(...losses, "unseen").hasReachedLimit).toEqual(false);
@@ -36,38 +36,38 @@
   expect(logOf(...losses, "unseen", "unseen").hasReachedLimit).toEqual(true);
 });
 
-test("three crashes are enough although the run of one may have ended, if one began apart", () => {
+test("three crashes suffice although one run may have ended, if another run was isolated", () => {
   expect(logOf("unheard", "young").hasReachedLimit).toEqual(false);
   expect(logOf("unheard", "young", "doubted").hasReachedLimit).toEqual(true);
   expect(logOf("unheard", "unheard", "doubted").hasReachedLimit).toEqual(false);
 });
 
-test("three workers shared with tasks that crash them are not enough if a run may have ended", () => {
+test("three shared workers that crashed do not suffice if one run may have ended", () => {
   expect(logOf("unheard", "young", "young").hasReachedLimit).toEqual(false);
   expect(logOf("unheard", "young", "young", "unheard").hasReachedLimit).toEqual(
     true,
   );
 });
 
-test("a run that never began says nothing", () => {
+test("a run that never started is no evidence", () => {
   const log = logOf("young", "unseen");
   expect([log.remove(1), log.points, log.remove(1)]).toEqual([true, 4, false]);
 });
 
-test("hosts that only fell silent are never enough, whatever their number", () => {
+test("hosts that only became silent never suffice, whatever their number", () => {
   const losses = Array.from({ length: 40 }, () => "lost" as const);
   expect(logOf(...losses).hasReachedLimit).toEqual(false);
   expect(logOf(...losses, "young").hasReachedLimit).toEqual(false);
   expect(logOf(...losses, "young", "settled").hasReachedLimit).toEqual(true);
 });
 
-test("a run counts once, by what was noted of it last", () => {
+test("a run counts once, with the evidence recorded last", () => {
   const log = logOf("sole", "young");
   log.record(0, "young");
   expect([log.points, log.hasReachedLimit]).toEqual([8, false]);
 });
 
-test("changes of leader between announcements and orders add little, however many", () => {
+test("write-ahead records without orders add few points, however many there are", () => {
   const unknown = Array.from({ length: 9 }, () => "unknown" as const);
   expect(logOf(...unknown).points).toEqual(2);
   expect(logOf(...unknown, "young", "young").hasReachedLimit).toEqual(false);
@@ -76,20 +76,20 @@
   );
 });
 
-// Sides of busy workers may not know that a run was at work.
-test("crashes under runs that nobody saw at work give a task up after four, not after three", () => {
+// Sides of busy workers may have no evidence that a run was at work.
+test("four crashes suffice, and three do not, if no run is known to have been at work", () => {
   const unheard = Array.from({ length: 4 }, () => "unheard" as const);
   expect(logOf(...unheard.slice(1)).hasReachedLimit).toEqual(false);
   expect(logOf(...unheard).hasReachedLimit).toEqual(true);
 });
 
-test("four crashes are enough if one run is known to have been at work", () => {
+test("four crashes suffice if one run is known to have been at work", () => {
   expect(
     logOf("unheard", "unheard", "unheard", "young").hasReachedLimit,
   ).toEqual(true);
 });
 
-test("announcements that nobody ordered are no lost runs", () => {
+test("write-ahead records without orders do not count as lost runs", () => {
   const three = Array.from({ length: 3 }, () => "unheard" as const);
   const log = logOf(...three, "unseen", "unknown", "unknown");
   expect([log.points, log.hasReachedLimit]).toEqual([13, false]);
@@ -98,14 +98,14 @@
   ).toEqual(true);
 });
 
-// Runs that ended unheard of or never began crashed nothing.
-test("four runs of which nobody knows whether they were at work are not enough", () => {
+// Runs that had ended unreported or never started cannot have crashed their workers.
+test("four runs that are not known to have been at work do not suffice", () => {
   const log = logOf("unheard", "unseen", "unheard", "unanswered");
   expect([log.points, log.hasReachedLimit]).toEqual([12, false]);
 });
 
-// Neither lost runs that no worker had shown nor announcements without an order prove a crash.
-test("runs that may not have begun do not give a task up beside one crash", () => {
+// Neither lost runs that no worker had reported nor write-ahead records without orders prove a crash.
+test("runs that may not have started do not suffice together with one crash", () => {
   const log = logOf("unseen", "unseen", "young", "unknown", "unknown");
   expect([log.points, log.hasReachedLimit]).toEqual([10, false]);
 });
--- a/packages/jobs/tests/interferenceEstimator.test.ts
+++ b/packages/jobs/tests/interferenceEstimator.test.ts
@@ -6,14 +6,14 @@
 
 const image = (name: string): ImageName => brand<ImageName>(name);
 const WEB = image("web");
-/** Between two readings of an image that has tasks on five hosts, milliseconds. */
+/** Interval between the readings of an image that has tasks on five hosts, milliseconds. */
 const READ_EVERY_MS = 100;
 const TRUE_WEIGHTS = new Map([
   [image("render"), 0.2],
   [image("index"), 0],
 ]);
 
-/** Readings of a tail that the true weights give, with noise of a tenth. */
+/** Feeds readings of a tail that follows the true weights, with noise of up to a tenth. */
 const train = (estimator: InterferenceEstimator, readings: number): void => {
   const random = new SeededRandom(7);
   for (let at = 0; at < readings; at += 1) {
@@ -34,14 +34,14 @@
   }
 };
 
-test("a pair that disturbs is told from one that does not", () => {
+test("a pair of images that interferes is distinguished from one that does not", () => {
   const estimator = new InterferenceEstimator();
   train(estimator, 200);
   expect(estimator.weight(WEB, image("render")) > 0.15).toEqual(true);
   expect(estimator.weight(WEB, image("index")) < 0.03).toEqual(true);
 });
 
-test("weights stay within their bounds, whatever the readings are", () => {
+test("weights stay within their bounds for any readings", () => {
   const estimator = new InterferenceEstimator();
   const colocatedCores = new Map([[image("render"), 3]]);
   for (const [at, tail] of [20, -20, -700, 20, 4].entries()) {
@@ -56,7 +56,7 @@
   }
 });
 
-test("readings without filling tasks move only the base", () => {
+test("readings without filling tasks change only the base", () => {
   const estimator = new InterferenceEstimator();
   const reading = {
     tail: Math.log(0.7),
@@ -72,7 +72,7 @@
   );
 });
 
-test("an image that only stood beside the one that disturbs is not blamed for long", () => {
+test("an image that only ran beside an interfering one soon loses its weight", () => {
   const estimator = new InterferenceEstimator();
   const [render, index] = [image("render"), image("index")];
   const both = new Map([
@@ -94,11 +94,11 @@
   for (let at = 0; at < 10; at += 1) learn(at, both);
   for (let at = 10; at < 20; at += 1) learn(at, new Map([[index, 4]]));
   expect(estimator.weight(WEB, index) < 0.03).toEqual(true);
-  // What is taken from one is given to the other, without another look at it.
+  // The weight moves from one image to the other without another reading of the latter.
   expect(estimator.weight(WEB, render) > 0.15).toEqual(true);
 });
 
-test("the image not seen for longest is forgotten when there are too many", () => {
+test("the least recently seen image is evicted when there are too many", () => {
   const estimator = new InterferenceEstimator();
   let readings = 0;
   const read = (tail: number, colocatedCores: Map<ImageName, number>): void =>
@@ -108,7 +108,7 @@
       taskCount: 1,
       colocatedCores,
     });
-  // One reading with the image and one without: the base is told apart from it.
+  // One reading without the image and one with it separate its weight from the base.
   const trainOne = (name: string): void => {
     read(TAIL_MODEL.initialBase, new Map());
     read(0.5, new Map([[image(name), 3]]));
@@ -122,7 +122,7 @@
   expect(estimator.weight(WEB, image("image0")) > 0.05).toEqual(true);
 });
 
-test("what is learnt stays finite over hours of readings", () => {
+test("estimates stay finite over hours of readings", () => {
   const estimator = new InterferenceEstimator();
   const random = new SeededRandom(11);
   const images = Array.from({ length: 9 }, (_, at) => image(`image${at}`));
@@ -148,7 +148,7 @@
   expect(Math.abs(estimator.predict(WEB, new Map())) < 2).toEqual(true);
 });
 
-test("a load that swings is not taken for disturbance by what stands beside it", () => {
+test("a swinging load is not attributed to the tasks that run at the same time", () => {
   const estimator = new InterferenceEstimator();
   const [render, index] = [image("render"), image("index")];
   const random = new SeededRandom(3);
@@ -169,28 +169,28 @@
   expect(estimator.weight(WEB, index) < 0.06).toEqual(true);
 });
 
-test("what was learnt goes over to the next leader, and is taken only once", () => {
+test("a learned model is restored by the next leader, and its record is taken only once", () => {
   const estimator = new InterferenceEstimator();
   train(estimator, 200);
   const [record] = estimator.takeChanged(1_000);
-  if (!record) throw new Error("nothing was kept");
+  if (!record) throw new Error("no record was returned");
   expect(estimator.takeChanged(2_000)).toEqual([]);
   const next = new InterferenceEstimator();
   expect(next.restore(record, 500)).toEqual(true);
   const render = image("render");
   const lost = next.weight(WEB, render) - estimator.weight(WEB, render);
   expect(Math.abs(lost) < 1e-5).toEqual(true);
-  // What this leader knows itself is newer.
+  // The model that this leader already has is newer.
   expect(next.restore({ ...record, mean: [0, 0, 0] }, 500)).toEqual(false);
   train(next, 20);
   expect(next.weight(WEB, render) > 0.15).toEqual(true);
 });
 
-test("a record whose parts do not belong together is not taken", () => {
+test("a record whose parts do not match in size is not restored", () => {
   const estimator = new InterferenceEstimator();
   train(estimator, 20);
   const [record] = estimator.takeChanged(1_000);
-  if (!record) throw new Error("nothing was kept");
+  if (!record) throw new Error("no record was returned");
   for (const broken of [
     { ...record, mean: record.mean.slice(1) },
     { ...record, covariance: record.covariance.map((row) => [...row, 0]) },
--- a/packages/jobs/tests/jobRun.test.ts
+++ b/packages/jobs/tests/jobRun.test.ts
@@ -19,14 +19,14 @@
   if (task) job.recordEnd(task, brand<RunNumber>(1), "done", "");
 };
 
-test("no occurrence runs before it is due", () => {
+test("no occurrence is runnable before it is due", () => {
   const job = repeatingJob();
   expect(runnableAt(job, FIRST_AT - 1)).toEqual([]);
   expect(runnableAt(job, FIRST_AT)).toEqual([0]);
   expect(runnableAt(job, FIRST_AT + 2 * INTERVAL_MS)).toEqual([0, 1, 2]);
 });
 
-test("occurrences that end out of turn leave the others runnable", () => {
+test("occurrences that complete out of order leave the others runnable", () => {
   const job = repeatingJob();
   const late = FIRST_AT + 3 * INTERVAL_MS;
   runnableAt(job, late);
@@ -40,7 +40,7 @@
   expect(job.isComplete).toEqual(true);
 });
 
-test("the next due time follows the clock, and there is none after the last", () => {
+test("the next due time follows the clock, and there is none after the last occurrence", () => {
   const job = repeatingJob();
   expect(job.nextDueAt(0)).toEqual(FIRST_AT);
   expect(job.nextDueAt(FIRST_AT)).toEqual(FIRST_AT + INTERVAL_MS);
--- a/packages/scheduling/tests/byUtilityOrder.test.ts
+++ b/packages/scheduling/tests/byUtilityOrder.test.ts
@@ -1,4 +1,4 @@
-/** Which jobs go first where not all of them can be done in time. */
+/** Order of jobs by utility when not all of them can meet their objectives. */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -15,9 +15,9 @@
 const demand = { milliCores: 1_000, memoryMiB: 100, accelerators: 0 };
 
 interface JobOptions extends Partial<StepSpec> {
-  /** How long ago it came, milliseconds. */
+  /** How long ago the job was accepted, milliseconds. */
   readonly ageMs?: number;
-  /** How many of its tasks have a place. */
+  /** Number of its tasks that are placed. */
   readonly placed?: number;
   readonly terms?: Partial<JobTerms>;
 }
@@ -41,25 +41,25 @@
   return order.sort(candidates, NOW).map(({ job }) => String(job.id));
 };
 
-test("a step that has begun is finished before a like one begins", () => {
+test("a started step is completed before an equal one is started", () => {
   const started = candidateOf("begun", { taskCount: 20, placed: 8 });
   const fresh = candidateOf("fresh", { taskCount: 20 });
   expect(orderOf([fresh, started])).toEqual(["begun", "fresh"]);
 });
 
-test("a large step that has nearly all its places goes before a small one that has none", () => {
+test("a large step with nearly all tasks placed goes before a small one with none placed", () => {
   const large = candidateOf("large", { taskCount: 40, placed: 36 });
   const small = candidateOf("small", { taskCount: 5 });
   expect(orderOf([small, large])).toEqual(["large", "small"]);
 });
 
-test("among jobs that have not begun the small one is worth more for its work", () => {
+test("among jobs that have not started the small one has more utility per work", () => {
   const large = candidateOf("large", { taskCount: 40 });
   const small = candidateOf("small", { taskCount: 5 });
   expect(orderOf([large, small])).toEqual(["small", "large"]);
 });
 
-test("a late job goes behind like ones that can be in time, one of no use behind all", () => {
+test("a late job goes after equal ones that can be in time, and one without utility goes last", () => {
   const late = candidateOf("late", { taskCount: 10, ageMs: 2_000 });
   const useless = candidateOf("useless", { taskCount: 1, ageMs: 60_000 });
   const inTime = candidateOf("in-time", { taskCount: 10 });
@@ -70,13 +70,13 @@
   ]);
 });
 
-test("a late job with little left goes before a fresh one that costs far more for its worth", () => {
+test("a late job with little work left goes before a new one with far more work per utility", () => {
   const late = candidateOf("late", { taskCount: 20, placed: 19, ageMs: 2_000 });
   const fresh = candidateOf("fresh", { taskCount: 20 });
   expect(orderOf([fresh, late])).toEqual(["late", "fresh"]);
 });
 
-test("urgent queues and lasting steps go first all the same", () => {
+test("urgent queues and lasting steps go first regardless of utility", () => {
   const bulk = candidateOf("bulk", { taskCount: 1, terms: { priority: 2 } });
   const urgent = candidateOf("urgent", { taskCount: 50 });
   const lasting = candidateOf("lasting", { taskCount: 50, lasting: true });
@@ -87,7 +87,7 @@
   ]);
 });
 
-test("jobs of which nothing is known are sorted too", () => {
+test("jobs without an estimate are sorted too", () => {
   const unknown = candidateOf("unknown", { estimateMs: 0 });
   const known = candidateOf("known", {});
   expect(orderOf([known, unknown]).sort()).toEqual(["known", "unknown"]);
--- a/packages/scheduling/tests/changingCapacity.test.ts
+++ b/packages/scheduling/tests/changingCapacity.test.ts
@@ -1,4 +1,4 @@
-/** Workers whose room changes while they run are never filled past it. */
+/** A worker whose capacity changes at run time is never filled beyond its capacity. */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -12,7 +12,7 @@
 const usedMilliCores = (host: FakeHost): number =>
   host.runningTasks.length * CORE;
 
-/** A host whose room is as large as its tasks, and then half of that. */
+/** A host that is full when its capacity drops to half. */
 const createShrunkHost = async () => {
   const site = new EngineHarness();
   const host = await site.addHost("h1");
@@ -29,7 +29,7 @@
   for (const task of host.runningTasks.slice(0, count)) host.end(task, "done");
 };
 
-test("a worker whose room has shrunk below what runs there gets nothing before enough has ended", async () => {
+test("a worker whose capacity drops below its usage gets no tasks until enough have ended", async () => {
   const { site, host } = await createShrunkHost();
   const starts = host.starts.length;
   endTasks(host, FULL / 2);
@@ -41,7 +41,7 @@
   expect(usedMilliCores(host)).toBeLessThanOrEqual(host.milliCores);
 });
 
-test("room that has grown again is used", async () => {
+test("capacity that grows again is used", async () => {
   const { site, host } = await createShrunkHost();
   host.milliCores = (FULL + 4) * CORE;
   await site.run(500);
@@ -49,7 +49,7 @@
   expect(usedMilliCores(host)).toEqual(host.milliCores);
 });
 
-test("what is being stopped takes room on a worker that has shrunk", async () => {
+test("runs that are stopping still count on a worker whose capacity dropped", async () => {
   const { site, host, jobs } = await createShrunkHost();
   host.stopsAtOnce = false;
   const [first] = jobs;
@@ -59,7 +59,7 @@
   expect(host.starts.length).toEqual(starts);
 });
 
-test("the next leader counts what runs on a worker that has shrunk", async () => {
+test("the next leader counts the runs on a worker whose capacity dropped", async () => {
   const { site: previous, host, jobs } = await createShrunkHost();
   const starts = host.starts.length;
   previous.engine.stop();
@@ -77,14 +77,14 @@
   expect(host.starts.length).toEqual(starts + 1);
 });
 
-test("the next life of a worker is filled to its own room", async () => {
+test("the next incarnation of a worker is filled up to its own capacity", async () => {
   const { site, host } = await createShrunkHost();
   host.replaceWorker();
   await site.run(12_000);
   expect(usedMilliCores(host)).toEqual(host.milliCores);
 });
 
-test("a side that attaches anew tells the room as it is then", async () => {
+test("a side that attaches again reports the current capacity", async () => {
   const { site, host } = await createShrunkHost();
   site.engine.detach(host.host, host);
   host.milliCores = (FULL / 4) * CORE;
--- a/packages/scheduling/tests/colocatingTaskPlacer.test.ts
+++ b/packages/scheduling/tests/colocatingTaskPlacer.test.ts
@@ -12,17 +12,17 @@
   demand: { milliCores, memoryMiB: 10, accelerators: 0 },
 });
 
-test("a host without serving tasks is filled beyond its processors, within bounds", async () => {
+test("a host without serving tasks is overcommitted with filling tasks up to a limit", async () => {
   const harness = new EngineHarness();
   const host = await harness.addHost("h1");
   const filler = { filling: true, image: RENDER, ...cores(4_000) };
   harness.submit("f", [{ taskCount: 20, ...filler }]);
   await harness.run(300);
-  // 32 cores and 0.6 of them more; the last one may lack some of its demand.
+  // 32 cores and an overcommitment of 0.6; the last task may lack a part of its demand.
   expect(host.runningTasks.length).toEqual(13);
 });
 
-test("a filling task goes where the tail that was read last leaves room", async () => {
+test("a filling task goes to the host whose last tail reading leaves slack", async () => {
   const harness = new EngineHarness();
   const first = await harness.addHost("h1");
   const second = await harness.addHost("h2");
@@ -44,7 +44,7 @@
   expect(second.isRunning(taskId("f.0.0.0"))).toEqual(true);
 });
 
-test("tasks that are held at a slow pace count with what they would add at full pace", async () => {
+test("throttled tasks count with the interference that they would cause at full pace", async () => {
   const harness = new EngineHarness({
     policy: { fillingTailLimit: 0.85, weightCaution: 0 },
   });
@@ -57,14 +57,14 @@
   host.setProgress(serving, 100);
   host.setReading(serving, 4);
   const filler = { filling: true, image: RENDER, ...cores(5_000) };
-  // A core adds 0.03 as long as nothing is known: 0.75 for five tasks.
+  // A core adds 0.03 as long as nothing is learned: 0.75 for five tasks.
   harness.submit("f", [{ taskCount: 8, ...filler }]);
   await harness.run(300);
   const placed = host.runningTasks.length - 1;
   expect(placed > 0 && placed <= 5).toEqual(true);
 });
 
-/** A host that serves one task with slack, and reports it. */
+/** A host with one serving task that reports a tail with slack. */
 const serveWith = async (
   options: ConstructorParameters<typeof EngineHarness>[0],
 ) => {
@@ -80,7 +80,7 @@
 
 const batch = { taskCount: 8, filling: true, image: RENDER, ...cores(2_000) };
 
-test("few tasks of an image begin beside a serving task before it is known what they disturb", async () => {
+test("few tasks of an image start beside a serving task before their interference is learned", async () => {
   const { harness, host } = await serveWith({});
   harness.submit("f", [batch]);
   await harness.run(100);
@@ -92,7 +92,7 @@
   expect([cautious, bold]).toEqual([1, 7]);
 });
 
-test("a filling task begins at the pace that the tail beside it allows", async () => {
+test("a filling task starts at the pace that the tail of the serving task allows", async () => {
   const { harness, host } = await serveWith({});
   harness.submit("f", [batch]);
   await harness.run(100);
@@ -107,7 +107,7 @@
   expect(starts.every((start) => start.firstPercent === 100)).toEqual(true);
 });
 
-test("a task that must be placed where it disturbs begins slowly", async () => {
+test("a filling task that must be placed where it interferes starts at a slow pace", async () => {
   const { harness, host } = await serveWith({});
   host.setReading(taskId("s.0.0.0"), 9);
   await harness.run(600);
--- a/packages/scheduling/tests/crashingTasks.test.ts
+++ b/packages/scheduling/tests/crashingTasks.test.ts
@@ -1,4 +1,4 @@
-/** A task that crashes its workers is given up, across leaders, and no other task with it. */
+/** A task that crashes its workers fails permanently, also across leaders, and no other task does. */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -8,14 +8,14 @@
 import { EngineHarness, type FakeHost } from "./engineHarness.js";
 
 const OTHER = "77aa7a21d94b36f8";
-/** A crashed worker is back after this, milliseconds. */
+/** Time until a crashed worker is back, milliseconds. */
 const DOWN_MS = 600;
-/** Workers that may crash under a task that nobody saw apart from others. */
+/** Limit of worker crashes by a task of which no isolated run was observed. */
 const MOST_CRASHES = 5;
-/** Room for one task on a host of the harness. */
+/** Only one task of this demand fits on a host of the harness. */
 const WHOLE_HOST = { milliCores: 30_000, memoryMiB: 100, accelerators: 0 };
 
-/** Ends the leader at once; the next one knows what the store keeps, and hears all hosts. */
+/** Replaces the leader immediately; the next one reads the store, and all hosts attach to it. */
 const changeLeader = (
   previous: EngineHarness,
   jobs: readonly AcceptedJob[],
@@ -38,13 +38,13 @@
 interface CrashPlan {
   /** Whether the task crashes the worker that runs it. */
   readonly crashes: (task: JobTaskId) => boolean;
-  /** How long such a task works before, milliseconds. */
+  /** How long such a task works before the crash, milliseconds. */
   readonly afterMs?: number;
-  /** Called after each crash, before anybody has told of it; may name the next leader. */
+  /** Called after each crash, before it is reported; may return the next leader. */
   readonly onCrash?: (site: EngineHarness) => EngineHarness;
 }
 
-/** Lets time pass; a worker that runs such a task crashes, and comes back. */
+/** Advances the clock; a worker that runs such a task crashes and comes back later. */
 const runWithCrashes = async (
   first: EngineHarness,
   { crashes, afterMs = 0, onCrash = (same) => same }: CrashPlan,
@@ -80,7 +80,7 @@
 const crashCountOf = ({ hosts }: EngineHarness): number =>
   hosts.reduce((sum, host) => sum + host.crashCount, 0);
 
-test("a task that crashes each worker that starts it is given up, and its job shown as failed", async () => {
+test("a task that crashes each worker that starts it fails permanently, and its job is shown as failed", async () => {
   const lines: string[] = [];
   const record = (event: string, fields?: object): void =>
     void lines.push(`${event} ${JSON.stringify(fields)}`);
@@ -94,7 +94,7 @@
   expect(ended?.includes(`crashed-its-workers:${TASK}`)).toEqual(true);
 });
 
-test("a lasting task that crashes its workers is given up as well", async () => {
+test("a lasting task that crashes its workers fails permanently as well", async () => {
   const site = await createSite(3);
   site.submit(JOB, [{ lasting: true }]);
   await runWithCrashes(site, { crashes: isCrasher }, 20_000);
@@ -102,7 +102,7 @@
   expect(stateOf(site, JOB)).toEqual("failed");
 });
 
-test("tasks that only shared workers with one that crashes them are not given up", async () => {
+test("tasks that only shared workers with a crashing task do not fail", async () => {
   const site = await createSite(3);
   site.submit(JOB, [{}]);
   for (const id of [OTHER, `${OTHER}0`, `${OTHER}1`]) {
@@ -118,7 +118,7 @@
   }
 });
 
-test("many tasks that crash their workers are given up one by one, and no other", async () => {
+test("many tasks that crash their workers fail permanently one by one, and no others do", async () => {
   const site = await createSite(6);
   const crashers = Array.from({ length: 6 }, (_, n) => `c${n}`);
   for (const id of crashers) site.submit(id, [{}]);
@@ -133,7 +133,7 @@
   expect(crashCountOf(site)).toBeLessThanOrEqual(3 * crashers.length);
 });
 
-test("what is counted outlives the leader that counted it", async () => {
+test("crash evidence outlives the leader that recorded it", async () => {
   const site = await createSite(3);
   const job = site.submit(JOB, [{}]);
   await runWithCrashes(site, { crashes: isCrasher }, 1_500);
@@ -146,13 +146,13 @@
   expect(crashCountOf(next)).toBeLessThanOrEqual(1);
 });
 
-test("a leader that ends with each crash does not have the task started for ever", async () => {
+test("a task does not restart forever if the leader changes at each crash", async () => {
   const first = await createSite(3);
   const job = first.submit(JOB, [{}]);
   let changes = 0;
   const onCrash = (site: EngineHarness): EngineHarness => {
     changes += 1;
-    // Nobody has told the first leader of the first crash.
+    // The first crash has not been reported to the first leader.
     return changeLeader(site, [job]);
   };
   const plan = { crashes: isCrasher, onCrash };
@@ -162,7 +162,7 @@
   expect(stateOf(last, JOB)).toEqual("failed");
 });
 
-test("a run that was announced and that the next leader finds at work is not counted", async () => {
+test("a run with a write-ahead record that is at work under the next leader is not counted", async () => {
   const site = await createSite(3);
   const job = site.submit(JOB, [{}]);
   let crashed = 0;
@@ -179,7 +179,7 @@
   expect(crashCountOf(next)).toEqual(1);
 });
 
-test("a task that works for a while before its worker crashes is given up too", async () => {
+test("a task that works for a while before it crashes its worker fails permanently too", async () => {
   const site = await createSite(3);
   site.submit(JOB, [{}]);
   site.submit(OTHER, [{ taskCount: 6 }]);
@@ -190,7 +190,7 @@
   expect(stateOf(site, OTHER)).not.toEqual("failed");
 });
 
-test("a gang whose member crashes its workers is given up", async () => {
+test("a gang with a member that crashes its workers fails permanently", async () => {
   const site = await createSite(4);
   site.submit(JOB, [{ taskCount: 2, gang: true, demand: WHOLE_HOST }]);
   const endGang = (from: EngineHarness): EngineHarness => {
@@ -205,8 +205,8 @@
   expect(stateOf(site, JOB)).toEqual("failed");
 });
 
-// A host that falls silent may only be cut off, and its task may be at work still.
-test("a task whose hosts fall silent is not given up until workers are known to have crashed", async () => {
+// A silent host may only be partitioned, and its task may still be at work.
+test("a task whose hosts become silent does not fail until workers are known to have crashed", async () => {
   const site = await createSite(12);
   site.submit(JOB, [{}]);
   const silent = new Set<FakeHost>();
@@ -219,7 +219,7 @@
   }
   expect(silent.size).toBeGreaterThan(6);
   expect(stateOf(site, JOB)).not.toEqual("failed");
-  // Two of them come back, with other lives of their workers.
+  // Two of them come back with new incarnations of their workers.
   const [first, second] = silent;
   first?.replaceWorker();
   await site.run(2_000, first ? [first] : []);
@@ -229,7 +229,7 @@
   expect(stateOf(site, JOB)).toEqual("failed");
 });
 
-test("a worker that leaves as planned speaks against none of its tasks", async () => {
+test("a worker that leaves as planned is no crash evidence against its tasks", async () => {
   const site = await createSite(2);
   site.submit(JOB, [{ taskCount: 2 }]);
   await site.run(300);
@@ -242,7 +242,7 @@
   expect(progressOf(site, JOB)?.crashes ?? []).toEqual([]);
 });
 
-test("while the store is away no suspected task is started, and the others are", async () => {
+test("while the store is unavailable no suspect task is started, and the others are", async () => {
   const site = await createSite(3);
   site.submit(JOB, [{}]);
   await runWithCrashes(site, { crashes: isCrasher }, 300);
@@ -258,7 +258,7 @@
   expect(stateOf(site, JOB)).toEqual("failed");
 });
 
-test("a suspected lasting task gets room although the hosts are full of plain ones", async () => {
+test("a suspect lasting task gets a host although the hosts are full of plain tasks", async () => {
   const site = await createSite(2);
   site.submit(JOB, [{ lasting: true, demand: WHOLE_HOST }]);
   let crashed = 0;
@@ -281,8 +281,8 @@
 const isRunning = ({ hosts }: EngineHarness, task: JobTaskId): boolean =>
   hosts.some((host) => host.isRunning(task));
 
-// The leader believes such runs to be at work; their side does not name them as lost.
-test("runs that had ended before their workers crashed do not speak against their task", async () => {
+// The leader still counts such runs as active; their side does not report them as lost.
+test("runs that had ended before their workers crashed are no evidence against their task", async () => {
   const site = await createSite(3);
   site.submit(JOB, [{}]);
   for (let crash = 0; crash < 2; crash += 1) {
--- a/packages/scheduling/tests/departureWithoutLeader.test.ts
+++ b/packages/scheduling/tests/departureWithoutLeader.test.ts
@@ -1,13 +1,13 @@
-/** A worker that left while there was no leader does not delay starts after the next take-over. */
+/** A worker that left while there was no leader does not delay starts after the next takeover. */
 
 import { test } from "node:test";
 import { expect } from "earl";
 import { EngineHarness, LEASE_MS, LEADERSHIP_TTL_MS } from "./engineHarness.js";
 
-/** Long enough for a start; a fifth of the time until all leases are over. */
+/** Long enough for a start; a fifth of the time until all leases have expired. */
 const SOON_MS = (LEADERSHIP_TTL_MS + LEASE_MS) / 5;
 
-test("a worker that left while nobody led holds up no starts", async () => {
+test("a worker that left while there was no leader does not delay starts", async () => {
   const previous = new EngineHarness();
   const { clock } = previous;
   const leaving = await previous.addHost("h1");
--- a/packages/scheduling/tests/deregistration.test.ts
+++ b/packages/scheduling/tests/deregistration.test.ts
@@ -1,4 +1,7 @@
-/** Whether a side may stop: a leader has noted that its worker is over, and the next one will not wait. */
+/**
+ * Deregistration of workers. A side may stop only after the leader has confirmed it: then
+ * the next leader does not wait for the host.
+ */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -10,19 +13,19 @@
   return h.engine.handleWorkerGone(host.host, host.instance);
 };
 
-test("the end of a worker is noted once the store's roster names its host no more", async () => {
+test("a deregistration is confirmed once the host is removed from the stored roster", async () => {
   const h = new EngineHarness();
   expect(await deregister(h)).toEqual(true);
   expect(h.roster.recordedInstance(brand("host-1"))).toEqual(undefined);
 });
 
-test("the end of a worker is not noted by a leader whose writes the store refuses", async () => {
+test("a deregistration is not confirmed by a leader whose writes the store refuses", async () => {
   const h = new EngineHarness();
   h.roster.isStoreAvailable = false;
   expect(await deregister(h)).toEqual(false);
 });
 
-test("the end of a worker is not noted by a leader that may decide nothing any more", async () => {
+test("a deregistration is not confirmed by a leader that may not decide any more", async () => {
   const h = new EngineHarness();
   const host = await h.addHost("host-1");
   h.isLeader = false;
@@ -31,7 +34,7 @@
   );
 });
 
-test("the end of a life that is not the host's leaves the host as it is", async () => {
+test("the deregistration of an incarnation that is not the host's current one has no effect", async () => {
   const h = new EngineHarness();
   const host = await h.addHost("host-1");
   const previous = brand<WorkerInstance>("host-1-before");
--- a/packages/scheduling/tests/duplicateStarts.test.ts
+++ b/packages/scheduling/tests/duplicateStarts.test.ts
@@ -1,14 +1,14 @@
-/** Late answers and overdue passes do not start a task twice within milliseconds. */
+/** Late answers and overdue scheduling cycles do not start a task twice within milliseconds. */
 
 import { test } from "node:test";
 import { expect } from "earl";
 import type { JobTaskId } from "@rackspan/common";
 import { EngineHarness, taskId, type FakeHost } from "./engineHarness.js";
 
-/** Longer than a pass may be overdue. */
+/** Longer than a scheduling cycle may be overdue. */
 const STALL_MS = 600;
 const TASK_COUNT = 5;
-/** Of the harness's queue. */
+/** Attempts allowed by the harness's queue. */
 const MAX_ATTEMPTS = 2;
 const TASK = taskId("j.0.0.0");
 
@@ -38,7 +38,7 @@
 const startCount = (hosts: readonly FakeHost[]): number =>
   startedTasks(hosts).length;
 
-test("tasks of a lost worker are started once by a leader that is short of time", async () => {
+test("a stalled leader starts the tasks of a lost worker only once", async () => {
   const { harness, lost, others } = await orderFromSilentHost(TASK_COUNT);
   const [next] = others;
   if (!next) throw new Error("no other host");
@@ -47,7 +47,7 @@
   harness.reportOf(next);
   expect(startCount(others)).toEqual(TASK_COUNT);
   lost.answerHeld({ kind: "replaced" });
-  // Only what is late already: no time passes.
+  // Runs only the timers that are already overdue; the clock does not advance.
   await harness.clock.advance(0);
   const tasks = startedTasks(others);
   expect(tasks).toEqual([...new Set(tasks)]);
@@ -55,7 +55,7 @@
   expect(startCount(others)).toEqual(TASK_COUNT);
 });
 
-test("a worker that is lost while a pass is overdue has its tasks started once", async () => {
+test("the tasks of a worker lost while a scheduling cycle is overdue are started only once", async () => {
   const { harness, lost, others } = await orderFromSilentHost(TASK_COUNT);
   harness.engine.handleOperatorChange();
   harness.clock.freeze(STALL_MS);
@@ -65,7 +65,7 @@
   expect(startCount(others)).toEqual(TASK_COUNT);
 });
 
-/** Fails all runs of the task at once, whichever host tells of it first. */
+/** Fails all runs of the task and returns their number. */
 const failAllRuns = (hosts: readonly FakeHost[]): number => {
   let failures = 0;
   for (const host of hosts) {
@@ -74,7 +74,7 @@
   return failures;
 };
 
-test("a task that always fails is not started past its attempts once its worker was lost", async () => {
+test("a task that always fails is not started more often than its attempts allow after its worker was lost", async () => {
   for (const lastFirst of [false, true]) {
     const { harness, lost, others } = await orderFromSilentHost(1);
     harness.engine.handleWorkerGone(lost.host, lost.instance);
--- a/packages/scheduling/tests/earlierRuns.test.ts
+++ b/packages/scheduling/tests/earlierRuns.test.ts
@@ -1,4 +1,4 @@
-/** Ends of runs that are heard of while a later run of their task is under way. */
+/** Ends of runs that are reported while a later run of their task is active. */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -9,8 +9,8 @@
 const TASK = taskId(`${JOB}.0.0.0`);
 const ZONE = brand<AvailabilityZone>("obihiro-a");
 
-// A checkpoint of an earlier run is not the newest of its task.
-test("the end of an earlier run does not take back what a later one has saved", async () => {
+// The checkpoint of an earlier run is not the newest one of its task.
+test("the end of an earlier run does not replace the checkpoint of a later one", async () => {
   const site = new EngineHarness();
   const first = await site.addHost("h1");
   site.submit(JOB, [{ checkpointing: true }]);
--- a/packages/scheduling/tests/ejectHost.ts
+++ b/packages/scheduling/tests/ejectHost.ts
@@ -1,10 +1,10 @@
-/** Has a host fail as many tasks in a row as get it ejected. */
+/** Lets a host fail so many tasks in a row that it is ejected. */
 
 import type { EngineHarness, FakeHost } from "./engineHarness.js";
 
 const FAILURES_TO_EJECT = 3;
 
-/** The host is the only one of its service; the failed tasks wait on. */
+/** Requires that the host is the only one of its service; the failed tasks keep waiting. */
 export const ejectHost = async (
   harness: EngineHarness,
   host: FakeHost,
--- a/packages/scheduling/tests/ejectedHosts.test.ts
+++ b/packages/scheduling/tests/ejectedHosts.test.ts
@@ -1,4 +1,4 @@
-/** Hosts that failed tasks of late get none for a while, but where nothing else is left. */
+/** Hosts that recently failed tasks get none for a while, unless no other host is left. */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -6,14 +6,14 @@
 import { ejectHost } from "./ejectHost.js";
 import { EngineHarness, taskId } from "./engineHarness.js";
 
-/** Longer than a lasting task waits for hosts in service, shorter than an ejection. */
+/** Longer than a lasting task waits for a host in service, shorter than an ejection. */
 const GRACE_MS = 2_500;
 
 const cores = (milliCores: number) => ({
   demand: { milliCores, memoryMiB: 10, accelerators: 0 },
 });
 
-test("a lasting task does not wait beside an ejected host that alone has room for it", async () => {
+test("a lasting task does not wait if only an ejected host has capacity for it", async () => {
   const harness = new EngineHarness();
   const ejected = await harness.addHost("h1");
   await ejectHost(harness, ejected);
@@ -25,7 +25,7 @@
   expect(ejected.isRunning(taskId("l.0.0.0"))).toEqual(true);
 });
 
-test("a suspected lasting task does not wait beside an ejected host that alone has room for it", async () => {
+test("a suspect lasting task does not wait if only an ejected host has capacity for it", async () => {
   const harness = new EngineHarness();
   const ejected = await harness.addHost("h1");
   await ejectHost(harness, ejected);
@@ -39,7 +39,7 @@
   expect(ejected.isRunning(taskId("l.0.0.0"))).toEqual(true);
 });
 
-test("a service whose hosts are all ejected is served although another has hosts left", async () => {
+test("a service whose hosts are all ejected is served although another service has hosts left", async () => {
   const harness = new EngineHarness();
   const ejected = await harness.addHost("h1");
   await ejectHost(harness, ejected);
--- a/packages/scheduling/tests/endAcknowledgement.test.ts
+++ b/packages/scheduling/tests/endAcknowledgement.test.ts
@@ -1,4 +1,4 @@
-/** When workers may forget the ends of runs. */
+/** When the ends of runs are acknowledged, so that workers may drop them. */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -6,8 +6,9 @@
 
 const JOB = "5c0e7a21d94b36f8";
 
-// The list comes anew with a new entry of the host, whose earlier ends still wait for the store.
-test("an end that is listed again is acknowledged only once its progress is kept", async () => {
+// After the silence the host has a new entry and lists the end again, while the first record of
+// the end still waits for the store.
+test("an end that is listed again is acknowledged only once its progress is persisted", async () => {
   const site = new EngineHarness();
   const host = await site.addHost("h1");
   site.submit(JOB, [{}]);
@@ -24,8 +25,8 @@
   expect(host.acknowledged).toEqual(1);
 });
 
-// The end of one member stands for all, so none may be forgotten before its record is kept.
-test("the end of a gang's member waits for the record that another one's end has caused", async () => {
+// The end of one member ends the gang, so no end may be dropped before its record is persisted.
+test("the end of a gang's member is not acknowledged before the record of another member's end", async () => {
   const site = new EngineHarness();
   const hosts = [await site.addHost("h1"), await site.addHost("h2")];
   const demand = { milliCores: 20_000, memoryMiB: 100, accelerators: 0 };
--- a/packages/scheduling/tests/engineHarness.ts
+++ b/packages/scheduling/tests/engineHarness.ts
@@ -1,4 +1,4 @@
-/** A job engine on a manual clock, with hosts whose sides are played by the test. */
+/** A job engine on a manual clock, with fake hosts that the test controls. */
 
 import {
   brand,
@@ -56,50 +56,50 @@
 
 export const LEASE_MS = 6_000;
 export const LEADERSHIP_TTL_MS = 2_500;
-/** Workers list no more ends at once; the others follow once these are acknowledged. */
+/** Limit of ends in one report; further ends follow once these are acknowledged. */
 const MAX_LISTED_ENDS = 500;
 const SERVICE = brand<ServiceName>("kaigi");
 export const ZONE = brand<AvailabilityZone>("obihiro-a");
 
-/** An order whose answer the test gives later. */
+/** An order that the test answers later. */
 interface HeldOrder {
   /** Undefined for a stop. */
   readonly start: StartTaskCall | undefined;
   readonly resolve: (result: HostCallResult) => void;
 }
 
-/** The side of one host and its worker, as the leader sees them. */
+/** Fake of the side of one host and its worker. */
 export class FakeHost implements HostSession {
   readonly starts: StartTaskCall[] = [];
   readonly stops: StopTaskCall[] = [];
-  /** Tasks that the side was told the nature of, apart from starts. */
+  /** Tasks that were described to the side outside of start orders. */
   readonly describedTasks: JobTaskId[] = [];
-  /** What the next orders are answered; `hang` never answers, `held` when told to. */
+  /** Answer to the next orders; `hang` never answers, `held` answers in `answerHeld`. */
   answers: HostCallResult["kind"] | "hang" | "held" = "ok";
-  /** Why orders are refused when they are. */
+  /** Reason of the answer `refused`. */
   refusal: StartRefusal = "no-room";
   draining = false;
   leavesInMs: number | undefined;
   service = SERVICE;
   acknowledged = 0;
-  /** Whether a run that is stopped ends at once; else when the test ends it. */
+  /** Whether a stopped run ends immediately; otherwise the test ends it. */
   stopsAtOnce = true;
-  /** What its side tells of runs that crashed with it, until a leader answers. */
+  /** Runs lost with a crashed worker; reported until a leader has answered. */
   lostRuns: HostReport["lostRuns"] = [];
-  /** For how long a start that was sent to another life may come; see HostReport. */
+  /** For how long a start sent to another incarnation may still arrive; see HostReport. */
   formerStartsForMs = 0;
-  /** What its side tells of runs that had ended before the worker crashed. */
+  /** Runs that the side reports to have ended before the worker crashed. */
   unheardEnds: RunRef[] = [];
-  /** How many lives of the worker have ended. */
+  /** Number of incarnations of the worker that have ended. */
   crashCount = 0;
   private held: HeldOrder[] = [];
-  /** Starts that were held, and are answered as never begun, until a leader is told. */
+  /** Held starts that were answered as never started; reported until a leader has answered. */
   private neverBegun: StartTaskCall[] = [];
-  /** Whether reports list what began last before the others. */
+  /** Whether reports list the runs that started last first. */
   listsNewestFirst = false;
-  /** By run: a worker may run two of one task. */
+  /** By run, as a worker may have two runs of one task. */
   private running = new Map<string, RunRef>();
-  /** The highest run of each task that was stopped; none up to it begins. */
+  /** The highest stopped run of each task; no run up to this number starts any more. */
   private readonly fencedRuns = new Map<JobTaskId, RunNumber>();
   private ended: HostReport["ended"] = [];
   private ends = 0;
@@ -147,13 +147,13 @@
     this.describedTasks.push(...tasks.map(({ task }) => task));
   }
 
-  /** The worker carries the order out late, unless a stop has barred the run. */
+  /** Executes a start order late, unless a stop has fenced the run. */
   startLate({ task, run }: RunRef): void {
     if (run <= (this.fencedRuns.get(task) ?? 0)) return;
     this.running.set(runKeyOf({ task, run }), { task, run });
   }
 
-  /** @param run which run of the task; the one that began first where it is not given */
+  /** @param run which run of the task; by default the one that started first */
   end(task: JobTaskId, outcome: RunOutcome, run = this.runOf(task)): void {
     if (run === undefined) throw new Error(`${task} does not run`);
     this.running.delete(runKeyOf({ task, run }));
@@ -168,13 +168,13 @@
     });
   }
 
-  /** The task runs no more, and no end of it is listed. */
+  /** Removes the run of the task without listing its end. */
   vanish(task: JobTaskId): void {
     const run = this.runOf(task);
     if (run !== undefined) this.running.delete(runKeyOf({ task, run }));
   }
 
-  /** The running task has saved its progress. */
+  /** Sets the checkpoint that the running task has saved. */
   saveCheckpoint(task: JobTaskId, checkpoint: string): void {
     this.checkpoints.set(task, checkpoint);
   }
@@ -183,12 +183,12 @@
     this.progressPercents.set(task, percent);
   }
 
-  /** The tail of a serving task, or the processor time of another; see TaskHost. */
+  /** Sets the tail latency of a serving task, or the processor time of another; see TaskHost. */
   setReading(task: JobTaskId, reading: number): void {
     this.readings.set(task, reading);
   }
 
-  /** The worker crashed; another life stands at its address. */
+  /** Simulates a crash of the worker and the start of its next incarnation. */
   replaceWorker(): void {
     this.crashCount += 1;
     for (const { task, run } of this.running.values()) {
@@ -209,15 +209,16 @@
     return this.runs.map(({ task }) => task);
   }
 
-  /** In the order in which they are listed. */
+  /** In the order in which reports list them. */
   get runs(): readonly RunRef[] {
     const runs = [...this.running.values()];
     return this.listsNewestFirst ? runs.reverse() : runs;
   }
 
   /**
-   * Tells of the orders of former leaders as well. Of its own orders a leader takes
-   * the answers alone, so that the tests of these stand for themselves.
+   * Report to the leader of the given epoch. It also covers orders of previous leaders;
+   * the leader's own orders are covered by their answers only, so that tests of those
+   * answers do not depend on reports.
    */
   reportTo(epoch: number): HostReport {
     const isOfPreviousLeader = (call: StartTaskCall): boolean =>
@@ -264,7 +265,7 @@
     };
   }
 
-  /** The answers to all orders held so far arrive now. */
+  /** Delivers the given answer to all orders held so far. */
   answerHeld(result: HostCallResult): void {
     const isNeverStarted = ["refused", "replaced", "draining"].includes(
       result.kind,
@@ -281,7 +282,7 @@
     this.lostRuns = this.lostRuns.filter((lost) => runKeyOf(lost) !== key);
   }
 
-  /** A leader has answered the report. */
+  /** Drops what the report contained, as a leader has answered it. */
   confirmReport({ lostRuns, neverBegun = [] }: HostReport): void {
     const open = lostRuns.filter(({ isOrderOpen }) => isOrderOpen);
     const openKeys = new Set(open.map(runKeyOf));
@@ -320,7 +321,7 @@
         return { kind: this.answers };
       case "hang":
       case "held":
-        throw new Error("handled before");
+        throw new Error("unreachable");
     }
   }
 }
@@ -329,11 +330,11 @@
   brand<WorkerInstance>(`${host}-1`);
 
 class FakeRoster implements HostRoster {
-  /** Whether the store answers; what it is asked to keep is not kept otherwise. */
+  /** Whether the store answers; if not, roster entries are not persisted. */
   isStoreAvailable = true;
   private readonly hosts: Map<HostId, WorkerInstance>;
 
-  /** @param former hosts in whose first life a former leader may have left leases */
+  /** @param former hosts to whose first incarnation a previous leader may have granted leases */
   constructor(previousHosts: readonly HostId[]) {
     this.hosts = new Map(
       previousHosts.map((host) => [host, firstIncarnationOf(host)]),
@@ -360,21 +361,21 @@
 
 export interface HarnessOptions {
   readonly permits?: PermitService;
-  /** The queue's rule of permits. */
+  /** Permit rule of the queue. */
   readonly permitRule?: PermitRule;
   readonly epoch?: number;
-  /** That of the former leader, for one that takes over. */
+  /** The previous leader's store, for a leader that takes over. */
   readonly store?: MemoryStore;
-  /** Hosts in whose first life a former leader may have left leases. */
+  /** Hosts to whose first incarnation a previous leader may have granted leases. */
   readonly roster?: readonly HostId[];
   readonly clock?: ManualClock;
-  /** Silent when left out. */
+  /** Nothing is logged by default. */
   readonly logger?: Logger;
-  /** Name of the order of work. */
+  /** Name of the step order. */
   readonly order?: string;
-  /** What differs from the usual terms of jobs. */
+  /** Overrides of the default job terms. */
   readonly terms?: Partial<JobTerms>;
-  /** What differs from the usual policy. */
+  /** Overrides of the default policy. */
   readonly policy?: Partial<SchedulingPolicy>;
 }
 
@@ -387,9 +388,9 @@
   readonly roster: FakeRoster;
   readonly hosts: FakeHost[] = [];
   isLeader = true;
-  /** What the engine has kept for the next leader, in order. */
+  /** Learned records that the engine has stored for the next leader, in order. */
   readonly learned: LearnedRecord[] = [];
-  /** Zones that the operator wants nothing more started in. */
+  /** Zones under evacuation, in which nothing may be started. */
   readonly evacuatedZones = new Set<AvailabilityZone>();
 
   private readonly queue: QueueSpec;
@@ -413,7 +414,7 @@
       batchWindowMs: 0,
       retriesRefusedBatches: true,
     });
-    // As a leader does before it begins: the store numbers its records apart.
+    // A leader fences other writers before it starts: the store numbers its records separately.
     if (options.store) void writer.fenceLowerEpochs();
     this.roster = new FakeRoster(roster);
     this.engine = new JobEngine({
@@ -447,7 +448,7 @@
     this.engine.start();
   }
 
-  /** Attaches a host and lets it report once. */
+  /** Attaches a host and sends its first reports. */
   async addHost(name: string, zone = ZONE): Promise<FakeHost> {
     const id = brand<HostId>(name);
     const host = new FakeHost(id, this.clock, undefined, undefined, zone);
@@ -467,7 +468,7 @@
     return grant;
   }
 
-  /** Lets time pass while the given hosts report as usual. */
+  /** Advances the clock while the given hosts report regularly. */
   async run(
     ms: number,
     reporting: readonly FakeHost[] = this.hosts,
--- a/packages/scheduling/tests/evacuatedZones.test.ts
+++ b/packages/scheduling/tests/evacuatedZones.test.ts
@@ -1,4 +1,4 @@
-/** Nothing is started in an availability zone for as long as its evacuation stands. */
+/** Nothing is started in an availability zone while it is evacuated. */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -26,11 +26,11 @@
   return { site, here: [first, second], there: [third, fourth] };
 };
 
-/** How many tasks have begun there, each counted once: one that stands still is moved. */
+/** Number of tasks that started there; each counts once, as a stalled task is moved. */
 const startsOn = (hosts: readonly FakeHost[]): number =>
   new Set(hosts.flatMap(({ starts }) => starts.map(({ task }) => task))).size;
 
-/** Work of each kind; all of it has room in one zone but for the gang of four. */
+/** A step of each kind that fits into one zone. */
 const KINDS: Readonly<Record<string, Partial<StepSpec>>> = {
   plain: { taskCount: 6 },
   filling: { taskCount: 6, filling: true },
@@ -39,7 +39,7 @@
 };
 
 for (const [kind, step] of Object.entries(KINDS)) {
-  test(`no ${kind} task begins in an evacuated zone, and all begin in the other`, async () => {
+  test(`no ${kind} task starts in an evacuated zone, and all start in the other`, async () => {
     const { site, here, there } = await siteOfTwoZones();
     site.evacuatedZones.add(ZONE);
     site.submit(JOB, [step]);
@@ -49,7 +49,7 @@
   });
 }
 
-test("work that has room nowhere else waits, and begins once the zone is taken back", async () => {
+test("work that fits nowhere else waits and starts once the evacuation is revoked", async () => {
   const { site, here, there } = await siteOfTwoZones();
   site.evacuatedZones.add(ZONE);
   site.submit(JOB, [{ taskCount: 4, gang: true, demand: WHOLE_HOST }]);
@@ -61,7 +61,7 @@
   expect(startsOn(here)).toEqual(2);
 });
 
-test("a job that nothing runs of for long is not forced into an evacuated zone", async () => {
+test("a job that has run nothing for long is not forced into an evacuated zone", async () => {
   const { site, here, there } = await siteOfTwoZones();
   site.evacuatedZones.add(ZONE);
   site.evacuatedZones.add(OTHER_ZONE);
@@ -71,7 +71,7 @@
   expect(startsOn([...here, ...there])).toEqual(0);
 });
 
-test("what runs in an evacuated zone goes on there and counts", async () => {
+test("runs in an evacuated zone continue there and count", async () => {
   const { site, here } = await siteOfTwoZones();
   site.submit(JOB, [{ taskCount: 4, lasting: true, demand: WHOLE_HOST }]);
   await site.run(500);
@@ -82,7 +82,7 @@
   expect(here.flatMap(({ runs }) => runs).length).toEqual(2);
 });
 
-test("a lost task of an evacuated zone begins elsewhere", async () => {
+test("a lost task of an evacuated zone starts elsewhere", async () => {
   const { site, here, there } = await siteOfTwoZones();
   site.submit(JOB, [{ taskCount: 4, demand: WHOLE_HOST }]);
   await site.run(500);
@@ -95,7 +95,7 @@
   expect(startsOn(there)).toEqual(4);
 });
 
-test("the next leader starts nothing there either, whenever the zone's hosts attach", async () => {
+test("the next leader starts nothing in the zone either, whenever its hosts attach", async () => {
   const { site, here, there } = await siteOfTwoZones();
   site.evacuatedZones.add(ZONE);
   const job = site.submit(JOB, [{ taskCount: 4, demand: WHOLE_HOST }]);
@@ -119,7 +119,7 @@
   expect(startsOn(there)).toEqual(4);
 });
 
-test("an order that is on its way when the evacuation is asked for lapses before its time is over", async () => {
+test("an order in flight when the evacuation is requested expires before the evacuation is due", async () => {
   const { site, here } = await siteOfTwoZones();
   site.submit(JOB, [{ taskCount: 4, demand: WHOLE_HOST }]);
   await site.run(500);
--- a/packages/scheduling/tests/gangAttempts.test.ts
+++ b/packages/scheduling/tests/gangAttempts.test.ts
@@ -1,4 +1,4 @@
-/** A gang's failures count together, whichever member fails first. */
+/** The failures of a gang's members count together, whichever member fails first. */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -7,7 +7,7 @@
 
 const JOB = "5c0e7a21d94b36f8";
 const MEMBERS = [taskId(`${JOB}.0.0.0`), taskId(`${JOB}.0.0.1`)];
-/** One to a host. */
+/** Only one member fits on a host. */
 const LARGE = { milliCores: 20_000, memoryMiB: 100, accelerators: 0 };
 
 const gangOnTwoHosts = async (): Promise<EngineHarness> => {
@@ -19,7 +19,7 @@
   return site;
 };
 
-/** @param failing how many members fail of themselves, from the given one on */
+/** @param failing number of members that fail by themselves, starting with the given one */
 const breakGang = async (
   site: EngineHarness,
   first: number,
@@ -43,7 +43,7 @@
   return decodeProgress(JOB as never, record.value).state;
 };
 
-test("a gang whose members fail in turn is not started past its attempts", async () => {
+test("a gang whose members fail in turn is not started more often than its attempts allow", async () => {
   const site = await gangOnTwoHosts();
   await breakGang(site, 0);
   expect(runCount(site)).toEqual(2);
@@ -52,7 +52,7 @@
   expect(persistedState(site)).toEqual("failed");
 });
 
-test("a gang of which two members fail in one run has failed once", async () => {
+test("a gang with two members that fail in one run has failed once", async () => {
   const site = await gangOnTwoHosts();
   await breakGang(site, 0, 2);
   expect(runCount(site)).toEqual(2);
--- a/packages/scheduling/tests/gangCheckpoints.test.ts
+++ b/packages/scheduling/tests/gangCheckpoints.test.ts
@@ -1,4 +1,4 @@
-/** From which checkpoint the members of a gang go on. */
+/** The checkpoint from which the members of a gang resume. */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -7,14 +7,14 @@
 
 const JOB = "5c0e7a21d94b36f8";
 
-/** What the second start at each host brings. */
+/** Checkpoint of the second start on each host. */
 const secondCheckpoints = (hosts: readonly FakeHost[]): readonly string[] =>
   hosts.flatMap(({ starts }) =>
     starts.slice(1).map(({ checkpoint }) => checkpoint),
   );
 
-// The newest checkpoint may be that of a member whose worker did not crash.
-test("all members of a gang go on from the newest checkpoint of any of them", async () => {
+// The newest checkpoint may belong to a member whose worker did not crash.
+test("all members of a gang resume from the newest checkpoint of any of them", async () => {
   const site = new EngineHarness();
   const hosts = [await site.addHost("h1"), await site.addHost("h2")];
   site.submit(JOB, [
@@ -36,8 +36,8 @@
   expect(secondCheckpoints(hosts)).toEqual(["newer", "newer"]);
 });
 
-// The same when the leader changes: the store keeps a checkpoint of each member.
-test("a new leader starts all members of a gang from one checkpoint", async () => {
+// The same after a change of leader: the store has a separate checkpoint for each member.
+test("a new leader starts all members of a gang from the same checkpoint", async () => {
   const site = new EngineHarness();
   const hosts = [await site.addHost("h1"), await site.addHost("h2")];
   const job = site.submit(JOB, [
--- a/packages/scheduling/tests/grants.test.ts
+++ b/packages/scheduling/tests/grants.test.ts
@@ -14,7 +14,7 @@
   expect(harness.reportOf(host).leaseUntil).toEqual(undefined);
 });
 
-test("a host that the store does not keep in the roster gets no lease and no task", async () => {
+test("a host whose roster entry is not persisted gets no lease and no task", async () => {
   const harness = new EngineHarness();
   harness.roster.isStoreAvailable = false;
   const host = await harness.addHost("h1");
--- a/packages/scheduling/tests/harnessWithLog.ts
+++ b/packages/scheduling/tests/harnessWithLog.ts
@@ -1,4 +1,4 @@
-/** An engine harness whose log lines a test reads. */
+/** An engine harness that records its log lines. */
 
 import { createLogger } from "@rackspan/common";
 import { EngineHarness } from "./engineHarness.js";
--- a/packages/scheduling/tests/inconclusiveCrashes.test.ts
+++ b/packages/scheduling/tests/inconclusiveCrashes.test.ts
@@ -1,4 +1,4 @@
-/** Runs that may have ended unheard of before their worker did prove nothing against their task. */
+/** Runs that may have ended unreported before their worker did are no proof against their task. */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -16,25 +16,25 @@
 
 const OTHER = "77aa7a21d94b36f8";
 const ESTIMATE_MS = 500;
-/** Crashes that may give a task up without proof. */
+/** Number of crashes after which a task fails permanently without proof. */
 const MOST_CRASHES = 4;
 
 type ReportedState = Pick<LostRun, "workedMs" | "wasAtWork" | "orderedMs">;
 
-/** It was looked at all the time, and was far from its end. */
+/** The run was polled until the crash and was far from its expected end. */
 const AT_WORK: ReportedState = {
   workedMs: 90,
   wasAtWork: true,
   orderedMs: 100,
 };
-/** Last shown early, and due when the look at its worker broke off. */
+/** The run was last reported early, and its end was due when the poll of its worker broke off. */
 const END_DUE: ReportedState = {
   workedMs: 90,
   wasAtWork: true,
   orderedMs: 635,
 };
 
-/** After the time for which proof waits for other workers that are lost. */
+/** State of the job after the time in which other worker losses make proof doubtful. */
 const finalStateOf = async (
   site: EngineHarness,
 ): Promise<string | undefined> => {
@@ -42,7 +42,7 @@
   return stateOf(site);
 };
 
-/** The worker of the task ends; its side tells that of the task. */
+/** Ends the worker of the task; its side reports the given state of the task's run. */
 const crashWorker = async (
   site: EngineHarness,
   state: ReportedState,
@@ -56,7 +56,7 @@
   await site.run(100);
 };
 
-test("a run that was due when the look at its worker broke off is no proof against its task", async () => {
+test("a run whose end was due when the poll of its worker broke off is no proof against its task", async () => {
   const site = await createSite(3);
   site.submit(JOB, [{ estimateMs: ESTIMATE_MS }]);
   await crashWorker(site, AT_WORK);
@@ -68,8 +68,8 @@
   expect(stateOf(site)).toEqual("completed");
 });
 
-// Tasks end after a third of the time that is expected of them as well.
-test("a run that was lost after a third of its expected time is no proof against its task", async () => {
+// Some tasks end after a third of their expected duration.
+test("a run that was lost after a third of its expected duration is no proof against its task", async () => {
   const site = await createSite(3);
   site.submit(JOB, [{ estimateMs: ESTIMATE_MS }]);
   await crashWorker(site, AT_WORK);
@@ -77,7 +77,7 @@
   expect(evidenceOf(site)).toEqual(["young", "unanswered"]);
 });
 
-test("a task whose runs had ended unheard of under two workers that ended by chance is started again", async () => {
+test("a task whose runs ended unreported on two workers that ended independently is started again", async () => {
   const site = await createSite(3);
   site.submit(JOB, [{ estimateMs: ESTIMATE_MS }]);
   await crashWorker(site, END_DUE);
@@ -88,7 +88,7 @@
   expect(stateOf(site)).toEqual("completed");
 });
 
-test("a task that crashes its workers when it is due is given up without proof", async () => {
+test("a task that crashes its workers when its end is due fails permanently without proof", async () => {
   const site = await createSite(3);
   site.submit(JOB, [{ estimateMs: ESTIMATE_MS }]);
   let crashes = 0;
@@ -99,7 +99,7 @@
   expect(crashes).toEqual(MOST_CRASHES);
 });
 
-test("after one crash at work two more that cannot be told give the task up", async () => {
+test("a task fails permanently after one crash at work and two inconclusive ones", async () => {
   const site = await createSite(3);
   site.submit(JOB, [{ estimateMs: ESTIMATE_MS }]);
   await crashWorker(site, AT_WORK);
@@ -110,7 +110,7 @@
   expect(await finalStateOf(site)).toEqual("failed");
 });
 
-test("runs beside one that began apart go free although that one may have ended", async () => {
+test("runs beside an isolated one get no evidence although the isolated one may have ended", async () => {
   const site = await createSite(3);
   site.submit(OTHER, [{ lasting: true, taskCount: 3, maxPerHost: 1 }]);
   await site.run(1_000);
@@ -122,7 +122,7 @@
   expect(evidenceOf(site, OTHER)).toEqual(["settled"]);
 });
 
-test("a lasting task is at work however long ago it was ordered", async () => {
+test("a lasting task counts as at work however long ago it was ordered", async () => {
   const site = await createSite(3);
   site.submit(JOB, [{ lasting: true }]);
   await crashWorker(site, { ...END_DUE, orderedMs: 600_000 });
@@ -131,7 +131,7 @@
   expect(await finalStateOf(site)).toEqual("failed");
 });
 
-test("a run that went on from a checkpoint may have had little left to do", async () => {
+test("a run that resumed from a checkpoint is no proof, as it may have had little left to do", async () => {
   const site = await createSite(3);
   site.submit(JOB, [{ checkpointing: true }]);
   const host = await hostOfTask(site);
@@ -142,7 +142,7 @@
   expect(await finalStateOf(site)).not.toEqual("failed");
 });
 
-/** The worker lists the run's end, and crashes before its leader takes note of that. */
+/** The worker lists the run's end and crashes before the leader processes it. */
 const crashAfterEnd = async (site: EngineHarness): Promise<FakeHost> => {
   const host = await hostOfTask(site);
   await site.run(100);
@@ -153,7 +153,7 @@
   return host;
 };
 
-test("runs whose ends their workers had listed before they crashed speak against nothing", async () => {
+test("runs whose ends their workers had listed before the crash are no evidence", async () => {
   const site = await createSite(3);
   site.submit(JOB, [{ estimateMs: ESTIMATE_MS }]);
   for (let end = 0; end <= MOST_CRASHES; end += 1) {
@@ -167,7 +167,7 @@
   expect(stateOf(site)).toEqual("completed");
 });
 
-test("a run that had ended is passed over where no other life of its worker reports", async () => {
+test("a run that had ended is ignored if no other incarnation of its worker reports", async () => {
   const site = await createSite(3);
   site.submit(JOB, [{ estimateMs: ESTIMATE_MS }]);
   const host = await hostOfTask(site);
@@ -179,7 +179,7 @@
   expect(evidenceOf(site)).toEqual([]);
 });
 
-test("a crash is not put down to a run that began apart and had ended", async () => {
+test("a crash is not attributed to an isolated run that had ended", async () => {
   const site = await createSite(3);
   site.submit(OTHER, [{ lasting: true, taskCount: 3, maxPerHost: 1 }]);
   await site.run(1_000);
--- a/packages/scheduling/tests/isolatedStartOrder.test.ts
+++ b/packages/scheduling/tests/isolatedStartOrder.test.ts
@@ -1,4 +1,4 @@
-/** Whose turn it is where several suspected tasks wait for a host to begin apart. */
+/** Order in which several suspect tasks that wait for a host get an isolated start. */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -10,7 +10,7 @@
 const LARGE_TASK = taskId(`${LARGE}.0.0.0`);
 const LARGE_MS = 120_000;
 
-/** What a former leader has kept of a job under whose task a worker has crashed. */
+/** Progress persisted by a previous leader for a job whose task has crashed a worker. */
 const SUSPECT_PROGRESS: ProgressRecord = {
   ...BEGUN_PROGRESS,
   crashes: [["0.0.0", [[7, "young"]]]],
@@ -26,8 +26,8 @@
   site.engine.addJob(job, SUSPECT_PROGRESS);
 };
 
-// Turns go by how long a suspect has waited, not by worth alone.
-test("a suspected task of little worth does not wait for as long as others of more come", async () => {
+// The order depends on how long a suspect task has waited, not on its utility alone.
+test("a suspect task of low utility is not starved by a stream of suspect tasks of higher utility", async () => {
   const site = new EngineHarness();
   const host = await site.addHost("h1");
   addSuspect(site, "small", 500);
@@ -41,6 +41,6 @@
       if (hasWorked && task !== LARGE_TASK) host.end(task, "done");
     }
   }
-  // Its patience, and the turns of those that had come before it.
+  // Its grace period plus the isolated starts of the tasks that came before it.
   expect(waitedMs).toBeLessThanOrEqual(6_000);
 });
--- a/packages/scheduling/tests/jobEngine.test.ts
+++ b/packages/scheduling/tests/jobEngine.test.ts
@@ -16,7 +16,7 @@
   return record?.value && decodeProgress(job, record.value);
 };
 
-test("a job runs step by step, and its ends are kept before the worker may forget them", async () => {
+test("a job runs step by step, and its ends are persisted before they are acknowledged", async () => {
   const harness = new EngineHarness();
   const host = await harness.addHost("h1");
   harness.submit("j", [{ taskCount: 2 }, { after: [0] }]);
@@ -46,7 +46,7 @@
   const stale = host.report();
   harness.reportOf(host);
   await harness.clock.advance(3_000);
-  // The side has attached again, but its worker has been silent since.
+  // The side has attached again, but its worker has been silent since the report.
   harness.engine.attach(host.host, host);
   const grant = harness.engine.handleReport(
     host.host,
@@ -59,7 +59,7 @@
   expect(host.starts.map(({ task }) => task)).toEqual([taskId("first.0.0.0")]);
 });
 
-test("tasks of a silent host start elsewhere only when its lease is over", async () => {
+test("tasks of a silent host start elsewhere only when its lease has expired", async () => {
   const harness = new EngineHarness();
   const lost = await harness.addHost("h1");
   harness.submit("j", [{ lasting: true }]);
@@ -73,7 +73,7 @@
   expect(other.isRunning(taskId("j.0.0.0"))).toEqual(true);
 });
 
-test("another life of the worker frees the tasks of the old one at once", async () => {
+test("a new incarnation of the worker frees the tasks of the previous one immediately", async () => {
   const harness = new EngineHarness();
   const host = await harness.addHost("h1");
   harness.submit("j", [{}]);
@@ -85,7 +85,7 @@
   expect((second?.run ?? 0) > (first?.run ?? 0)).toEqual(true);
 });
 
-test("an order without an answer is not given elsewhere before it lapses", async () => {
+test("a task whose order has no answer is not ordered again before the order expires", async () => {
   const harness = new EngineHarness();
   const silent = await harness.addHost("h1");
   silent.answers = "silent";
@@ -99,7 +99,7 @@
   expect(silent.starts.length).toEqual(2);
 });
 
-test("an order that is carried out late is taken note of, not repeated", async () => {
+test("an order that is executed late is recognized and not repeated", async () => {
   const harness = new EngineHarness();
   const silent = await harness.addHost("h1");
   silent.answers = "silent";
@@ -115,7 +115,7 @@
   expect(lastProgress(harness, "j")?.state).toEqual("completed");
 });
 
-test("a new leader starts nothing that a silent host may still run", async () => {
+test("a new leader starts nothing that a silent host may still be running", async () => {
   const silentHost = brand<HostId>("h1");
   const harness = new EngineHarness({ epoch: 2, roster: [silentHost] });
   harness.submit("j", [{}]);
@@ -126,7 +126,7 @@
   expect(other.starts.length).toEqual(1);
 });
 
-test("a new leader goes on at once when every host of the roster has reported", async () => {
+test("a new leader continues as soon as every host of the roster has reported", async () => {
   const before = new EngineHarness();
   const host = await before.addHost("h1");
   before.submit("j", [{ taskCount: 2 }]);
@@ -150,7 +150,7 @@
   ]);
 });
 
-test("cancelled jobs are stopped, and strays of jobs that ended as well", async () => {
+test("cancelled jobs are stopped, and so are orphan runs of ended jobs", async () => {
   const harness = new EngineHarness();
   const host = await harness.addHost("h1");
   const { spec } = harness.submit("j", [{ lasting: true }]);
@@ -164,7 +164,7 @@
   expect(host.runningTasks).toEqual([]);
 });
 
-test("a task is started no more once its attempts have failed", async () => {
+test("a task is not started again once all its attempts have failed", async () => {
   const harness = new EngineHarness();
   const host = await harness.addHost("h1");
   harness.submit("j", [{}]);
@@ -177,7 +177,7 @@
   expect(lastProgress(harness, "j")?.state).toEqual("failed");
 });
 
-test("lasting tasks leave a draining host for another one, with their checkpoint", async () => {
+test("lasting tasks move from a draining host to another one with their checkpoint", async () => {
   const harness = new EngineHarness();
   const leaving = await harness.addHost("h1");
   harness.submit("j", [{ lasting: true }]);
@@ -192,7 +192,7 @@
   );
 });
 
-test("an end that the worker's lease has outlived does not count", async () => {
+test("an end that was not processed before the worker's lease lapsed does not count", async () => {
   const harness = new EngineHarness();
   const host = await harness.addHost("h1");
   harness.submit("j", [{ taskCount: 2 }]);
@@ -203,7 +203,7 @@
   expect(host.starts.length).toEqual(4);
 });
 
-test("a host that refuses a start is left alone for a while", async () => {
+test("a host that refuses a start gets no start orders for a while", async () => {
   const harness = new EngineHarness();
   const host = await harness.addHost("h1");
   host.answers = "refused";
@@ -214,7 +214,7 @@
   expect(host.starts.length).toEqual(2);
 });
 
-test("a host whose worker was replaced is left alone until it reports the next one", async () => {
+test("a host whose worker was replaced gets no start orders until it reports the next incarnation", async () => {
   const harness = new EngineHarness();
   const host = await harness.addHost("h1");
   host.answers = "replaced";
@@ -228,7 +228,7 @@
   expect(host.isRunning(taskId("j.0.0.0"))).toEqual(true);
 });
 
-test("failures of a worker's former life do not keep its next one out of service", async () => {
+test("failures of a worker's previous incarnation do not eject the next one", async () => {
   const harness = new EngineHarness();
   const host = await harness.addHost("h1");
   for (const job of ["a", "b", "c"]) {
@@ -248,7 +248,7 @@
   expect(other.runningTasks.length).toEqual(1);
 });
 
-test("plain tasks leave a host that falls behind others with the same step", async () => {
+test("plain tasks are moved off a host that is slower than others with the same step", async () => {
   const harness = new EngineHarness();
   const slow = await harness.addHost("h1");
   const others = [await harness.addHost("h2"), await harness.addHost("h3")];
@@ -269,7 +269,7 @@
   expect(slow.runningTasks).toEqual([]);
 });
 
-test("tasks that are long everywhere are left where they are", async () => {
+test("tasks that are slow on all hosts are not moved", async () => {
   const harness = new EngineHarness();
   const hosts = [await harness.addHost("h1"), await harness.addHost("h2")];
   harness.submit("j", [{ taskCount: 8, estimateMs: 100 }]);
@@ -283,7 +283,7 @@
   expect(hosts.flatMap(({ stops }) => stops)).toEqual([]);
 });
 
-test("ends that change nothing do not acknowledge earlier ones that are not kept", async () => {
+test("ends that change nothing do not acknowledge earlier ones that are not persisted", async () => {
   const harness = new EngineHarness();
   const host = await harness.addHost("h1");
   harness.submit("j", [{ taskCount: 2 }]);
@@ -300,7 +300,7 @@
   expect(host.acknowledged).toEqual(2);
 });
 
-test("a worker that says that it has ended frees its tasks at once", async () => {
+test("the deregistration of a worker frees its tasks immediately", async () => {
   const harness = new EngineHarness();
   const leaving = await harness.addHost("h1");
   harness.submit("j", [{ lasting: true }]);
@@ -311,7 +311,7 @@
   expect(other.runningTasks.length).toEqual(1);
 });
 
-test("failures that a new leader hears of in any order are all counted", async () => {
+test("a new leader counts all failures in whatever order they are reported", async () => {
   const before = new EngineHarness();
   const first = await before.addHost("h1");
   before.submit("j", [{}]);
@@ -339,7 +339,7 @@
   expect(first.starts.length + second.starts.length).toEqual(2);
 });
 
-test("a filling job does not wait for ever beside serving tasks that it would disturb", async () => {
+test("a filling job does not wait forever for hosts whose serving tasks it would disturb", async () => {
   const harness = new EngineHarness();
   const host = await harness.addHost("h1");
   const image = "web" as never;
@@ -356,7 +356,7 @@
   expect(host.isRunning(taskId("f.0.0.0"))).toEqual(true);
 });
 
-test("a large lasting task gets a host that plain tasks are kept off", async () => {
+test("a large lasting task gets a host that is reserved against plain tasks", async () => {
   const harness = new EngineHarness();
   const host = await harness.addHost("h1");
   const cores = (milliCores: number) => ({
@@ -374,7 +374,7 @@
   expect(host.isRunning(taskId("s.0.0.0"))).toEqual(true);
 });
 
-test("a step without a permit keeps no other work from the host", async () => {
+test("a step whose ticket is refused does not block other work on the host", async () => {
   const harness = new EngineHarness();
   const host = await harness.addHost("h1");
   host.answers = "refused";
@@ -387,7 +387,7 @@
   expect(host.runningTasks).toEqual([taskId("plain.0.0.0")]);
 });
 
-test("a side that attaches again is told what runs on its host", async () => {
+test("a side that attaches again receives the descriptions of its host's tasks", async () => {
   const harness = new EngineHarness();
   const host = await harness.addHost("h1");
   harness.submit("j", [{ taskCount: 2, filling: true }]);
@@ -398,14 +398,14 @@
   expect(host.describedTasks).toEqual([taskId("j.0.0.0"), taskId("j.0.0.1")]);
 });
 
-test("a filling task that crawls goes on elsewhere from its checkpoint, once a host", async () => {
+test("a crawling filling task resumes elsewhere from its checkpoint, but leaves each host once", async () => {
   const harness = new EngineHarness();
   const hosts = [await harness.addHost("h1"), await harness.addHost("h2")];
   harness.submit("f", [{ filling: true, checkpointing: true }]);
   await harness.run(100);
   const task = taskId("f.0.0.0");
   const [first, second] = hosts[0]?.isRunning(task) ? hosts : hosts.reverse();
-  if (!first || !second) throw new Error("there are two hosts");
+  if (!first || !second) throw new Error("expected two hosts");
   first.setReading(task, 100);
   second.setReading(task, 100);
   await harness.run(1_000);
@@ -414,12 +414,12 @@
   expect(first.stops.length).toEqual(1);
   expect(second.isRunning(task)).toEqual(true);
   expect(second.starts[0]?.checkpoint).toEqual(`saved-${first.starts[0]?.run}`);
-  // It crawls everywhere: moving it about does not help.
+  // The task crawls on both hosts, so it is not moved any further.
   await harness.run(6_000);
   expect(first.stops.length + second.stops.length).toEqual(2);
 });
 
-test("a filling task that does not save its progress is not moved for crawling", async () => {
+test("a crawling filling task without checkpoints is not moved", async () => {
   const harness = new EngineHarness();
   const host = await harness.addHost("h1");
   await harness.addHost("h2");
@@ -430,7 +430,7 @@
   expect(host.stops.length).toEqual(0);
 });
 
-/** A host on which a former leader started a job that its caller then cancelled. */
+/** A host with runs of a previous leader's job, and the leader that takes over. */
 const takeOverCancelled = async () => {
   const before = new EngineHarness();
   const host = await before.addHost("h1");
@@ -447,7 +447,7 @@
   return { after, host, quarter };
 };
 
-test("runs of a former leader that nobody wants take room until they have ended", async () => {
+test("orphan runs of a previous leader occupy resources until they have ended", async () => {
   const { after, host, quarter } = await takeOverCancelled();
   const old = after.submit("old", [{ taskCount: 4, demand: quarter }]);
   after.engine.cancelJob(old.spec.id);
@@ -462,7 +462,7 @@
   expect(host.isRunning(taskId("new.0.0.0"))).toEqual(true);
 });
 
-test("a run of a job that no record tells of takes all of its host until it has ended", async () => {
+test("an orphan run of a job without a record occupies its whole host until it has ended", async () => {
   const { after, host, quarter } = await takeOverCancelled();
   for (const index of [1, 2, 3]) host.end(taskId(`old.0.0.${index}`), "done");
   after.submit("new", [{ taskCount: 1, demand: quarter }]);
@@ -475,7 +475,7 @@
   expect(host.isRunning(taskId("new.0.0.0"))).toEqual(true);
 });
 
-test("checkpoints of running tasks are kept before any task of the job ends", async () => {
+test("checkpoints of running tasks are persisted before any task of the job ends", async () => {
   const harness = new EngineHarness();
   const host = await harness.addHost("h1");
   harness.submit("j", [{ checkpointing: true }]);
@@ -488,7 +488,7 @@
   expect(harness.store.recordsOf(TOPICS.progress).length).toEqual(kept);
 });
 
-test("checkpoints are kept with ends only when their interval is switched off", async () => {
+test("checkpoints are persisted only together with ends if their interval is 0", async () => {
   const harness = new EngineHarness({ policy: { checkpointEveryMs: 0 } });
   const host = await harness.addHost("h1");
   harness.submit("j", [{ checkpointing: true }]);
@@ -498,13 +498,13 @@
   expect(lastProgress(harness, "j")).toEqual(undefined);
 });
 
-test("failures that are heard of while another run is under way count as attempts", async () => {
+test("failures that are reported while another run is active count as attempts", async () => {
   const before = new EngineHarness();
   const first = await before.addHost("h1");
   before.submit("j", [{}]);
   await before.run(100);
   const { starts } = first;
-  // The end is listed, but the leader that acts on it cannot keep it any more.
+  // The end is listed, but the leader that processes it cannot persist it.
   before.store.fault = "refuses";
   first.end(taskId("j.0.0.0"), "failed");
   const second = await before.addHost("h2");
@@ -530,7 +530,7 @@
   expect(starts.length + second.starts.length).toEqual(2);
 });
 
-test("a new leader goes on with what the last one learnt of images", async () => {
+test("a new leader restores what the previous one has learned about images", async () => {
   const before = new EngineHarness();
   const host = await before.addHost("h1");
   const image = "web" as never;
@@ -553,7 +553,7 @@
   expect((known?.weight ?? 0) > 0.1).toEqual(true);
 });
 
-test("nothing is kept of what is learnt where that is switched off", async () => {
+test("nothing learned is persisted if that is disabled", async () => {
   const harness = new EngineHarness({ policy: { learntEveryMs: 0 } });
   const host = await harness.addHost("h1");
   harness.submit("j", [{ estimateMs: 100 }]);
--- a/packages/scheduling/tests/lateStartAnswers.test.ts
+++ b/packages/scheduling/tests/lateStartAnswers.test.ts
@@ -1,4 +1,4 @@
-/** An answer to the order of a lost run does not start its task beside the next run. */
+/** A late answer to the start order of a lost run does not start its task a second time. */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -12,15 +12,15 @@
 interface Site {
   readonly harness: EngineHarness;
   readonly lost: FakeHost;
-  /** Where the task runs after it was lost. */
+  /** The host on which the task runs after its first run was lost. */
   readonly next: FakeHost;
-  /** Takes no task before the fault is over. */
+  /** A host that gets no task unless the task is started a second time. */
   readonly spare: FakeHost;
-  /** Lines of the leader's log. */
+  /** Log lines of the leader. */
   readonly lines: readonly string[];
 }
 
-/** A task is ordered at a worker that dies, and starts elsewhere before the answer. */
+/** A task is ordered from a worker that is lost, and starts elsewhere before the answer arrives. */
 const loseUnansweredStart = async (): Promise<Site> => {
   const { harness, lines } = harnessWithLog();
   const lost = await harness.addHost("h1");
@@ -40,14 +40,14 @@
   hosts.flatMap(({ starts }) => starts.filter((call) => call.task === task))
     .length;
 
-/** Answers which say that the run never begins. */
+/** Answers that rule out that the run ever starts. */
 const NEVER_STARTS: readonly HostCallResult[] = [
   { kind: "replaced" },
   { kind: "draining" },
   { kind: "refused", reason: "no-room" },
 ];
 
-test("an answer that comes after its run was lost leaves the next run alone", async () => {
+test("an answer that arrives after its run was lost does not affect the next run", async () => {
   for (const answer of NEVER_STARTS) {
     const { harness, lost, next, spare } = await loseUnansweredStart();
     lost.answerHeld(answer);
@@ -68,7 +68,7 @@
   expect(spare.runningTasks).toEqual([]);
 });
 
-test("only the run that a task has at that moment is given back", async () => {
+test("only the current run of a task is returned", async () => {
   const { harness, lost, next, spare, lines } = await loseUnansweredStart();
   lost.answerHeld({ kind: "replaced" });
   await harness.run(300, [next, spare]);
@@ -80,10 +80,10 @@
   }
 });
 
-/** How long each run lasts. */
+/** Duration of each run. */
 const RUN_MS = 800;
 
-/** Ends runs that have lasted their time: the first failing ones as failed, the others as done. */
+/** Ends the runs whose duration is over: those in `failing` as failed, the others as done. */
 const endDue = (
   hosts: readonly FakeHost[],
   startTimes: Map<number, number>,
@@ -100,7 +100,7 @@
   }
 };
 
-test("a task whose lost run is answered late has no second chain of runs after one that fails", async () => {
+test("a task whose lost run is answered late gets no second sequence of runs after a failure", async () => {
   const harness = new EngineHarness();
   const lost = await harness.addHost("h1");
   lost.answers = "held";
@@ -117,7 +117,7 @@
     endDue(others, startTimes, harness.clock.monotonic(), failing);
     await harness.run(50, others);
   }
-  // The one that fails, and the one that is done.
+  // The run that fails and the one that is done.
   expect(startsOf(others, TASK)).toEqual(2);
 });
 
--- a/packages/scheduling/tests/leaderLog.test.ts
+++ b/packages/scheduling/tests/leaderLog.test.ts
@@ -1,4 +1,4 @@
-/** What the leader's log tells apart: late answers, and a process short of time. */
+/** The leader's log distinguishes late answers from a stalled process. */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -6,15 +6,15 @@
 import { harnessWithLog } from "./harnessWithLog.js";
 
 const ANSWER_MS = 70;
-/** Longer than a timer may be late without a line. */
+/** Longer than the timer delay from which a line is logged. */
 const STALL_MS = 700;
-/** A wait of a second and more. */
+/** A wait of at least a second. */
 const LONG_WAIT = /rackspan_longest_wait_ms\{kind="plain"\} \d{4}/;
 
 const linesOf = (lines: readonly string[], event: string): string[] =>
   lines.filter((line) => line.includes(`event=${event} `));
 
-test("an answer for a run that was lost is logged as passed over", async () => {
+test("an answer for a run that was lost is logged as ignored", async () => {
   const { harness, lines } = harnessWithLog();
   const host = await harness.addHost("h1");
   host.answers = "held";
@@ -28,7 +28,7 @@
   expect(line).toInclude("passedOver=true");
 });
 
-test("an answer that is awaited is logged with the time it took", async () => {
+test("an answer that arrives in time is logged with its duration", async () => {
   const { harness, lines } = harnessWithLog();
   const host = await harness.addHost("h1");
   host.answers = "held";
@@ -43,7 +43,7 @@
   expect(line).not.toInclude("passedOver");
 });
 
-test("a process whose timers come late says so", async () => {
+test("a process whose timers fire late logs that", async () => {
   const { harness, lines } = harnessWithLog();
   await harness.run(1_000);
   expect(linesOf(lines, "engine.late")).toEqual([]);
@@ -52,7 +52,7 @@
   expect(linesOf(lines, "engine.late").length).toEqual(1);
 });
 
-test("an engine that leads no more shows no waits", async () => {
+test("an engine that no longer leads exports no wait times", async () => {
   const harness = new EngineHarness();
   harness.submit("j", [{}]);
   await harness.run(3_000);
--- a/packages/scheduling/tests/neverStartedRuns.test.ts
+++ b/packages/scheduling/tests/neverStartedRuns.test.ts
@@ -1,4 +1,4 @@
-/** Runs that never began before their workers crashed speak against no task. */
+/** Runs that had not started when their workers crashed are no evidence against their tasks. */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -16,7 +16,7 @@
 } from "./singleJobSite.js";
 import { EngineHarness, type FakeHost } from "./engineHarness.js";
 
-/** One more loss without proof gives the task up. */
+/** After one more lost run without proof the task fails permanently. */
 const NEAR_LIMIT: ProgressRecord = {
   ...BEGUN_PROGRESS,
   crashes: [
@@ -36,7 +36,7 @@
       answers === "held" && starts.some(({ task }) => task === TASK),
   );
 
-/** The worker crashes beside the running task; later orders are answered in that way. */
+/** Crashes the worker of the running task; later orders get the given answer. */
 const crashWorker = async (
   site: EngineHarness,
   state: Partial<LostRun>,
@@ -54,7 +54,7 @@
   await site.run(100);
 };
 
-/** The worker crashes while the order has no answer, which arrives after that. */
+/** Crashes the worker while the order is unanswered; the answer, if any, arrives later. */
 const crashDuringOrder = async (
   site: EngineHarness,
   answer: HostCallResult | undefined,
@@ -64,7 +64,7 @@
   const order = host?.starts.findLast(({ task }) => task === TASK);
   if (!host || !order) throw new Error("the task was not ordered");
   const lost = { task: TASK, run: order.run, wasAtWork: false, ...state };
-  // Its next run goes elsewhere.
+  // The next run of the task is ordered from another host.
   host.answers = "ok";
   for (const other of site.hosts) if (other !== host) other.answers = "held";
   host.replaceWorker();
@@ -74,7 +74,7 @@
   await site.run(300);
 };
 
-test("an order that another life answers is no crash under its task", async () => {
+test("an order that another incarnation answers is no crash of its task", async () => {
   const site = await createSite(3);
   for (const host of site.hosts) host.answers = "held";
   site.submit(JOB, [{ estimateMs: 500 }]);
@@ -83,7 +83,7 @@
   expect(evidenceOf(site)).toEqual([]);
 });
 
-test("an order without an answer to a worker that crashed may have begun", async () => {
+test("the run of an unanswered order to a crashed worker may have started", async () => {
   const site = await createSite(3);
   for (const host of site.hosts) host.answers = "held";
   site.submit(JOB, [{ estimateMs: 500 }]);
@@ -92,7 +92,7 @@
   expect(evidenceOf(site)).toEqual(["unseen"]);
 });
 
-test("a task is not given up before the order to its last run is answered", async () => {
+test("a task does not fail permanently before the order of its last run is answered", async () => {
   const site = await createSite(4);
   site.submit(JOB, [{ estimateMs: 500 }]);
   await crashWorker(site, { orderedMs: 100 });
@@ -108,7 +108,7 @@
   expect(site.hosts.some((one) => one.isRunning(TASK))).toEqual(true);
 });
 
-test("a run ordered from a worker that no longer answered is no crash under its task", async () => {
+test("a run ordered from a worker that no longer answered is no crash of its task", async () => {
   const site = await createSite(3);
   for (const host of site.hosts) host.answers = "held";
   site.submit(JOB, [{ estimateMs: 500 }]);
@@ -117,7 +117,7 @@
   expect(evidenceOf(site)).toEqual(["unknown"]);
 });
 
-/** The next loss of the task gives it up. */
+/** Orders a task that fails permanently if one more run is lost. */
 const orderNearLimit = async (site: EngineHarness): Promise<AcceptedJob> => {
   for (const host of site.hosts) host.answers = "held";
   const acceptedAt = site.clock.now();
@@ -127,7 +127,7 @@
   return job;
 };
 
-/** The next leader, to which all sides attach at once. */
+/** The next leader, to which all sides attach immediately. */
 const startNextLeader = (
   site: EngineHarness,
   job: AcceptedJob,
@@ -147,12 +147,13 @@
 
 const crashAfterOrder = (host: FakeHost): void => {
   const { task, run } = host.starts.at(-1) ?? {};
-  if (task === undefined || run === undefined) throw new Error("no order");
+  if (task === undefined || run === undefined)
+    throw new Error("no start was ordered");
   host.replaceWorker();
   host.lostRuns = [{ task, run, wasAtWork: true, orderedMs: 10 }];
 };
 
-test("a run whose order is open when its leader ends gives no task up at the next leader", async () => {
+test("a run whose order is open when its leader ends does not fail its task at the next leader", async () => {
   const site = await createSite(3);
   const job = await orderNearLimit(site);
   const host = hostWithOrder(site);
@@ -167,7 +168,7 @@
   expect(stateOf(next)).toEqual("running");
 });
 
-test("an answer that came does not shorten the wait for that of the next order", async () => {
+test("the answer to an order does not shorten the wait for the answer to the next one", async () => {
   const site = await createSite(4);
   await orderNearLimit(site);
   const first = hostWithOrder(site);
@@ -187,7 +188,7 @@
   expect(stateOf(site)).toEqual("running");
 });
 
-test("a run that a side tells a new leader of while its order is open gives no task up", async () => {
+test("a lost run that is reported to a new leader while its order is open does not fail its task", async () => {
   const site = await createSite(3);
   const job = await orderNearLimit(site);
   const host = hostWithOrder(site);
@@ -203,7 +204,7 @@
   expect(stateOf(next)).toEqual("running");
 });
 
-/** A side tells the next leader of the run while it still repeats the order to it. */
+/** A side reports the lost run to the next leader while the order is still open. */
 const reportWhileOpen = async (): Promise<{
   readonly next: EngineHarness;
   readonly host: FakeHost;
@@ -225,7 +226,7 @@
   hosts.flatMap(({ starts }) => starts).filter(({ task }) => task === TASK)
     .length;
 
-test("a task that an open order may give up starts no more until the order is over", async () => {
+test("a task that may fail because of an open order is not started until the order is closed", async () => {
   const { next, host } = await reportWhileOpen();
   expect(startsOf(next)).toEqual(1);
   expect(stateOf(next)).toEqual("running");
@@ -235,14 +236,14 @@
   expect(startsOf(next)).toEqual(1);
 });
 
-test("a task is given up where its side does not tell what came of an open order", async () => {
+test("a task fails permanently if its side does not report the outcome of an open order", async () => {
   const { next } = await reportWhileOpen();
   await next.run(1_000, []);
   expect(stateOf(next)).toEqual("failed");
   expect(startsOf(next)).toEqual(1);
 });
 
-test("an open order that its leader gave over a former connection gives no task up", async () => {
+test("an open order that its leader sent over a previous connection does not fail its task", async () => {
   const site = await createSite(3);
   await orderNearLimit(site);
   const host = hostWithOrder(site);
@@ -265,10 +266,11 @@
   expect(stateOf(site)).toEqual("running");
 });
 
-test("a run that a side tells of as never begun while its worker is silent is taken back", async () => {
+test("the evidence of a run that is reported as never started while its worker is silent is removed", async () => {
   const { next, host } = await reportWhileOpen();
   const { task, run } = host.starts[0] ?? {};
-  if (task === undefined || run === undefined) throw new Error("no order");
+  if (task === undefined || run === undefined)
+    throw new Error("no start was ordered");
   next.engine.handleWorkerSilent(host.host, undefined, [{ task, run }]);
   await next.run(1_500, []);
   expect(stateOf(next)).toEqual("running");
--- a/packages/scheduling/tests/oneRunProperty.test.ts
+++ b/packages/scheduling/tests/oneRunProperty.test.ts
@@ -1,4 +1,7 @@
-/** Tasks under random faults: whichever life a message speaks of, each has one run at a time. */
+/**
+ * Property test under random faults: each task has at most one run at a time, whichever
+ * incarnation of a worker a message refers to.
+ */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -20,29 +23,29 @@
 
 const HOSTS = 3;
 const TASKS_PER_JOB = 4;
-/** Longer than an unanswered order lasts. */
+/** Longer than the time after which an unanswered order expires. */
 const RECOVERY_MS = 6_000;
-/** A leader has kept what it was told by then. */
+/** Time within which a leader persists what was reported to it. */
 const PERSISTENCE_MS = 30;
-/** Seeds are named so that a failure can be played again. */
+/** The seed is fixed so that a failure can be reproduced. */
 const PROPERTY_OPTIONS = { seed: 1, numRuns: 150 } as const;
 
-/** An order that its side has not answered yet. */
+/** An order that the side has not answered yet. */
 interface OpenOrder {
   readonly call: StartTaskCall;
   readonly resolve: (result: HostCallResult) => void;
-  /** What the worker has said to it; undefined while it has not arrived there. */
+  /** The worker's answer; undefined while the order has not arrived there. */
   outcome: HostCallResult | undefined;
 }
 
-/** A host whose orders arrive, and are answered, when the play says so. */
+/** A host whose orders arrive and are answered when the simulation says so. */
 class DelayedHost extends FakeHost {
-  /** Highest that the worker has heard; it refuses what bears a lower one. */
+  /** Highest epoch that the worker has received; it refuses orders with a lower one. */
   private epoch = 0;
-  /** What the worker showed last, while its leader has not been told. */
+  /** Result of the last poll while it has not been reported to the leader. */
   private polled: HostReport | undefined;
   private orders: OpenOrder[] = [];
-  /** Orders whose answers were given up; the worker may yet carry them out. */
+  /** Orders whose answers have timed out; the worker may still execute them. */
   private readonly timedOut: OpenOrder[] = [];
 
   override startTask(call: StartTaskCall): Promise<HostCallResult> {
@@ -52,13 +55,13 @@
     });
   }
 
-  /** The side looks at the worker, and tells the leader later. */
+  /** The side polls the worker and reports the result later. */
   poll(epoch: number): void {
     this.epoch = epoch;
     this.polled = this.report();
   }
 
-  /** What the leader is told: the last look, or one of now. */
+  /** The next report to the leader: the result of the last poll, or of a new one. */
   takePolled(epoch: number): HostReport {
     if (!this.polled) this.poll(epoch);
     const polled = this.polled as HostReport;
@@ -69,7 +72,7 @@
     return { ...polled, ended };
   }
 
-  /** The side reports no look of before it attached, or of a former life. */
+  /** A side reports no poll from before it attached, or of a previous incarnation. */
   dropPolled(): void {
     this.polled = undefined;
   }
@@ -81,7 +84,7 @@
     this.epoch = 0;
   }
 
-  /** @param isGivenUp whether its side has given the order up */
+  /** @param isGivenUp whether the answer to the order has timed out at the side */
   arrive(pick: number, isGivenUp: boolean): void {
     const orders = isGivenUp ? this.timedOut : this.orders;
     const open = orders.filter(({ outcome }) => outcome === undefined);
@@ -89,7 +92,7 @@
     if (order) order.outcome = this.execute(order.call);
   }
 
-  /** An order is answered: with what the worker has said, if that is known. */
+  /** Answers an order: with the worker's answer if that is known, otherwise as silent. */
   answerOne(pick: number, isKnown: boolean): void {
     const order = pickFrom(this.orders, pick);
     if (!order) return;
@@ -128,7 +131,7 @@
 const pick = fc.nat(20);
 const host = fc.nat(HOSTS - 1);
 
-/** What may befall the site in one step of a play. */
+/** Events that may happen in one step of the simulation. */
 const eventArbitrary = fc.oneof(
   fc.record({ kind: fc.constant("submit" as const) }),
   fc.record({
@@ -190,7 +193,7 @@
 
 const stepArbitrary = fc.record({
   event: eventArbitrary,
-  /** Milliseconds before the next one, in which nothing is reported. */
+  /** Time until the next event, during which nothing is reported, milliseconds. */
   thenMs: fc.integer({ min: 0, max: 30 }),
 });
 type Step = typeof stepArbitrary extends fc.Arbitrary<infer T> ? T : never;
@@ -198,15 +201,15 @@
 const TERMS = { maxAttempts: 50 } as const;
 
 class Simulation {
-  /** Second runs, runs of tasks that are done, and runs of cancelled jobs. */
+  /** Violations: second runs, runs of tasks that are done, and runs of cancelled jobs. */
   readonly violations: string[] = [];
   private harness = new EngineHarness({ terms: TERMS });
   private readonly hosts: DelayedHost[] = [];
-  /** Lives that are over, and of which the leader may be told again. */
+  /** Ended incarnations, whose end may be reported to the leader repeatedly. */
   private readonly gone: [DelayedHost, WorkerInstance][] = [];
-  /** Tasks that the leader was told are done. */
+  /** Tasks that were reported to the leader as done. */
   private readonly done = new Set<JobTaskId>();
-  /** A worker whose clock has not gone on has answered nothing new. */
+  /** Worker clock of the last report; a report with the same clock contains nothing new. */
   private readonly reportedAt = new Map<DelayedHost, WorkerTime>();
   private readonly jobs: AcceptedJob[] = [];
   private readonly cancelled = new Set<AcceptedJob>();
@@ -303,7 +306,7 @@
     this.harness.engine.cancelJob(job.spec.id);
   }
 
-  /** The worker answers a start in the millisecond of the look that is told next. */
+  /** The worker answers a start in the same millisecond as the poll that is reported next. */
   private async startAfterPoll({ host, pick }: StartAfterPoll): Promise<void> {
     const at = this.hosts[host] as DelayedHost;
     at.poll(this.harness.epoch);
@@ -318,7 +321,7 @@
     this.harness.engine.attach(at.host, at);
   }
 
-  /** The next leader reads what the one before has kept, and all hosts attach to it. */
+  /** The next leader reads what the previous one has persisted, and all hosts attach to it. */
   private async changeLeader(): Promise<void> {
     const previous = this.harness;
     const { clock, store, epoch } = previous;
@@ -376,7 +379,7 @@
     }
   }
 
-  /** Lets time pass while all hosts report as usual. */
+  /** Advances the clock while all hosts report regularly. */
   private async advance(ms: number): Promise<void> {
     const until = this.harness.clock.monotonic() + ms;
     for (const each of this.hosts) this.report(each);
@@ -392,7 +395,7 @@
     for (const { task } of this.hosts.flatMap(({ runs }) => runs)) {
       if (running.has(task)) this.violations.push(`${task} has two runs`);
       if (this.done.has(task))
-        this.violations.push(`${task} runs, and is done`);
+        this.violations.push(`${task} runs although it is done`);
       running.add(task);
     }
   }
@@ -402,12 +405,12 @@
       [...this.cancelled].some(({ spec }) => task.startsWith(`${spec.id}.`));
     for (const { task } of this.hosts.flatMap(({ runs }) => runs)) {
       if (isCancelled(task))
-        this.violations.push(`${task} runs, and is cancelled`);
+        this.violations.push(`${task} runs although it is cancelled`);
     }
   }
 }
 
-/** What a leader has kept of each job. */
+/** The progress of each job in the store of a leader. */
 const progressIn = async ({
   store,
 }: EngineHarness): Promise<
@@ -421,7 +424,7 @@
   };
 };
 
-test("whatever life an answer, a list or a goodbye speaks of, a task has one run, and none once it is done", async () => {
+test("whichever incarnation an answer, a report or a deregistration refers to, a task has at most one run, and none once it is done", async () => {
   await fc.assert(
     fc.asyncProperty(
       fc.array(stepArbitrary, { minLength: 20, maxLength: 60, size: "max" }),
