--- a/packages/scheduling/tests/orphanRuns.test.ts
+++ b/packages/scheduling/tests/orphanRuns.test.ts
@@ -1,4 +1,4 @@
-/** Runs of jobs that are over: what was lost on the way to their stop. */
+/** Runs of ended jobs are stopped whichever orders, answers or reports are lost. */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -8,10 +8,10 @@
 import { EngineHarness, FakeHost, LEASE_MS, taskId } from "./engineHarness.js";
 
 const TASK = taskId("j.0.0.0");
-/** By then a task of a cancelled job is gone, milliseconds: what the users allow. */
+/** Time within which the users require a task of a cancelled job to be gone, milliseconds. */
 const GONE_BY_MS = 3_200;
 
-/** A host that runs a lasting task, which ends only when it is told to. */
+/** A host with a lasting task, which ends only when it is stopped. */
 const startLasting = async () => {
   const harness = new EngineHarness();
   const host = await harness.addHost("h1");
@@ -21,7 +21,7 @@
   return { harness, host, job: job.spec.id };
 };
 
-/** Orders to the worker have no effect, and are answered so. */
+/** Orders to the worker have no effect and get the given answer. */
 const loseOrders = (host: FakeHost, answers: FakeHost["answers"]): void => {
   host.answers = answers;
   host.stopsAtOnce = false;
@@ -32,8 +32,8 @@
   host.stopsAtOnce = true;
 };
 
-test("a stop that an unhealthy worker refuses is given again until it is obeyed", async () => {
-  // A report that lists a run is no answer to its stop.
+test("a stop that an unhealthy worker refuses is repeated until it is executed", async () => {
+  // A report that lists a run is no answer to the order to stop it.
   const { harness, host, job } = await startLasting();
   loseOrders(host, "refused");
   host.refusal = "unhealthy";
@@ -44,8 +44,8 @@
   expect(host.isRunning(TASK)).toEqual(false);
 });
 
-test("a stop without an answer is given again until it is obeyed", async () => {
-  // A report that lists a run is no answer to its stop.
+test("a stop without an answer is repeated until it is executed", async () => {
+  // A report that lists a run is no answer to the order to stop it.
   const { harness, host, job } = await startLasting();
   loseOrders(host, "silent");
   harness.engine.cancelJob(job);
@@ -55,7 +55,7 @@
   expect(host.isRunning(TASK)).toEqual(false);
 });
 
-test("a job that is cancelled while its host is cut off is stopped when the host is back", async () => {
+test("a job that is cancelled while its host is detached is stopped when the host attaches again", async () => {
   // The first report over a new connection does not answer a stop that was never sent.
   const { harness, host, job } = await startLasting();
   harness.engine.detach(host.host, host);
@@ -66,8 +66,8 @@
   expect(host.isRunning(TASK)).toEqual(false);
 });
 
-test("a stop that went out on a connection that fell silent is given again on the next one", async () => {
-  // The first report over a new connection does not answer a stop that was lost with the old one.
+test("a stop that was sent over a connection that became silent is repeated over the next one", async () => {
+  // The first report over a new connection does not answer a stop lost with the previous one.
   const { harness, host, job } = await startLasting();
   loseOrders(host, "hang");
   harness.engine.cancelJob(job);
@@ -79,8 +79,8 @@
   expect(host.isRunning(TASK)).toEqual(false);
 });
 
-test("a stop that the worker has confirmed is given again when the run is listed on and on", async () => {
-  // A worker may confirm a stop and not carry it out.
+test("a stop that the worker has confirmed is repeated if the run stays listed", async () => {
+  // A worker may confirm a stop without executing it.
   const { harness, host, job } = await startLasting();
   host.stopsAtOnce = false;
   harness.engine.cancelJob(job);
@@ -92,8 +92,8 @@
   expect(host.isRunning(TASK)).toEqual(false);
 });
 
-test("a run that is being stopped for another reason is stopped for a cancel as well", async () => {
-  // The stop that moves a lasting task may be lost when the cancel comes.
+test("a cancel stops a run that is already being stopped for another reason", async () => {
+  // The stop that moves a lasting task may already be lost when the job is cancelled.
   const { harness, host, job } = await startLasting();
   loseOrders(host, "silent");
   host.draining = true;
@@ -106,7 +106,7 @@
   expect(host.isRunning(TASK)).toEqual(false);
 });
 
-/** A host that leaves the order to start a task without an answer, and its job's id. */
+/** A host that does not answer the order to start a task. */
 const startUnanswered = async () => {
   const harness = new EngineHarness();
   const host = await harness.addHost("h1");
@@ -114,12 +114,12 @@
   const job = harness.submit("j", [{ lasting: true }]);
   await harness.run(100);
   const [order] = host.starts;
-  if (!order) throw new Error("nothing was ordered");
+  if (!order) throw new Error("no start was ordered");
   return { harness, host, order, job: job.spec.id };
 };
 
-test("a start that is carried out after its job's cancel is stopped, though the first stop was lost", async () => {
-  // The report that lists the late run is no answer to its stop.
+test("a start that is executed after its job was cancelled is stopped although the first stop was lost", async () => {
+  // The report that lists the late run is no answer to the order to stop it.
   const { harness, host, order, job } = await startUnanswered();
   harness.engine.cancelJob(job);
   await harness.run(500);
@@ -131,7 +131,7 @@
   expect(host.isRunning(TASK)).toEqual(false);
 });
 
-test("a start that a confirmed stop has overtaken never begins, and frees its room", async () => {
+test("a start that a confirmed stop has overtaken is never executed, and its resources are freed", async () => {
   const { harness, host, order, job } = await startUnanswered();
   executeOrders(host);
   harness.engine.cancelJob(job);
@@ -145,8 +145,8 @@
   expect(host.runningTasks).toEqual([taskId("k.0.0.0")]);
 });
 
-test("an unanswered start of a cancelled job frees its room once it can begin no more", async () => {
-  // A run that never began is never listed, and its stop may get no answer.
+test("the resources of an unanswered start of a cancelled job are freed once it has expired", async () => {
+  // A run that never started is never listed, and the order to stop it may get no answer.
   const { harness, host, job } = await startUnanswered();
   harness.engine.cancelJob(job);
   await harness.run(3_000);
@@ -159,18 +159,18 @@
   ]);
 });
 
-/** The run before the given one, of the same task. */
+/** The previous run of the same task. */
 const previousRun = ({ task, run }: RunRef): RunRef => ({
   task,
   run: (run - 1) as unknown as RunNumber,
 });
 
-test("a late run beside the task's own on one worker is stopped, whichever is listed first", async () => {
-  // Rows of a report are told apart by run, not by task.
+test("a late run beside the task's current run on one worker is stopped, whichever is listed first", async () => {
+  // The rows of a report are distinguished by run, not by task.
   for (const listsNewestFirst of [false, true]) {
     const { harness, host } = await startLasting();
     const [order] = host.starts;
-    if (!order) throw new Error("nothing was ordered");
+    if (!order) throw new Error("no start was ordered");
     host.listsNewestFirst = listsNewestFirst;
     host.startLate(previousRun(order));
     await harness.run(1_000);
@@ -179,7 +179,7 @@
   }
 });
 
-/** The next leader, to which the host has not attached yet. */
+/** The next leader; the host has not attached to it yet. */
 const createNextLeader = (
   before: EngineHarness,
   host: FakeHost,
@@ -191,12 +191,12 @@
   return after;
 };
 
-test("a new leader finds both runs of one task on a worker, and stops both after a cancel", async () => {
-  // Rows of a report are told apart by run, not by task.
+test("a new leader finds both runs of one task on a worker and stops both after a cancel", async () => {
+  // The rows of a report are distinguished by run, not by task.
   const before = await startLasting();
   const { host } = before;
   const [order] = host.starts;
-  if (!order) throw new Error("nothing was ordered");
+  if (!order) throw new Error("no start was ordered");
   host.startLate(previousRun(order));
   before.harness.isLeader = false;
   const after = createNextLeader(before.harness, host);
@@ -207,13 +207,13 @@
   expect(host.runs).toEqual([]);
 });
 
-test("a new leader keeps the later of two runs of one task, and stops the other", async () => {
-  // Rows of a report are told apart by run, not by task.
+test("a new leader keeps the later of two runs of one task and stops the other", async () => {
+  // The rows of a report are distinguished by run, not by task.
   for (const listsNewestFirst of [false, true]) {
     const before = await startLasting();
     const { host } = before;
     const [order] = host.starts;
-    if (!order) throw new Error("nothing was ordered");
+    if (!order) throw new Error("no start was ordered");
     host.startLate(previousRun(order));
     host.listsNewestFirst = listsNewestFirst;
     before.harness.isLeader = false;
@@ -226,7 +226,7 @@
   }
 });
 
-test("a cancel stops all runs of a task that hosts are believed to run", async () => {
+test("a cancel stops all active runs of a task", async () => {
   // The run that was placed last may not be the only one.
   const harness = new EngineHarness();
   const first = await harness.addHost("h1");
@@ -248,8 +248,8 @@
   expect([...first.runs, ...second.runs]).toEqual([]);
 });
 
-test("a stop that hangs is not given again beside itself, but once it has had its time", async () => {
-  // Each report would otherwise add an order to those that still wait at a silent worker.
+test("a stop without an answer is repeated only after its timeout", async () => {
+  // Otherwise each report would add an order to those that still wait at a silent worker.
   const before = await startLasting();
   const { host } = before;
   before.harness.isLeader = false;
@@ -266,7 +266,7 @@
   expect(host.isRunning(TASK)).toEqual(false);
 });
 
-test("a cancel under the former leader is carried out before the next one may start anything", async () => {
+test("a cancel under the previous leader is executed before the next one may start anything", async () => {
   const before = await startLasting();
   const { host } = before;
   loseOrders(host, "silent");
@@ -285,7 +285,7 @@
   expect(host.starts.length).toEqual(1);
 });
 
-test("a late run of a job that is kept no longer is stopped again until it has ended", async () => {
+test("the stop of a late run of a removed job is repeated until the run has ended", async () => {
   const { harness, host, order, job } = await startUnanswered();
   await harness.run(3_000);
   const [, next] = host.starts;
@@ -301,7 +301,7 @@
   expect(host.isRunning(TASK)).toEqual(false);
 });
 
-test("a cancelled job whose host is cut off for good starts nowhere else", async () => {
+test("a cancelled job whose host stays detached does not start elsewhere", async () => {
   const { harness, host, job } = await startLasting();
   harness.engine.detach(host.host, host);
   harness.engine.cancelJob(job);
--- a/packages/scheduling/tests/orphanRunsProperty.test.ts
+++ b/packages/scheduling/tests/orphanRunsProperty.test.ts
@@ -1,4 +1,4 @@
-/** Cancelled jobs under random faults: whatever was lost, their runs end. */
+/** Property test under random faults: runs of cancelled jobs end whatever was lost. */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -6,15 +6,15 @@
 import type { JobId } from "@rackspan/state";
 import { EngineHarness, type FakeHost } from "./engineHarness.js";
 
-/** By then a task of a cancelled job is gone, milliseconds: what the users allow. */
+/** Time within which the users require a task of a cancelled job to be gone, milliseconds. */
 const GONE_BY_MS = 3_200;
 const HOSTS = 3;
-/** Seeds are named so that a failure can be played again. */
+/** The seed is fixed so that a failure can be reproduced. */
 const PROPERTY_OPTIONS = { seed: 1, numRuns: 120 } as const;
 
 const hostIndex = fc.nat(HOSTS - 1);
 
-/** What may befall the site in one step of a play. */
+/** Events that may happen in one step of the simulation. */
 const eventArbitrary = fc.oneof(
   fc.record({ kind: fc.constant("submit"), lasting: fc.boolean() }),
   fc.record({ kind: fc.constant("cancel"), job: fc.nat(20) }),
@@ -37,7 +37,7 @@
 );
 type Event = typeof eventArbitrary extends fc.Arbitrary<infer T> ? T : never;
 
-/** A site whose leaders and hosts come and go; jobs and cancels are kept. */
+/** A site whose leaders and hosts change; jobs and cancels are persisted. */
 class Simulation {
   private harness = new EngineHarness();
   private readonly hosts: FakeHost[] = [];
@@ -76,7 +76,7 @@
     await this.advance(20);
   }
 
-  /** All is well again for as long as the users allow. */
+  /** Ends all faults and waits for as long as the users allow. */
   async recover(): Promise<void> {
     for (const host of this.hosts) {
       host.answers = "ok";
@@ -86,7 +86,7 @@
     await this.advance(GONE_BY_MS);
   }
 
-  /** Runs of cancelled jobs. */
+  /** Runs of cancelled jobs that have not ended. */
   get cancelledRuns(): string[] {
     return this.hosts.flatMap(({ runs }) =>
       runs
@@ -118,7 +118,7 @@
         host.draining = !host.draining;
         return;
       default:
-        throw new Error(`${event.kind} befalls no host`);
+        throw new Error(`${event.kind} is not a host event`);
     }
   }
 
@@ -141,7 +141,7 @@
     this.harness.engine.cancelJob(job.id as unknown as JobId);
   }
 
-  /** The next leader reads all jobs and cancels; hosts attach when they find it. */
+  /** The next leader reads all jobs and cancels, and all attached hosts attach to it. */
   private changeLeader(): void {
     const { clock } = this.harness;
     this.harness.isLeader = false;
@@ -163,7 +163,7 @@
   }
 }
 
-/** The worker carries out what it left unanswered and what has not lapsed. */
+/** The worker executes the unexpired start orders that it has not answered. */
 const startLate = (host: FakeHost): void => {
   for (const start of host.starts) {
     if (start.instance !== host.instance || start.leaseUntil < host.at)
@@ -172,7 +172,7 @@
   }
 };
 
-test("whatever is lost or comes late, runs of cancelled jobs end once all is well", async () => {
+test("whatever is lost or delayed, runs of cancelled jobs end once all faults are over", async () => {
   await fc.assert(
     fc.asyncProperty(
       fc.array(eventArbitrary, { minLength: 5, maxLength: 40 }),
--- a/packages/scheduling/tests/overload.test.ts
+++ b/packages/scheduling/tests/overload.test.ts
@@ -1,10 +1,10 @@
-/** Order by worth serves callers no worse than by slack where there is too much bulk work. */
+/** Under overload with bulk work the order by utility yields no less utility than that by slack. */
 
 import { test } from "node:test";
 import { expect } from "earl";
 import { simulateOverload, type OverloadResult } from "./simulateOverload.js";
 
-/** Twice what a site is built for is the most that its users have planned for. */
+/** Users plan for at most twice the load that a site is built for. */
 const LOADS = [1, 1.4, 1.8];
 const SEEDS = [1, 2];
 
@@ -21,13 +21,13 @@
   return results;
 };
 
-test("past what a site can do callers get no less by worth than by slack, and large jobs are served too", async () => {
+test("under overload the order by utility yields no less than that by slack, and large jobs are served too", async () => {
   const bySlack = await simulateAll("bySlack");
   const byUtility = await simulateAll("byWorth");
   const meanUtility = (results: readonly OverloadResult[]): number =>
     mean(results.map((one) => one.utilityShare));
   expect(meanUtility(byUtility)).toBeGreaterThanOrEqual(meanUtility(bySlack));
-  // The users' rule of sizes: the largest tenth at least half as often as all.
+  // Requirement of the users: of the largest tenth at least half the share of all jobs is served.
   for (const {
     largestServedShare: largestServed,
     servedShare: served,
--- a/packages/scheduling/tests/permits.test.ts
+++ b/packages/scheduling/tests/permits.test.ts
@@ -12,7 +12,7 @@
 const VALID_MS = 1_000;
 const RULE = { decideMs: 20, eachMs: 1, validMs: VALID_MS };
 
-/** Permits the workers whose ids begin with one of the given hosts. */
+/** Grants permits for the workers whose ids begin with one of the given hosts. */
 class FakePermits implements PermitService {
   readonly requests: PermitRequest[] = [];
   failing = false;
@@ -21,7 +21,7 @@
 
   async requestPermits(req: PermitRequest): Promise<PermitResponse> {
     this.requests.push(req);
-    if (this.failing) throw new PermitsUnavailableError("away for a test");
+    if (this.failing) throw new PermitsUnavailableError("simulated outage");
     const permits = req.instances
       .filter((instance) => this.good.some((host) => instance.startsWith(host)))
       .map((instance) => ({
@@ -53,7 +53,7 @@
   expect(permits.requests.map(({ step }) => step)).toEqual(["j.0.0"]);
 });
 
-test("a ticket that has run out is asked for anew, of permitted hosts only", async () => {
+test("an expired ticket is requested again, for permitted hosts only", async () => {
   const { harness, fine, permits } = await setUp(["fine"]);
   harness.submit("j", [{ taskCount: 1 }]);
   await harness.run(VALID_MS + 100);
@@ -80,7 +80,7 @@
   expect(fine.starts.at(-1)?.ticket).toEqual("fine-1/2");
 });
 
-test("a service that is away is asked again, and nothing starts without it", async () => {
+test("an unavailable permit service is asked again, and nothing starts without a permit", async () => {
   const { harness, bad, fine, permits } = await setUp(["fine"]);
   permits.failing = true;
   harness.submit("j", [{}]);
@@ -94,7 +94,7 @@
   expect(fine.starts.length).toEqual(1);
 });
 
-test("another life of the worker needs a permit of its own", async () => {
+test("each incarnation of the worker needs its own permit", async () => {
   const { harness, fine, permits } = await setUp(["fine"]);
   harness.submit("j", [{}]);
   await harness.run(200);
--- a/packages/scheduling/tests/previousIncarnations.test.ts
+++ b/packages/scheduling/tests/previousIncarnations.test.ts
@@ -1,4 +1,4 @@
-/** What is heard late of a worker's former life does not act on the present one. */
+/** Late messages about a worker's previous incarnation do not affect the current one. */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -12,7 +12,7 @@
   readonly host: FakeHost;
 }
 
-/** A host whose worker has a task. */
+/** A host whose worker runs a task. */
 const createSite = async (): Promise<Site> => {
   const harness = new EngineHarness();
   const host = await harness.addHost("h1");
@@ -22,7 +22,7 @@
   return { harness, host };
 };
 
-test("that a former life is gone is passed over once the next one works", async () => {
+test("the end of a previous incarnation is ignored once the next one works", async () => {
   const { harness, host } = await createSite();
   const previous = host.instance;
   host.replaceWorker();
@@ -35,7 +35,7 @@
   expect(host.starts.length + other.starts.length).toEqual(startCount);
 });
 
-test("that a former connection is closed does not take the present one away", async () => {
+test("the close of a previous connection does not detach the current one", async () => {
   const { harness, host } = await createSite();
   const previous: FakeHost = Object.create(host) as FakeHost;
   harness.engine.attach(host.host, previous);
@@ -46,7 +46,7 @@
   expect(host.runningTasks.length).toEqual(2);
 });
 
-test("ends of a former life that are kept late acknowledge none of the next one's", async () => {
+test("ends of a previous incarnation that are persisted late acknowledge none of the next one's", async () => {
   const { harness, host } = await createSite();
   harness.store.fault = "refuses";
   host.end(TASK, "done");
--- a/packages/scheduling/tests/reportAfterSuspension.test.ts
+++ b/packages/scheduling/tests/reportAfterSuspension.test.ts
@@ -1,13 +1,13 @@
-/** No overdue pass is made while a report is half taken. */
+/** An overdue scheduling cycle does not run while a report is only partly processed. */
 
 import { test } from "node:test";
 import { expect } from "earl";
 import { EngineHarness, LEASE_MS, taskId } from "./engineHarness.js";
 
-/** Longer than a pass may be overdue. */
+/** Longer than a scheduling cycle may be overdue. */
 const SUSPENSION_MS = 600;
 
-test("a report after a freeze counts the last failure before anything is started", async () => {
+test("a report after a process suspension counts the last failure before anything is started", async () => {
   const harness = new EngineHarness();
   const host = await harness.addHost("h1");
   harness.submit("j", [{}]);
@@ -23,7 +23,7 @@
   expect(host.starts.length).toEqual(2);
 });
 
-test("a report after a freeze is compared whole before anything is started", async () => {
+test("a report after a process suspension is reconciled completely before anything is started", async () => {
   const harness = new EngineHarness();
   const late = await harness.addHost("h1");
   late.answers = "silent";
@@ -34,7 +34,7 @@
   late.answers = "ok";
   harness.submit("lost", [{}]);
   await harness.run(100);
-  // Nothing may be started while both the lost run and the late one are settled.
+  // Nothing may be started until both the lost run and the late one are resolved.
   harness.isLeader = false;
   await harness.run(LEASE_MS / 2);
   const other = await harness.addHost("h2");
@@ -51,7 +51,7 @@
   expect(ofLate.length).toEqual(1);
 });
 
-test("a pass that is overdue is made as soon as a report is taken", async () => {
+test("an overdue scheduling cycle runs as soon as a report is processed", async () => {
   const harness = new EngineHarness();
   const host = await harness.addHost("h1");
   await harness.run(100);
--- a/packages/scheduling/tests/rosterIncarnations.test.ts
+++ b/packages/scheduling/tests/rosterIncarnations.test.ts
@@ -1,4 +1,4 @@
-/** Which ends of workers prove to a new leader that nothing is hidden on a host. */
+/** Which deregistrations prove to a new leader that no unknown run is left on a host. */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -18,7 +18,7 @@
 const GONE = brand<HostId>("gone");
 const PAST_LEASES_MS = (LEADERSHIP_TTL_MS + LEASE_MS) * 1.1;
 
-/** A new leader with a host that is heard, one that is not, and a job from before. */
+/** A new leader with a host that reports, one that does not, and a previous leader's job. */
 const takeOver = async () => {
   const previous = new EngineHarness();
   const job = previous.submit("j", [{}]);
@@ -30,14 +30,14 @@
   return { next, reporting };
 };
 
-test("the end of a life that the roster does not name lets a new leader wait on", async () => {
+test("a new leader keeps waiting if an incarnation ends that is not in the roster", async () => {
   const { next, reporting } = await takeOver();
   next.engine.handleWorkerGone(GONE, brand<WorkerInstance>("gone-0"));
   await next.run(LEADERSHIP_TTL_MS);
   expect(reporting.starts.length).toEqual(0);
 });
 
-test("the end of the life that the roster names takes the host off it", async () => {
+test("the end of the incarnation in the roster removes the host from it", async () => {
   const { next, reporting } = await takeOver();
   next.engine.handleWorkerGone(GONE, brand<WorkerInstance>("gone-1"));
   await next.run(200);
@@ -45,7 +45,7 @@
   expect(next.roster.recordedInstance(GONE)).toEqual(undefined);
 });
 
-test("a host that never reports leaves the roster with its last lease", async () => {
+test("a host that never reports is removed from the roster when its last lease expires", async () => {
   const { next, reporting } = await takeOver();
   await next.run(LEADERSHIP_TTL_MS + LEASE_MS - 100);
   expect(next.roster.recordedInstance(GONE)).not.toEqual(undefined);
@@ -54,7 +54,7 @@
   expect(next.roster.recordedInstance(GONE)).toEqual(undefined);
 });
 
-test("the next life of a worker gets no lease before the store names it", async () => {
+test("the next incarnation of a worker gets no lease before it is in the stored roster", async () => {
   const harness = new EngineHarness();
   const host = await harness.addHost("h1");
   harness.roster.isStoreAvailable = false;
@@ -66,9 +66,9 @@
   expect(host.runs.map(({ task }): JobTaskId => task)).toEqual([]);
 });
 
-// A release that named lives by their id alone wrote the roster. Its record equals no life
-// that is named by its time of birth too.
-test("a record that names the id alone proves no end, and is written anew with the first report", async () => {
+// A release that identified incarnations by the id alone has written the roster. Its record
+// matches no incarnation that is identified by its start time as well.
+test("a roster record with the id alone proves no end, and the first report replaces it", async () => {
   const { next } = await takeOver();
   const full = brand<WorkerInstance>("gone-1/1774000000000");
   await next.engine.handleWorkerGone(GONE, full);
--- a/packages/scheduling/tests/runtimeEstimator.test.ts
+++ b/packages/scheduling/tests/runtimeEstimator.test.ts
@@ -1,4 +1,4 @@
-/** Run times that were seen correct what callers guess of them. */
+/** Observed run times correct the callers' estimates. */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -14,7 +14,7 @@
   return step;
 };
 
-test("the tasks of a step are expected to take what those that are done took", () => {
+test("the expected duration of a step's tasks is the mean of the completed ones", () => {
   const estimator = new RuntimeEstimator(true);
   const step = stepOf("a", 1_000);
   expect(estimator.taskMs(step)).toEqual(1_000);
@@ -26,7 +26,7 @@
   );
 });
 
-test("a step of which nothing is done follows its queue a little", () => {
+test("a step without completed tasks is corrected a little by other steps of its queue", () => {
   const estimator = new RuntimeEstimator(true);
   estimator.recordRunTime(stepOf("a", 1_000), 3_000);
   const expectedMs = estimator.taskMs(stepOf("b", 1_000));
@@ -34,14 +34,14 @@
   expect(expectedMs).toBeLessThan(1_200);
 });
 
-test("a step without an estimate is known once one of its tasks is done", () => {
+test("a step without an estimate gets one from its first completed task", () => {
   const estimator = new RuntimeEstimator(true);
   const step = stepOf("a", 0);
   estimator.recordRunTime(step, 700);
   expect(estimator.taskMs(step)).toEqual(700);
 });
 
-test("nothing that was seen changes an estimate where corrections are switched off", () => {
+test("observed run times do not change an estimate if corrections are disabled", () => {
   const estimator = new RuntimeEstimator(false);
   const step = stepOf("a", 1_000);
   estimator.recordRunTime(step, 3_000);
--- a/packages/scheduling/tests/silentHosts.test.ts
+++ b/packages/scheduling/tests/silentHosts.test.ts
@@ -1,4 +1,4 @@
-/** Silence of a host is not taken for a standstill of its tasks. */
+/** Tasks of a silent host do not count as stalled. */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -14,7 +14,7 @@
 interface Site {
   readonly harness: EngineHarness;
   readonly host: FakeHost;
-  /** Lets time pass in which all tasks gain percents. */
+  /** Advances the clock while the progress of all tasks increases. */
   readonly work: (ms: number, reporting: readonly FakeHost[]) => Promise<void>;
 }
 
@@ -35,7 +35,7 @@
   return { harness, host, work };
 };
 
-test("tasks of a host that is not heard for a while are not taken to stand still", async () => {
+test("tasks of a host that does not report for a while do not count as stalled", async () => {
   const { host, work } = await createSite();
   await work(SILENCE_MS, []);
   await work(1_000, [host]);
@@ -43,7 +43,7 @@
   expect(host.starts.length).toEqual(6);
 });
 
-test("tasks that stood still while their host was not heard are stopped once it is", async () => {
+test("tasks that stalled while their host did not report are stopped once it reports", async () => {
   const { harness, host } = await createSite();
   await harness.run(SILENCE_MS, []);
   expect(host.stops.length).toEqual(0);
@@ -51,25 +51,25 @@
   expect(host.stops.length).toEqual(6);
 });
 
-test("a filling task is not taken to crawl while its host is not heard", async () => {
+test("a filling task does not count as crawling while its host does not report", async () => {
   const harness = new EngineHarness();
   const host = await harness.addHost("h1");
   harness.submit(JOB, [{ filling: true, checkpointing: true }]);
   await harness.run(500);
   const [task] = host.runningTasks;
   if (!task) throw new Error("no task runs");
-  // One reading far below what it asks for.
+  // One reading far below the requested cores.
   host.setReading(task, 1);
   await harness.run(200);
   await harness.run(SHORT_SILENCE_MS, []);
   expect(host.stops.length).toEqual(0);
-  // It crawls still: now this is known of all the time between.
+  // The task still crawls, so the time of the silence counts as well.
   await harness.run(500);
   expect(host.stops.length).toEqual(1);
 });
 
-// Silence that includes a suspension of the leader's machine would end leases too early.
-test("a leader whose machine was suspended takes no lease for over", async () => {
+// If the suspension of the leader's machine counted as silence, leases would expire too early.
+test("a leader whose machine was suspended does not treat leases as expired", async () => {
   const { harness, host, work } = await createSite();
   harness.clock.suspend(20_000);
   await work(400, []);
--- a/packages/scheduling/tests/silentHostsAtTakeover.test.ts
+++ b/packages/scheduling/tests/silentHostsAtTakeover.test.ts
@@ -1,4 +1,4 @@
-/** How long a take-over waits for a host whose side tells when its leases are over. */
+/** How long a takeover waits for a silent host whose side reports when its leases expire. */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -10,18 +10,18 @@
   type FakeHost,
 } from "./engineHarness.js";
 
-/** Until the leases of the silent host are over, as its side tells. */
+/** Time until the leases of the silent host expire, as reported by its side. */
 const EXPIRES_IN_MS = 1_500;
-/** Longer than a pass over the waiting work takes to begin. */
+/** Longer than the delay until the next scheduling cycle. */
 const SOON_MS = 200;
-/** A pass begins, and its orders are given. */
+/** Time in which a scheduling cycle starts and sends its orders. */
 const NEXT_CYCLE_MS = 2 * ENGINE.minCycleIntervalMs;
-/** When the silence is told, after a tick of the engine: all over its interval. */
+/** Delays between a tick of the engine and the report of the silence, spread over its interval. */
 const TICK_PHASES_MS = [0, 60, 120, 180, 240];
-/** Every lease that former leaders could grant is over. */
+/** Time after which every lease that previous leaders could grant has expired. */
 const ALL_EXPIRED_MS = (LEADERSHIP_TTL_MS + LEASE_MS) * 1.05;
 
-/** Lets all but the last of these milliseconds pass; the host reports until shortly before. */
+/** Advances the clock by 1 ms less than given; the host reports until shortly before the end. */
 const waitUntilJustBefore = async (
   { clock, engine }: EngineHarness,
   ms: number,
@@ -32,7 +32,7 @@
   await clock.advance(ENGINE.quietMs / 2 - 1);
 };
 
-/** A leader that takes over while a task waits, with hosts of which one reports. */
+/** A leader that takes over while a task waits; one of its hosts reports. */
 const takeOver = async (silentHosts = 1) => {
   const previous = new EngineHarness();
   const { clock, store } = previous;
@@ -60,7 +60,7 @@
   return { next, reporting, host };
 };
 
-/** A leader that goes on while the host of its task falls silent, beside one with room. */
+/** A leader whose task runs on a host that becomes silent, with a second host that has capacity. */
 const createLeaderWithSilentHost = async () => {
   const harness = new EngineHarness();
   const silent = await harness.addHost("silent");
@@ -70,7 +70,7 @@
   return { harness, silent, reporting };
 };
 
-test("a task starts once the lease that its silent host was sent last is over, and not before", async () => {
+test("a task starts once the last lease sent to a silent host has expired, and not before", async () => {
   const { next, reporting, host } = await takeOverWithOneSilentHost();
   next.engine.handleWorkerSilent(host.host, EXPIRES_IN_MS);
   await next.run(EXPIRES_IN_MS - SOON_MS, [reporting]);
@@ -79,7 +79,7 @@
   expect(reporting.starts.length).toEqual(1);
 });
 
-test("a host whose lease is over by its side's word leaves the roster", async () => {
+test("a host whose lease has expired according to its side is removed from the roster", async () => {
   const { next, reporting, host } = await takeOverWithOneSilentHost();
   next.engine.handleWorkerSilent(host.host, EXPIRES_IN_MS);
   expect(next.roster.recordedInstance(host.host)).not.toEqual(undefined);
@@ -87,7 +87,7 @@
   expect(next.roster.recordedInstance(host.host)).toEqual(undefined);
 });
 
-test("a take-over waits for each silent host by itself", async () => {
+test("a takeover waits for each silent host separately", async () => {
   const { next, reporting, silent } = await takeOver(2);
   const [first, second] = silent;
   if (!first || !second) throw new Error("no silent hosts");
@@ -99,7 +99,7 @@
   expect(reporting.starts.length).toEqual(1);
 });
 
-test("a side that cannot tell when its leases are over leaves the wait as it is", async () => {
+test("a side that does not know when its leases expire does not change the wait", async () => {
   const { next, reporting, host } = await takeOverWithOneSilentHost();
   next.engine.handleWorkerSilent(host.host, undefined);
   await next.run(LEADERSHIP_TTL_MS + LEASE_MS - 2 * SOON_MS, [reporting]);
@@ -110,14 +110,14 @@
   expect(reporting.starts.length).toEqual(1);
 });
 
-test("a longer lease than former leaders could grant does not lengthen the wait", async () => {
+test("a longer lease than previous leaders could grant does not lengthen the wait", async () => {
   const { next, reporting, host } = await takeOverWithOneSilentHost();
   next.engine.handleWorkerSilent(host.host, 3 * ALL_EXPIRED_MS);
   await next.run(ALL_EXPIRED_MS, [reporting]);
   expect(reporting.starts.length).toEqual(1);
 });
 
-test("the word that a worker is silent comes too late once it has reported: its run is not started again", async () => {
+test("a silence reported after the worker has reported is ignored: its run is not started again", async () => {
   const { next, reporting, host } = await takeOverWithOneSilentHost();
   await next.run(SOON_MS, [reporting, host]);
   const before = host.starts.length + reporting.starts.length;
@@ -129,7 +129,7 @@
   expect(next.roster.recordedInstance(host.host)).not.toEqual(undefined);
 });
 
-test("a host that has reported some of its ends is not taken for one whose leases are over", async () => {
+test("a host that has reported only some of its ends does not count as free of leases", async () => {
   const { next, reporting, host } = await takeOverWithOneSilentHost();
   const report = { ...host.report(), hasMoreEnds: true };
   next.engine.handleReport(host.host, host.zone, report);
@@ -138,7 +138,7 @@
   expect(reporting.starts).toEqual([]);
 });
 
-test("a leader whose term is over says that it grants nothing", async () => {
+test("a leader whose term is over does not confirm a silence", async () => {
   const { next, host } = await takeOverWithOneSilentHost();
   expect(next.engine.handleWorkerSilent(host.host, EXPIRES_IN_MS)).toEqual(
     true,
@@ -149,7 +149,7 @@
   );
 });
 
-test("a task starts once the lease of a host is over that fell silent under its leader, and not before", async () => {
+test("a task starts once the lease of a host that became silent has expired, and not before", async () => {
   const { harness, silent, reporting } = await createLeaderWithSilentHost();
   harness.engine.handleWorkerSilent(silent.host, EXPIRES_IN_MS);
   await harness.run(EXPIRES_IN_MS - SOON_MS, [reporting]);
@@ -158,7 +158,7 @@
   expect(reporting.starts.length).toEqual(1);
 });
 
-test("an order on its way to a host is waited for although its side tells of no lease", async () => {
+test("an order in flight to a host delays its task although the side reports no lease", async () => {
   const harness = new EngineHarness();
   const silent = await harness.addHost("silent");
   silent.answers = "hang";
@@ -173,7 +173,7 @@
   expect(reporting.starts.length).toEqual(1);
 });
 
-test("a host that reports after its side told of its silence keeps its runs", async () => {
+test("a host that reports after its silence was reported keeps its runs", async () => {
   const harness = new EngineHarness();
   const host = await harness.addHost("h1");
   harness.submit("j", [{ lasting: true }]);
@@ -183,7 +183,7 @@
   expect(host.starts.length).toEqual(1);
 });
 
-test("a worker that answers after the word of its silence, with ends left to list, is waited for", async () => {
+test("a worker that answers again with ends left to list is waited for despite its reported silence", async () => {
   const { next, reporting, host } = await takeOverWithOneSilentHost();
   next.engine.handleWorkerSilent(host.host, EXPIRES_IN_MS);
   next.engine.handleReport(host.host, host.zone, {
@@ -194,7 +194,7 @@
   expect(reporting.starts).toEqual([]);
 });
 
-test("the word of a side that has detached holds no more: another process of it knows nothing of it", async () => {
+test("a silence reported by a side that has detached is dropped, as its next process does not know it", async () => {
   const { next, reporting, host } = await takeOverWithOneSilentHost();
   next.engine.handleWorkerSilent(host.host, EXPIRES_IN_MS);
   next.engine.detach(host.host, host);
@@ -202,7 +202,7 @@
   expect(reporting.starts).toEqual([]);
 });
 
-test("the word of a side that has detached shortens no grant of its leader", async () => {
+test("a silence reported by a side that has detached does not shorten its leader's grants", async () => {
   const { harness, silent, reporting } = await createLeaderWithSilentHost();
   harness.engine.handleWorkerSilent(silent.host, EXPIRES_IN_MS);
   harness.engine.detach(silent.host, silent);
@@ -210,8 +210,8 @@
   expect(reporting.starts).toEqual([]);
 });
 
-// A start that the life before left unanswered may bring the next one a longer lease.
-test("a longer word of a silent host takes the place of a shorter one", async () => {
+// A start that the previous incarnation left unanswered may bring the next one a longer lease.
+test("a later lease expiry of a silent host replaces an earlier one", async () => {
   const { next, reporting, host } = await takeOverWithOneSilentHost();
   next.engine.handleWorkerSilent(host.host, SOON_MS);
   next.engine.handleWorkerSilent(host.host, EXPIRES_IN_MS);
@@ -221,8 +221,8 @@
   expect(reporting.starts.length).toEqual(1);
 });
 
-// Its lease takes most of the time within which a lasting task is to have a run again.
-test("a lasting task of a silent host starts as its lease ends, not with a later tick", async () => {
+// The lease takes most of the time within which a lasting task must have a run again.
+test("a lasting task of a silent host starts when its lease expires, not at a later tick", async () => {
   for (const phaseMs of TICK_PHASES_MS) {
     const { harness, silent, reporting } = await createLeaderWithSilentHost();
     await harness.clock.advance(phaseMs);
@@ -234,7 +234,7 @@
   }
 });
 
-test("a take-over starts tasks as the last lease of its silent hosts ends", async () => {
+test("a takeover starts tasks when the last lease of its silent hosts expires", async () => {
   for (const phaseMs of TICK_PHASES_MS) {
     const { next, reporting, host } = await takeOverWithOneSilentHost();
     await next.clock.advance(phaseMs);
@@ -246,7 +246,7 @@
   }
 });
 
-test("a bound that is over as it is told is not waited for until the next tick", async () => {
+test("a lease expiry that has passed when it is reported takes effect before the next tick", async () => {
   for (const phaseMs of TICK_PHASES_MS) {
     const { harness, silent, reporting } = await createLeaderWithSilentHost();
     await harness.clock.advance(phaseMs);
@@ -256,7 +256,7 @@
   }
 });
 
-/** The connection of the task's host is lost, where a former life may have left a start. */
+/** Detaches the task's host while a start for a previous incarnation may still arrive. */
 const detachWithPreviousStarts = async (formerStartsForMs: number) => {
   const { harness, silent, reporting } = await createLeaderWithSilentHost();
   silent.formerStartsForMs = formerStartsForMs;
@@ -266,8 +266,9 @@
   return { harness, silent, reporting };
 };
 
-// Its lease is by the clock of the former life, and lasts as long as any from there.
-test("a host that cannot be reached is waited for while a start of a former life may come", async () => {
+// The lease of such a start counts by the clock of the previous incarnation and lasts as long
+// as any other from then on.
+test("an unreachable host is waited for while a start for a previous incarnation may arrive", async () => {
   const without = await detachWithPreviousStarts(0);
   expect(without.reporting.starts.length).toEqual(1);
   const { harness, reporting } = await detachWithPreviousStarts(EXPIRES_IN_MS);
@@ -278,7 +279,7 @@
   expect(reporting.starts.length).toEqual(1);
 });
 
-test("a silent host whose side is attached is waited for by its word beside starts of a former life", async () => {
+test("the lease expiry reported by an attached side holds despite starts for a previous incarnation", async () => {
   const { harness, silent, reporting } = await createLeaderWithSilentHost();
   silent.formerStartsForMs = 2 * EXPIRES_IN_MS;
   harness.reportOf(silent);
@@ -287,8 +288,8 @@
   expect(reporting.starts.length).toEqual(1);
 });
 
-// It has been without a run for a whole lease, and room may be kept for plain tasks.
-test("a lasting task of a silent host does not wait again for room that is kept for others", async () => {
+// The task has been without a run for a whole lease, and capacity may be reserved for plain tasks.
+test("a lasting task of a silent host does not wait again for capacity reserved for others", async () => {
   const harness = new EngineHarness();
   const silent = await harness.addHost("silent");
   const demand = { memoryMiB: 100, accelerators: 0, milliCores: 8_000 };
--- a/packages/scheduling/tests/simulateOverload.ts
+++ b/packages/scheduling/tests/simulateOverload.ts
@@ -1,4 +1,4 @@
-/** Plays more bulk work on the engine than a site can do, and adds up what its callers get. */
+/** Simulates more bulk work than a site can complete and measures the utility for its callers. */
 
 import {
   SeededRandom,
@@ -20,38 +20,38 @@
   hosts: 24,
   /** Cores of a host. */
   cores: 64,
-  /** For which jobs come, milliseconds. */
+  /** Time during which jobs arrive, milliseconds. */
   arrivalMs: 34_000,
-  /** After that, until the account is made. */
+  /** Time after that until the results are evaluated, milliseconds. */
   settleMs: 30_000,
   stepMs: 100,
-  /** Means of what is drawn, and the spread of its logarithm. */
+  /** Means of the drawn values, standard deviations of their logarithms, and maximums. */
   tasks: { mean: 20, spread: 0.6, max: 80 },
   taskCores: { mean: 7, spread: 0.3, max: 14 },
   taskMs: { mean: 2_400, spread: 0.5, max: 6_000 },
   estimateSpread: 0.5,
   steps: 2,
-  /** Of a job's objective; see JobTerms. */
+  /** Terms of a job's objective; see JobTerms. */
   stretch: 2,
   targetLatencyMs: 1_000,
 } as const;
 
-/** What an end is worth that is late, to one that is in time. */
+/** Utility of a job that ends late, relative to one that ends in time. */
 const LATE_UTILITY = 0.15;
-/** A job that ends later than this many times its objective is of no use. */
+/** A job that ends later than this multiple of its objective has no utility. */
 const MAX_USEFUL_LATENESS = 3;
 
 export interface OverloadResult {
-  /** Worth of what was done in time or late, of the worth of all jobs. */
+  /** Utility of the jobs that ended in time or late, as a share of the utility of all jobs. */
   readonly utilityShare: number;
   readonly inTime: number;
   readonly late: number;
   readonly unfinished: number;
-  /** Share in time, or late, of the largest tenth of the jobs. */
+  /** Share of the largest tenth of the jobs that ended in time or late. */
   readonly largestServedShare: number;
-  /** The same of all jobs. */
+  /** The same share of all jobs. */
   readonly servedShare: number;
-  /** Milliseconds from a job's first start to its last, the median of those that ended. */
+  /** Median time from a job's first start to its last, milliseconds, over the jobs that ended. */
   readonly medianSpanMs: number;
 }
 
@@ -96,7 +96,7 @@
   return { id, at, steps, taskMs, work };
 };
 
-/** @param load work that comes, as a share of what the hosts can do */
+/** @param load arriving work as a share of the capacity of the hosts */
 const sampleJobs = (random: Random, load: number): SampledJob[] => {
   const jobs: SampledJob[] = [];
   const perMs = LOAD.hosts * LOAD.cores * load;
@@ -108,7 +108,7 @@
   return jobs;
 };
 
-/** When each run began on the site, so that it can end after its time. */
+/** Tracks when each run started, so that it ends after its duration. */
 class TaskTimes {
   readonly firstAt = new Map<string, number>();
   readonly lastAt = new Map<string, number>();
@@ -144,10 +144,10 @@
 }
 
 export interface OverloadOptions {
-  /** Name of the order of work. */
+  /** Name of the step order. */
   readonly order: string;
   readonly seed: number;
-  /** Work that comes, as a share of what the hosts can do. */
+  /** Arriving work as a share of the capacity of the hosts. */
   readonly load: number;
 }
 
--- a/packages/scheduling/tests/singleJobSite.ts
+++ b/packages/scheduling/tests/singleJobSite.ts
@@ -1,4 +1,4 @@
-/** A site of which tests look at one job: its progress as kept, and where its task runs. */
+/** A test site for a single job, with accessors for its persisted progress and its task's host. */
 
 import type { Logger } from "@rackspan/common";
 import {
@@ -23,7 +23,7 @@
   return site;
 };
 
-/** As the store keeps it. */
+/** The newest progress record of the job in the store. */
 export const progressOf = (
   site: EngineHarness,
   id = JOB,
@@ -37,7 +37,7 @@
 export const stateOf = (site: EngineHarness, id = JOB): string | undefined =>
   progressOf(site, id)?.state;
 
-/** Of the lost runs of all tasks of the job, in order. */
+/** Persisted crash evidence of all tasks of the job, in order. */
 export const evidenceOf = (
   site: EngineHarness,
   id = JOB,
@@ -46,7 +46,7 @@
     runs.map(([, evidence]) => evidence),
   );
 
-/** Lets time pass until the task runs. */
+/** Advances the clock until the task runs and returns its host. */
 export const hostOfTask = async (site: EngineHarness): Promise<FakeHost> => {
   for (let tries = 0; tries < 200; tries += 1) {
     const host = site.hosts.find((one) => one.isRunning(TASK));
--- a/packages/scheduling/tests/truncatedEndLists.test.ts
+++ b/packages/scheduling/tests/truncatedEndLists.test.ts
@@ -1,11 +1,11 @@
-/** A run whose end does not fit into the list of its worker does not count as vanished. */
+/** A run whose end does not fit into its worker's truncated list of ends does not count as vanished. */
 
 import { test } from "node:test";
 import { expect } from "earl";
 import { EngineHarness, taskId, type FakeHost } from "./engineHarness.js";
 
 const JOB = "5c0e7a21d94b36f8";
-/** More than a worker lists at once. */
+/** More ends than a worker lists in one report. */
 const TASK_COUNT = 510;
 const SMALL = { milliCores: 10, memoryMiB: 1, accelerators: 0 };
 
@@ -22,7 +22,7 @@
   for (const task of host.runningTasks) host.end(task, "done");
 };
 
-test("runs whose ends did not fit into the worker's list are not started again", async () => {
+test("tasks whose ends did not fit into the worker's list are not started again", async () => {
   const { site, host } = await startAll();
   expect(host.starts.length).toEqual(TASK_COUNT);
   site.store.fault = "refuses";
@@ -54,7 +54,7 @@
   expect(host.acknowledged).toEqual(TASK_COUNT);
 });
 
-test("a run that is in neither list is still found once all ends were listed", async () => {
+test("a run that is in neither list is detected once all ends were listed", async () => {
   const { site, host } = await startAll();
   const lost = taskId(`${JOB}.0.0.7`);
   host.vanish(lost);
--- a/packages/scheduling/tests/waitReasons.test.ts
+++ b/packages/scheduling/tests/waitReasons.test.ts
@@ -1,4 +1,4 @@
-/** Which rule the log names for a host that does not take a waiting task. */
+/** The reasons that the log gives for hosts on which a waiting task is not placed. */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -6,7 +6,7 @@
 import { taskId } from "./engineHarness.js";
 import { harnessWithLog } from "./harnessWithLog.js";
 
-/** A wait is logged by then, and a lasting task tries ejected hosts. */
+/** By then a wait is logged, and a lasting task tries ejected hosts. */
 const LOGGED_MS = 4_500;
 
 const tooLarge = {
@@ -20,7 +20,7 @@
       line.includes(`task=${taskId(task)} `),
   ) ?? "";
 
-test("a host that is ejected beside another is named as ejected", async () => {
+test("an ejected host is logged as ejected if its service has another host", async () => {
   const { harness, lines } = harnessWithLog();
   await ejectHost(harness, await harness.addHost("h1"));
   await harness.addHost("h2");
@@ -30,7 +30,7 @@
   expect(waitOf(lines, "j.0.0.0")).toInclude("room=1");
 });
 
-test("the only host of a service, which takes tasks although it is ejected, is not named as ejected", async () => {
+test("the only host of a service takes tasks although it is ejected and is not logged as ejected", async () => {
   const { harness, lines } = harnessWithLog();
   await ejectHost(harness, await harness.addHost("h1"));
   harness.submit("j", [tooLarge]);
@@ -39,7 +39,7 @@
   expect(waitOf(lines, "j.0.0.0")).not.toInclude("ejected");
 });
 
-test("an ejected host that a lasting task tries as its last resort is not named as ejected", async () => {
+test("an ejected host that a lasting task tries as its last resort is not logged as ejected", async () => {
   const { harness, lines } = harnessWithLog();
   await ejectHost(harness, await harness.addHost("h1"));
   await harness.addHost("h2");
