--- a/packages/jobs/src/ClaimReconciler.ts
+++ b/packages/jobs/src/ClaimReconciler.ts
@@ -134,7 +134,10 @@
     }
   }
 
-  /** Whether the unit's turn has come: a changed declaration is rolled out replica by replica. */
+  /**
+   * Whether the unit's task has an outdated specification and may be replaced now. A
+   * changed declaration is rolled out one replica at a time.
+   */
   private mayReplace(unit: Unit): boolean {
     if (!unit.claim || unit.claim.specVersion >= unit.specVersion) return false;
     return allReplicasClaimed(this.options.fold, unit);
--- a/packages/jobs/src/HostState.ts
+++ b/packages/jobs/src/HostState.ts
@@ -287,7 +287,7 @@
    * The side renews no lease before it receives the next grant. Start orders that are in
    * flight to it keep their own expiry.
    *
-   * @returns by how many milliseconds the expiry moved forward; negative if it is later
+   * @returns by how many milliseconds the leases expire sooner than recorded; negative if later
    */
   recordSilence(expiresBy: Monotonic): number {
     const before = this.leasesExpireBy;
@@ -300,6 +300,7 @@
     this.sentLeasesExpireBy = Infinity;
   }
 
+  /** Number of runs of the step on the host. */
   countOfStep(step: object): number {
     return this.runsPerStep.get(step) ?? 0;
   }
--- a/packages/jobs/src/JobRun.ts
+++ b/packages/jobs/src/JobRun.ts
@@ -96,8 +96,8 @@
     if (!repeat) return undefined;
     if (repeat.firstAt > now) return repeat.firstAt;
     if (repeat.intervalMs <= 0) return undefined;
-    const begun = Math.floor((now - repeat.firstAt) / repeat.intervalMs) + 1;
-    return begun < repeat.count ? this.dueAt(begun) : undefined;
+    const dueCount = Math.floor((now - repeat.firstAt) / repeat.intervalMs) + 1;
+    return dueCount < repeat.count ? this.dueAt(dueCount) : undefined;
   }
 
   /** The steps of all occurrences that were accessed so far. */
--- a/packages/jobs/src/ProgressJournal.ts
+++ b/packages/jobs/src/ProgressJournal.ts
@@ -13,7 +13,7 @@
 
 interface Batch {
   readonly jobs: Set<JobRun>;
-  readonly kept: Promise<void>;
+  readonly persisted: Promise<void>;
 }
 
 export class ProgressJournal {
@@ -30,8 +30,8 @@
   persist(job: JobRun): Promise<void> {
     this.next ??= this.openBatch();
     this.next.jobs.add(job);
-    this.trackWrite(job, this.next.kept);
-    return this.next.kept;
+    this.trackWrite(job, this.next.persisted);
+    return this.next.persisted;
   }
 
   /**
@@ -42,26 +42,26 @@
     return this.unpersisted.get(job) ?? Promise.resolve();
   }
 
-  private trackWrite(job: JobRun, kept: Promise<void>): void {
-    if (this.unpersisted.get(job) === kept) return;
-    this.unpersisted.set(job, kept);
+  private trackWrite(job: JobRun, persisted: Promise<void>): void {
+    if (this.unpersisted.get(job) === persisted) return;
+    this.unpersisted.set(job, persisted);
     const untrack = (): void => {
-      if (this.unpersisted.get(job) === kept) this.unpersisted.delete(job);
+      if (this.unpersisted.get(job) === persisted) this.unpersisted.delete(job);
     };
     // A refused write stays in the map, as it will never be persisted.
-    kept.then(untrack, () => undefined);
+    persisted.then(untrack, () => undefined);
   }
 
   private openBatch(): Batch {
     const jobs = new Set<JobRun>();
-    const { clock, batchWindowMs: gatherMs } = this.options;
-    const kept = new Promise<void>((resolve, reject) => {
-      clock.after(gatherMs, () => {
+    const { clock, batchWindowMs } = this.options;
+    const persisted = new Promise<void>((resolve, reject) => {
+      clock.after(batchWindowMs, () => {
         this.next = undefined;
         this.write(jobs).then(resolve, reject);
       });
     });
-    return { jobs, kept };
+    return { jobs, persisted };
   }
 
   private async write(jobs: ReadonlySet<JobRun>): Promise<void> {
--- a/packages/jobs/src/TakeoverGate.ts
+++ b/packages/jobs/src/TakeoverGate.ts
@@ -47,7 +47,7 @@
   /**
    * Records when the leases of an unreported host expire, as reported by its side. The
    * latest report replaces earlier ones, because a late start may bring a longer lease.
-   * @returns by how many milliseconds the expiry moved forward; negative if it is later
+   * @returns by how many milliseconds the leases expire sooner than recorded; negative if later
    */
   recordSilence(host: HostId, expiresBy: Monotonic): number {
     const known = this.expiryByHost.get(host);
--- a/packages/jobs/src/attributeCrash.ts
+++ b/packages/jobs/src/attributeCrash.ts
@@ -131,7 +131,7 @@
   firstSeenAt !== undefined;
 
 /**
- * Evidence against the task of a run that was not isolated.
+ * Evidence against the task of a run if the crash cannot be attributed to one run alone.
  *
  * @param ms for how long the worker had reported the run when it crashed; undefined
  *   if it never had
--- a/packages/scheduling/tests/engineHarness.ts
+++ b/packages/scheduling/tests/engineHarness.ts
@@ -334,7 +334,7 @@
   isStoreAvailable = true;
   private readonly hosts: Map<HostId, WorkerInstance>;
 
-  /** @param former hosts to whose first incarnation a previous leader may have granted leases */
+  /** @param previousHosts hosts to whose first incarnation a previous leader may have granted leases */
   constructor(previousHosts: readonly HostId[]) {
     this.hosts = new Map(
       previousHosts.map((host) => [host, firstIncarnationOf(host)]),
--- a/packages/scheduling/tests/oneRunProperty.test.ts
+++ b/packages/scheduling/tests/oneRunProperty.test.ts
@@ -38,7 +38,7 @@
   outcome: HostCallResult | undefined;
 }
 
-/** A host whose orders arrive and are answered when the simulation says so. */
+/** A host for which the simulation determines when orders arrive and when they are answered. */
 class DelayedHost extends FakeHost {
   /** Highest epoch that the worker has received; it refuses orders with a lower one. */
   private epoch = 0;
@@ -72,7 +72,7 @@
     return { ...polled, ended };
   }
 
-  /** A side reports no poll from before it attached, or of a previous incarnation. */
+  /** Drops the last poll: a side reports none from before it attached or of a previous incarnation. */
   dropPolled(): void {
     this.polled = undefined;
   }
@@ -84,9 +84,9 @@
     this.epoch = 0;
   }
 
-  /** @param isGivenUp whether the answer to the order has timed out at the side */
-  arrive(pick: number, isGivenUp: boolean): void {
-    const orders = isGivenUp ? this.timedOut : this.orders;
+  /** @param isTimedOut whether the answer to the order has timed out at the side */
+  arrive(pick: number, isTimedOut: boolean): void {
+    const orders = isTimedOut ? this.timedOut : this.orders;
     const open = orders.filter(({ outcome }) => outcome === undefined);
     const order = pickFrom(open, pick);
     if (order) order.outcome = this.execute(order.call);
@@ -354,13 +354,13 @@
     found?.at.end(found.run.task, outcome, found.run.run);
   }
 
-  private replaceWorker(at: DelayedHost, isToldFirst: boolean): void {
+  private replaceWorker(at: DelayedHost, isReportedFirst: boolean): void {
     const { instance } = at;
     this.gone.push([at, instance]);
     at.draining = false;
     at.replaceWorker();
     at.lostRuns = [];
-    if (isToldFirst) this.reportGone(at, instance);
+    if (isReportedFirst) this.reportGone(at, instance);
   }
 
   private reportGone(at: DelayedHost, instance: WorkerInstance): void {
--- a/packages/scheduling/tests/overload.test.ts
+++ b/packages/scheduling/tests/overload.test.ts
@@ -27,7 +27,7 @@
   const meanUtility = (results: readonly OverloadResult[]): number =>
     mean(results.map((one) => one.utilityShare));
   expect(meanUtility(byUtility)).toBeGreaterThanOrEqual(meanUtility(bySlack));
-  // Requirement of the users: of the largest tenth at least half the share of all jobs is served.
+  // Users require that the largest tenth of the jobs is served at least half as often as all jobs.
   for (const {
     largestServedShare: largestServed,
     servedShare: served,
--- a/packages/scheduling/tests/simulateOverload.ts
+++ b/packages/scheduling/tests/simulateOverload.ts
@@ -25,7 +25,7 @@
   /** Time after that until the results are evaluated, milliseconds. */
   settleMs: 30_000,
   stepMs: 100,
-  /** Means of the drawn values, standard deviations of their logarithms, and maximums. */
+  /** Means of the random values, standard deviations of their logarithms, and maximums. */
   tasks: { mean: 20, spread: 0.6, max: 80 },
   taskCores: { mean: 7, spread: 0.3, max: 14 },
   taskMs: { mean: 2_400, spread: 0.5, max: 6_000 },
