--- a/packages/jobs/src/ClaimReconciler.ts
+++ b/packages/jobs/src/ClaimReconciler.ts
@@ -1,6 +1,7 @@
 /**
- * Holds what sides report against what the log says of the claims on them:
- * records ends, stops what must not run, and frees claims that never started.
+ * Reconciles the tasks that sides report with the claims on the log: records the ends
+ * of tasks, stops tasks without a current claim, and frees claims whose tasks never
+ * started.
  */
 
 import {
@@ -36,96 +37,107 @@
   readonly metrics: Metrics;
   readonly logger: Logger;
   readonly takeoverMs: number;
-  /** A claim whose task is not seen at its side for this long never started. */
+  /** A claim is freed when its side has not listed the task for this long, milliseconds. */
   readonly notStartedMs: number;
   readonly appendTimeoutMs: number;
 }
 
 export class ClaimReconciler {
-  /** How long each report has waited for somebody to act on it. */
-  private readonly pendingFor: PresenceTracker<string>;
-  private readonly busy = new Set<string>();
+  /** For how long each action has been pending. */
+  private readonly presence: PresenceTracker<string>;
+  private readonly inProgress = new Set<string>();
 
   constructor(private readonly options: ClaimReconcilerOptions) {
-    this.pendingFor = new PresenceTracker(options.clock);
+    this.presence = new PresenceTracker(options.clock);
   }
 
-  /** Looks at every host once; called whenever something changed. */
+  /** Reconciles every host once; called after each change. */
   sweep(): void {
-    const seen = new Set<string>();
+    const pending = new Set<string>();
     for (const view of this.options.hosts.views()) {
-      if (view.ready) this.sweepHost(view, seen);
+      if (view.ready) this.reconcileHost(view, pending);
     }
-    this.pendingFor.retainOnly(seen);
+    this.presence.retainOnly(pending);
   }
 
-  private sweepHost(view: HostView, seen: Set<string>): void {
+  private reconcileHost(view: HostView, pending: Set<string>): void {
     const control = this.options.hosts.control(view.host);
     if (!control) return;
     const reported = new Map(view.tasks.map((status) => [status.task, status]));
     for (const status of view.tasks)
-      this.checkTask(status, view, control, seen);
+      this.checkTask(status, view, control, pending);
     for (const unit of this.options.fold.units.claimedBy(view.host)) {
-      this.checkClaim(unit, view, control, reported, seen);
+      this.checkClaim(unit, view, control, reported, pending);
     }
   }
 
-  /** A task that the side reports: is it the one that the log says should run there? */
+  /**
+   * Checks a reported task against the log: records or acknowledges its end, and stops
+   * the task if the log holds no current claim for it on this host.
+   */
   private checkTask(
     status: TaskStatus,
     view: HostView,
     control: HostControl,
-    seen: Set<string>,
+    pending: Set<string>,
   ): void {
     const { fold } = this.options;
-    // A fold that has not seen the claim yet knows nothing about the task.
+    // The fold has not applied the entry of the task's claim yet.
     if (fold.sequence < status.fencingToken) return;
     const unit = fold.units.get(status.unit);
-    const current =
+    const isCurrent =
       unit?.phase === "claimed" &&
       unit.attempt === status.attempt &&
       unit.claim?.host === view.host;
     if (status.state === "ended") {
-      if (current)
-        this.act(`end ${status.task}`, seen, () =>
+      if (isCurrent)
+        this.runAction(`end ${status.task}`, pending, () =>
           this.recordEnd(status, view.host),
         );
       else
-        this.act(`ack ${status.task}`, seen, () =>
+        this.runAction(`ack ${status.task}`, pending, () =>
           control.acknowledge([status.task]),
         );
       return;
     }
-    if (!current && status.state !== "stopping") {
-      this.act(`stop ${status.task}`, seen, () =>
+    if (!isCurrent && status.state !== "stopping") {
+      this.runAction(`stop ${status.task}`, pending, () =>
         control.stop(status.task, false),
       );
     }
   }
 
-  /** A claim on the host: does its task exist, and should it go on? */
+  /**
+   * Checks a claim against the report: frees it if its task never started, and stops
+   * the task if its unit is not wanted any more or has a newer specification.
+   */
   private checkClaim(
     unit: Unit,
     view: HostView,
     control: HostControl,
     reported: ReadonlyMap<TaskId, TaskStatus>,
-    seen: Set<string>,
+    pending: Set<string>,
   ): void {
     const task = taskIdOf(unit.id, unit.attempt);
     const status = reported.get(task);
     if (!status) {
-      this.freeIfNeverStarted(unit, task, view, control, seen);
+      this.freeIfNeverStarted(unit, task, view, control, pending);
       return;
     }
     if (status.state !== "running") return;
     if (!unit.wanted)
-      this.act(`stop ${task}`, seen, () => control.stop(task, false));
+      this.runAction(`stop ${task}`, pending, () => control.stop(task, false));
     else if (this.mayReplace(unit)) {
-      this.act(`replace ${task}`, seen, () => control.stop(task, true));
+      this.runAction(`replace ${task}`, pending, () =>
+        control.stop(task, true),
+      );
     }
   }
 
-  /** A changed declaration is rolled out one replica at a time. */
+  /**
+   * Whether the unit's task has an outdated specification and may be replaced now. A
+   * changed declaration is rolled out one replica at a time.
+   */
   private mayReplace(unit: Unit): boolean {
     if (!unit.claim || unit.claim.specVersion >= unit.specVersion) return false;
     return allReplicasClaimed(this.options.fold, unit);
@@ -136,13 +148,13 @@
     task: TaskId,
     view: HostView,
     control: HostControl,
-    seen: Set<string>,
+    pending: Set<string>,
   ): void {
     if (unit.claim?.generation !== view.generation) return;
     const name = `never ${task}`;
-    seen.add(name);
-    if (this.pendingFor.observe(name) < this.options.notStartedMs) return;
-    this.act(name, seen, async () => {
+    pending.add(name);
+    if (this.presence.observe(name) < this.options.notStartedMs) return;
+    this.runAction(name, pending, async () => {
       if ((await control.fenceTask(task)) === "held") return;
       const { id, attempt } = unit;
       const end = {
@@ -171,18 +183,17 @@
     await this.options.appender.submit(record, this.options.appendTimeoutMs);
   }
 
-  /** Does it when it is this entry's turn, once at a time. */
-  private act(
+  /** Runs the action if it is this entry's turn and the same action is not in progress. */
+  private runAction(
     name: string,
-    seen: Set<string>,
+    pending: Set<string>,
     action: () => Promise<void>,
   ): void {
     const { ownership, takeoverMs, logger } = this.options;
-    seen.add(name);
-    if (this.busy.has(name)) return;
-    if (this.pendingFor.observe(name) < ownership.rank(name) * takeoverMs)
-      return;
-    this.busy.add(name);
+    pending.add(name);
+    if (this.inProgress.has(name)) return;
+    if (this.presence.observe(name) < ownership.rank(name) * takeoverMs) return;
+    this.inProgress.add(name);
     action()
       .catch((err: unknown) =>
         logger.warn("claim.action-failed", {
@@ -190,6 +201,6 @@
           error: describeError(err),
         }),
       )
-      .finally(() => this.busy.delete(name));
+      .finally(() => this.inProgress.delete(name));
   }
 }
--- a/packages/jobs/src/HostCertifier.ts
+++ b/packages/jobs/src/HostCertifier.ts
@@ -1,6 +1,7 @@
 /**
- * Certifies the end of hosts: only the host list and then the longest lease's
- * time count. Not hearing from a host is never enough.
+ * Certifies on the log that hosts have ended. A host is certified only after the host
+ * list has shown it as replaced or gone for the duration of the longest lease. A host
+ * that merely does not report is never certified.
  */
 
 import {
@@ -23,21 +24,21 @@
   readonly clock: Clock;
   readonly metrics: Metrics;
   readonly logger: Logger;
-  /** The longest lease that any worker grants, and some more for its clock's drift. */
+  /** The longest lease that any worker grants, plus a margin for the drift of its clock. */
   readonly longestLeaseMs: number;
   readonly takeoverMs: number;
   readonly appendTimeoutMs: number;
 }
 
 export class HostCertifier {
-  private readonly goneFor: PresenceTracker<string>;
-  private readonly busy = new Set<HostId>();
+  private readonly goneHosts: PresenceTracker<string>;
+  private readonly inProgress = new Set<HostId>();
 
   constructor(private readonly options: HostCertifierOptions) {
-    this.goneFor = new PresenceTracker(options.clock);
+    this.goneHosts = new PresenceTracker(options.clock);
   }
 
-  /** @param listed the host list as it was just read */
+  /** @param listed the host list as just read */
   sweep(listed: readonly HostRecord[]): void {
     const generations = new Map(
       listed.map(({ host, generation }) => [host, generation]),
@@ -48,10 +49,10 @@
       if (ended === undefined) continue;
       const name = `${host}@${ended}`;
       gone.add(name);
-      if (this.goneFor.observe(name) < this.waitMs(name)) continue;
+      if (this.goneHosts.observe(name) < this.waitMs(name)) continue;
       this.certify(host, ended);
     }
-    this.goneFor.retainOnly(gone);
+    this.goneHosts.retainOnly(gone);
   }
 
   private waitMs(name: string): number {
@@ -59,7 +60,7 @@
     return longestLeaseMs + ownership.rank(name) * takeoverMs;
   }
 
-  /** The highest claimed generation that the list shows as replaced or gone. */
+  /** The highest claimed generation that is replaced or gone according to the list. */
   private endedGeneration(
     host: HostId,
     listed: HostGeneration | undefined,
@@ -76,8 +77,8 @@
 
   private certify(host: HostId, generation: HostGeneration): void {
     const { appender, logger, metrics, appendTimeoutMs } = this.options;
-    if (this.busy.has(host)) return;
-    this.busy.add(host);
+    if (this.inProgress.has(host)) return;
+    this.inProgress.add(host);
     const record = {
       type: "hostEnded",
       host,
@@ -91,6 +92,6 @@
       .catch((err: unknown) =>
         logger.warn("host.certify-failed", { host, error: describeError(err) }),
       )
-      .finally(() => this.busy.delete(host));
+      .finally(() => this.inProgress.delete(host));
   }
 }
--- a/packages/jobs/src/HostDrainer.ts
+++ b/packages/jobs/src/HostDrainer.ts
@@ -1,6 +1,7 @@
 /**
- * Tells sides to leave whenever the log or the host list says so and they do not
- * know it: a side process that was started again has forgotten it.
+ * Orders sides to drain their hosts. An order is sent whenever the log or the host list
+ * marks a host as leaving and its side does not report that: a side process loses the
+ * order when it restarts.
  */
 
 import {
@@ -21,17 +22,17 @@
 }
 
 export class HostDrainer {
-  private readonly busy = new Set<HostId>();
+  private readonly inProgress = new Set<HostId>();
 
   constructor(private readonly options: HostDrainerOptions) {}
 
-  /** @param listed the host list as it was last read */
+  /** @param listed the host list as last read */
   sweep(listed: readonly HostRecord[]): void {
     const leaving = new Set(
       listed.filter(({ state }) => state === "leaving").map(({ host }) => host),
     );
     for (const view of this.options.hosts.views()) {
-      if (view.leaving || this.busy.has(view.host)) continue;
+      if (view.leaving || this.inProgress.has(view.host)) continue;
       if (leaving.has(view.host) || this.isDraining(view))
         this.drain(view.host);
     }
@@ -43,7 +44,7 @@
 
   private drain(host: HostId): void {
     const { hosts, metrics, logger } = this.options;
-    this.busy.add(host);
+    this.inProgress.add(host);
     metrics.count("hosts_drained");
     hosts
       .control(host)
@@ -51,6 +52,6 @@
       .catch((err: unknown) =>
         logger.warn("host.drain-failed", { host, error: describeError(err) }),
       )
-      .finally(() => this.busy.delete(host));
+      .finally(() => this.inProgress.delete(host));
   }
 }
--- a/packages/jobs/src/JobRun.ts
+++ b/packages/jobs/src/JobRun.ts
@@ -1,6 +1,6 @@
 /**
- * One accepted job as the leader works on it: its steps and tasks, which of
- * them run, and how those that ended did. Knows nothing of hosts but their ids.
+ * The leader's state of one accepted job: its steps and tasks, which of them run,
+ * and how ended runs ended. It refers to hosts by their ids only.
  */
 
 import type { Instant, RunNumber } from "@rackspan/common";
@@ -23,23 +23,27 @@
   task.step.newestCheckpoint = checkpoint;
 };
 
-/** A gang is given up as one, so what speaks against its members speaks against it. */
-export const crashLogOf = ({ step, crashLog: crashes }: JobTask): CrashLog =>
-  step.spec.gang ? step.crashLog : crashes;
+/**
+ * Crash log that decides whether a task fails permanently. The members of a gang
+ * fail together, so it is the merged log of all members.
+ */
+export const crashLogOf = ({ step, crashLog }: JobTask): CrashLog =>
+  step.spec.gang ? step.crashLog : crashLog;
 
-const keyOf = (step: StepRun): string => `${step.occurrence}.${step.number}`;
+const stepKeyOf = (step: StepRun): string =>
+  `${step.occurrence}.${step.number}`;
 
 export class JobRun {
   readonly terms: JobTerms;
   state: JobStateName = "queued";
   begun = false;
   endedAt: Instant = 0;
-  /** Whether a task has a checkpoint, or a crash log that was cleared, that no record holds yet. */
+  /** Whether a new checkpoint or the clearing of a crash log is not in the last record yet. */
   hasUnpersistedProgress = false;
   private readonly occurrences = new Map<number, readonly StepRun[]>();
   private doneOccurrences = 0;
-  /** Number of the first occurrence that is not done. */
-  private firstOpen = 0;
+  /** Number of the first occurrence that is not complete. */
+  private firstIncomplete = 0;
 
   constructor(
     readonly accepted: AcceptedJob,
@@ -58,7 +62,7 @@
     return this.accepted.spec.repeat?.count ?? 1;
   }
 
-  /** When an occurrence may begin; jobs without repeats may at once. */
+  /** When an occurrence may start; a job without `repeat` may start when it is accepted. */
   dueAt(occurrence: number): Instant {
     const { repeat } = this.accepted.spec;
     if (!repeat) return this.accepted.acceptedAt;
@@ -70,11 +74,11 @@
     return this.occurrence(occurrence)[step]?.tasks[index];
   }
 
-  /** Steps with tasks to start now. */
+  /** Steps that have tasks to start now. */
   runnableSteps(now: Instant): StepRun[] {
     const runnable: StepRun[] = [];
     const count = this.occurrenceCount;
-    for (let number = this.firstOpen; number < count; number += 1) {
+    for (let number = this.firstIncomplete; number < count; number += 1) {
       const isDue = !this.accepted.spec.repeat || this.dueAt(number) <= now;
       if (!isDue) break;
       const steps = this.occurrence(number);
@@ -86,17 +90,17 @@
     return runnable;
   }
 
-  /** When the next occurrence falls due; undefined when none is to come. */
+  /** When the next occurrence is due; undefined if there is none. */
   nextDueAt(now: Instant): Instant | undefined {
     const { repeat } = this.accepted.spec;
     if (!repeat) return undefined;
     if (repeat.firstAt > now) return repeat.firstAt;
     if (repeat.intervalMs <= 0) return undefined;
-    const begun = Math.floor((now - repeat.firstAt) / repeat.intervalMs) + 1;
-    return begun < repeat.count ? this.dueAt(begun) : undefined;
+    const dueCount = Math.floor((now - repeat.firstAt) / repeat.intervalMs) + 1;
+    return dueCount < repeat.count ? this.dueAt(dueCount) : undefined;
   }
 
-  /** All steps that were looked at so far. */
+  /** The steps of all occurrences that were accessed so far. */
   get steps(): StepRun[] {
     return [...this.occurrences.values()].flat();
   }
@@ -115,8 +119,8 @@
   }
 
   /**
-   * Takes note of how a run of the task ended.
-   * @returns whether what must be kept has changed
+   * Records how a run of the task ended.
+   * @returns whether the job's progress must be persisted
    */
   recordEnd(
     task: JobTask,
@@ -128,7 +132,7 @@
     if (task.writeAheadRun === run) task.writeAheadRun = undefined;
     const isNewCheckpoint = this.recordCheckpoint(task, checkpoint);
     if (outcome === "done" && !task.step.spec.lasting) {
-      this.noteDone(task);
+      this.markDone(task);
       return true;
     }
     const isNewFailure = outcome === "failed" && !task.failedRuns.has(run);
@@ -140,8 +144,8 @@
   }
 
   /**
-   * Takes the newest checkpoint of a task; an empty one says nothing.
-   * @returns whether it is another than before
+   * Records the newest checkpoint of a task; an empty one is ignored.
+   * @returns whether it differs from the previous one
    */
   recordCheckpoint(task: JobTask, checkpoint: string): boolean {
     if (checkpoint === "" || checkpoint === task.checkpoint) return false;
@@ -150,20 +154,20 @@
     return true;
   }
 
-  /** A gang goes on as one: its members bring the same checkpoint, that of any. */
+  /** Gives all members of a gang its newest checkpoint, as they resume together. */
   shareCheckpoint({ tasks, newestCheckpoint }: StepRun): void {
     if (newestCheckpoint === "") return;
     for (const task of tasks) this.recordCheckpoint(task, newestCheckpoint);
   }
 
-  /** A gang ends as one: one member's end stands for all. */
+  /** Marks all members of a gang as done, as the end of one member ends the gang. */
   markGangDone(step: StepRun): void {
     for (const task of step.tasks) {
-      if (task.phase !== "done") this.noteDone(task);
+      if (task.phase !== "done") this.markDone(task);
     }
   }
 
-  /** Whether a task, or the gang that it is of, has failed as often as its queue allows. */
+  /** Whether the task, or its gang, has failed as often as its queue allows. */
   hasReachedAttemptLimit({ step, failedRuns }: JobTask): boolean {
     const { gang, lasting } = step.spec;
     if (lasting) return false;
@@ -171,21 +175,22 @@
     return failed.size >= this.terms.maxAttempts;
   }
 
-  /** Whether too many workers crashed under the task, or under its gang. */
+  /** Whether the task, or its gang, has reached the limit of worker crashes. */
   hasReachedCrashLimit(task: JobTask): boolean {
     return crashLogOf(task).hasReachedLimit;
   }
 
   /**
-   * What was announced by a former leader and seen by none since may have crashed
-   * its worker; counted before the task is started again.
-   * @returns whether what must be kept has changed
+   * Counts the run of the task's write-ahead record as a possible crash. A previous
+   * leader recorded the run before ordering it, and no worker has listed it since, so
+   * it may have crashed its worker. Called before the task is started again.
+   * @returns whether the job's progress must be persisted
    */
   resolveWriteAheadRun(task: JobTask): boolean {
-    const { writeAheadRun: announced } = task;
-    if (announced === undefined) return false;
+    const { writeAheadRun } = task;
+    if (writeAheadRun === undefined) return false;
     task.writeAheadRun = undefined;
-    task.crashLog.record(announced, "unknown");
+    task.crashLog.record(writeAheadRun, "unknown");
     return true;
   }
 
@@ -202,7 +207,7 @@
     this.endedAt = now;
   }
 
-  /** What the store is to keep; asked for when it is about to be written. */
+  /** The job's progress for the store; called just before the record is written. */
   toRecord(): ProgressRecord {
     this.hasUnpersistedProgress = false;
     const done: Record<string, string> = {};
@@ -213,10 +218,10 @@
     for (const step of this.steps) {
       const isDone = (task: JobTask): boolean => task.phase === "done";
       const indices = step.tasks.filter(isDone).map(({ index }) => index);
-      if (indices.length > 0) done[keyOf(step)] = encodeIndices(indices);
+      if (indices.length > 0) done[stepKeyOf(step)] = encodeIndices(indices);
       for (const task of step.tasks) {
         if (isDone(task)) continue;
-        const key = `${keyOf(step)}.${task.index}`;
+        const key = `${stepKeyOf(step)}.${task.index}`;
         if (task.failedRuns.size > 0)
           failures.push([key, [...task.failedRuns]]);
         if (task.checkpoint) checkpoints.push([key, task.checkpoint]);
@@ -246,7 +251,7 @@
     for (const [key, indices] of Object.entries(progress.done)) {
       for (const index of decodeIndices(indices)) {
         const task = this.taskAtKey(`${key}.${index}`);
-        if (task) this.noteDone(task);
+        if (task) this.markDone(task);
       }
     }
     for (const [key, runs] of progress.failures) {
@@ -288,7 +293,7 @@
     return step.spec.after.every((number) => steps[number]?.isDone ?? true);
   }
 
-  private noteDone(task: JobTask): void {
+  private markDone(task: JobTask): void {
     if (task.phase === "done") return;
     task.phase = "done";
     task.step.waiting.delete(task);
@@ -296,7 +301,8 @@
     if (!task.step.isDone) return;
     if (!this.isOccurrenceDone(task.step.occurrence)) return;
     this.doneOccurrences += 1;
-    while (this.isOccurrenceDone(this.firstOpen)) this.firstOpen += 1;
+    while (this.isOccurrenceDone(this.firstIncomplete))
+      this.firstIncomplete += 1;
   }
 
   private isOccurrenceDone(number: number): boolean {
--- a/packages/jobs/src/ProgressJournal.ts
+++ b/packages/jobs/src/ProgressJournal.ts
@@ -1,4 +1,4 @@
-/** Keeps the progress of jobs in the store; many changes of a job become one record. */
+/** Persists the progress of jobs in the store; several changes of a job become one record. */
 
 import type { Clock } from "@rackspan/common";
 import { encodeProgress, type TopicWriter } from "@rackspan/state";
@@ -7,61 +7,61 @@
 export interface ProgressJournalOptions {
   readonly writer: TopicWriter;
   readonly clock: Clock;
-  /** Time for which changes are gathered, milliseconds: each append has a price. */
+  /** Time for which changes are batched to save appends, milliseconds. */
   readonly batchWindowMs: number;
 }
 
-interface Flush {
+interface Batch {
   readonly jobs: Set<JobRun>;
-  readonly kept: Promise<void>;
+  readonly persisted: Promise<void>;
 }
 
 export class ProgressJournal {
-  private next: Flush | undefined;
-  /** The last record of each job that is not known to be kept. */
-  private readonly unkept = new Map<JobRun, Promise<void>>();
+  private next: Batch | undefined;
+  /** The last write of each job that is not confirmed yet. */
+  private readonly unpersisted = new Map<JobRun, Promise<void>>();
 
   constructor(private readonly options: ProgressJournalOptions) {}
 
   /**
-   * Resolves once the store keeps the job's progress, as it is now or newer.
+   * Resolves once the job's current progress, or newer progress, is persisted.
    * Rejects when another leader has taken over.
    */
   persist(job: JobRun): Promise<void> {
-    this.next ??= this.openFlush();
+    this.next ??= this.openBatch();
     this.next.jobs.add(job);
-    this.noteUnkept(job, this.next.kept);
-    return this.next.kept;
+    this.trackWrite(job, this.next.persisted);
+    return this.next.persisted;
   }
 
   /**
-   * Resolves once all that was recorded of the job so far is kept; writes nothing.
-   * Rejects when another leader has taken over before.
+   * Resolves once all earlier writes for the job are persisted; writes nothing itself.
+   * Rejects when another leader has taken over before that.
    */
   flushed(job: JobRun): Promise<void> {
-    return this.unkept.get(job) ?? Promise.resolve();
+    return this.unpersisted.get(job) ?? Promise.resolve();
   }
 
-  private noteUnkept(job: JobRun, kept: Promise<void>): void {
-    if (this.unkept.get(job) === kept) return;
-    this.unkept.set(job, kept);
-    const forget = (): void => {
-      if (this.unkept.get(job) === kept) this.unkept.delete(job);
+  private trackWrite(job: JobRun, persisted: Promise<void>): void {
+    if (this.unpersisted.get(job) === persisted) return;
+    this.unpersisted.set(job, persisted);
+    const untrack = (): void => {
+      if (this.unpersisted.get(job) === persisted) this.unpersisted.delete(job);
     };
-    // What was refused stays: it never will be kept.
-    kept.then(forget, () => undefined);
+    // A refused write stays in the map, as it will never be persisted.
+    persisted.then(untrack, () => undefined);
   }
 
-  private openFlush(): Flush {
+  private openBatch(): Batch {
     const jobs = new Set<JobRun>();
-    const { clock, batchWindowMs: gatherMs } = this.options;
-    const kept = new Promise<void>((resolve, reject) => {
-      clock.after(gatherMs, () => {
+    const { clock, batchWindowMs } = this.options;
+    const persisted = new Promise<void>((resolve, reject) => {
+      clock.after(batchWindowMs, () => {
         this.next = undefined;
         this.write(jobs).then(resolve, reject);
       });
     });
-    return { jobs, kept };
+    return { jobs, persisted };
   }
 
   private async write(jobs: ReadonlySet<JobRun>): Promise<void> {
--- a/packages/jobs/src/TailModel.ts
+++ b/packages/jobs/src/TailModel.ts
@@ -1,67 +1,67 @@
 /**
- * Learns what each image of filling tasks adds to the tails of one image of
- * serving tasks. The logarithm of a tail, as a share of its target, is modelled
- * as a base plus a weight for each core that each filling image uses beside it,
- * and followed by a Kalman filter: what stands beside the tail at one time is
- * told apart by what stood beside it, or did not, at others.
+ * Learns how much each image of filling tasks raises the tail latency of one image of
+ * serving tasks. The logarithm of a tail latency relative to its target is modelled as a
+ * base plus a weight per core that each colocated filling image uses. A Kalman filter
+ * estimates the base and the weights: readings with different combinations of images
+ * separate the effects of the images.
  *
- * Soft state: a new leader takes over what the last one kept, where there is any,
- * and learns the rest anew within some seconds.
+ * The model is soft state: a new leader restores what the previous one has persisted, if
+ * anything, and learns the rest again within seconds.
  */
 
 import { MS_PER_SECOND, type Monotonic } from "@rackspan/common";
 import type { ImageName } from "@rackspan/state";
 
-/** Where these come from: docs/CAPACITY.md, "How values were found". */
+/** The values are explained in docs/CAPACITY.md, "How values were found". */
 export const TAIL_MODEL = {
-  /** Logarithm of a tail's share of its target when nothing disturbs (0.42). */
+  /** Initial logarithm of the undisturbed tail latency relative to its target (0.42). */
   initialBase: -0.87,
-  /** How far off the first base may be, standard deviation: the load's swing and more. */
+  /** Standard deviation of the initial base; it covers more than the swing of the load. */
   baseDeviation: 0.4,
-  /** Weight of a pair that was never seen together, logarithm a core. */
+  /** Weight of a pair without readings, logarithm per core. */
   initialWeight: 0.03,
-  /** How far off that may be, standard deviation; pairs of 0.2 are common. */
+  /** Standard deviation of the initial weight; weights of 0.2 are common. */
   weightDeviation: 0.1,
-  /** Variance of one task's reading once the load of its image is known. */
+  /** Variance of one task's reading given the load of its image. */
   taskVariance: 0.06,
-  /** Part of it that the tasks of one host share. */
+  /** Part of `taskVariance` that the tasks of one host share. */
   hostVariance: 0.03,
-  /** Variance by which weights drift from one reading to the next. */
+  /** Variance that a weight gains from one reading to the next. */
   driftVariance: 3e-5,
   /**
-   * Variance a second by which the base moves. The users of an image come and go
-   * on all hosts together, so its tails rise and fall together. A base that stands
-   * still takes this for disturbance.
+   * Variance that the base gains per second. The load of an image changes on all hosts at
+   * once, so its tail latencies rise and fall together. With a fixed base such a change
+   * would be attributed to the filling tasks.
    */
   baseDriftVariance: 0.02,
-  /** Errors count as at most this many standard deviations: readings jump. */
+  /** Errors are limited to this many standard deviations because readings have outliers. */
   maxDeviations: 2,
-  /** Weights are kept within these two bounds; logarithm a core. */
+  /** Bounds of the weights, logarithm per core. */
   minWeight: -0.02,
   maxWeight: 0.8,
-  /** Fewer cores than this of an image teach nothing of it. */
+  /** Images that use fewer cores than this in a reading are ignored. */
   minCores: 0.05,
-  /** Images followed at once; the one not seen for longest is forgotten. */
+  /** Limit of filling images in a model; the least recently seen one is evicted. */
   maxImages: 48,
 } as const;
 
-/** Cores in use by the filling tasks of a host, by image. */
+/** Cores used by the filling tasks of a host, by image. */
 export type FillingCores = ReadonlyMap<ImageName, number>;
 
 export interface TailReading {
-  /** When it was taken, on the leader's clock. */
+  /** When the reading was taken, on the leader's clock. */
   readonly at: Monotonic;
-  /** Mean logarithm of the tails of the image's tasks on one host. */
+  /** Mean logarithm of the tail latencies of the image's tasks on one host. */
   readonly tail: number;
-  /** How many tasks that is the mean of. */
+  /** Number of tasks that the mean covers. */
   readonly taskCount: number;
-  /** What ran beside them in the half second of the reading. */
+  /** Cores used by colocated filling tasks during the half second of the reading. */
   readonly colocatedCores: FillingCores;
 }
 
-/** What a model knows, as it is kept for the next leader. */
+/** State of a model as persisted for the next leader. */
 export interface TailSnapshot {
-  /** In the order of their weights in `mean`. */
+  /** Filling images in the order of their weights in `mean`. */
   readonly filling: readonly ImageName[];
   /** The base, then the weights. */
   readonly mean: readonly number[];
@@ -69,224 +69,226 @@
   readonly covariance: readonly (readonly number[])[];
 }
 
-/** Place of the base in `mean`; weights stand behind it. */
-const BASE = 0;
+/** Index of the base in `mean`; the weights follow it. */
+const BASE_INDEX = 0;
 
 export class TailModel {
-  /** Place of each image's weight in `mean`; in the order last seen. */
-  private readonly places = new Map<ImageName, number>();
+  /** Index of each image's weight in `mean`, least recently seen image first. */
+  private readonly indexByImage = new Map<ImageName, number>();
   /** The base, then the weights. */
   private mean: number[] = [TAIL_MODEL.initialBase];
   private covariance: number[][] = [[TAIL_MODEL.baseDeviation ** 2]];
   /** When the last reading was taken; undefined before the first. */
-  private learntAt: Monotonic | undefined;
+  private lastReadingAt: Monotonic | undefined;
 
-  /** Expected logarithm of the tail when nothing disturbs it. */
+  /** Expected logarithm of the undisturbed tail latency. */
   get base(): number {
-    return this.mean[BASE] as number;
+    return this.mean[BASE_INDEX] as number;
   }
 
-  /** What one core of the filling image adds to the logarithm; never below 0. */
+  /** What one core of the filling image adds to the logarithm; at least 0. */
   weight(image: ImageName): number {
-    const place = this.places.get(image);
-    if (place === undefined) return TAIL_MODEL.initialWeight;
-    return Math.max(0, this.mean[place] as number);
+    const index = this.indexByImage.get(image);
+    if (index === undefined) return TAIL_MODEL.initialWeight;
+    return Math.max(0, this.mean[index] as number);
   }
 
-  /** What one core of the image may add, so many standard deviations above what is expected. */
+  /** Upper bound of a weight: the given number of standard deviations above its mean. */
   weightBound(image: ImageName, deviations: number): number {
     const { initialWeight, weightDeviation } = TAIL_MODEL;
-    const place = this.places.get(image);
-    if (place === undefined)
+    const index = this.indexByImage.get(image);
+    if (index === undefined)
       return initialWeight + deviations * weightDeviation;
-    const variance = Math.max(0, this.covariance[place]?.[place] ?? 0);
+    const variance = Math.max(0, this.covariance[index]?.[index] ?? 0);
     const bound =
-      (this.mean[place] as number) + deviations * Math.sqrt(variance);
+      (this.mean[index] as number) + deviations * Math.sqrt(variance);
     return Math.max(0, bound);
   }
 
-  /** Expected logarithm of the tail. */
-  predict(beside: FillingCores): number {
+  /** Expected logarithm of the tail latency. */
+  predict(colocatedCores: FillingCores): number {
     let tail = this.base;
-    for (const [image, cores] of beside) tail += this.weight(image) * cores;
+    for (const [image, cores] of colocatedCores)
+      tail += this.weight(image) * cores;
     return tail;
   }
 
-  learn({
-    at,
-    tail,
-    taskCount: tasks,
-    colocatedCores: beside,
-  }: TailReading): void {
-    const inputs = this.inputsOf(beside);
-    this.drift(inputs);
+  learn({ at, tail, taskCount, colocatedCores }: TailReading): void {
+    const inputs = this.inputsOf(colocatedCores);
+    this.driftWeights(inputs);
     this.driftBase(at);
-    const spread = this.mean.map((_, place) => this.spreadAt(place, inputs));
-    let variance = readingVariance(tasks);
+    const covariances = this.mean.map((_, index) =>
+      this.covarianceWith(index, inputs),
+    );
+    let variance = readingVariance(taskCount);
     let expected = 0;
-    for (const [place, input] of inputs) {
-      variance += input * (spread[place] as number);
-      expected += input * (this.mean[place] as number);
+    for (const [index, input] of inputs) {
+      variance += input * (covariances[index] as number);
+      expected += input * (this.mean[index] as number);
     }
-    this.correct(spread, variance, boundError(tail - expected, variance));
+    this.correct(covariances, variance, clampError(tail - expected, variance));
   }
 
-  /** What the reading's parts are multiplied with, by place; the base counts once. */
-  private inputsOf(beside: FillingCores): Map<number, number> {
-    const inputs = new Map([[BASE, 1]]);
-    for (const [image, cores] of beside) {
+  /** Input vector of the reading, by index in `mean`; the input of the base is 1. */
+  private inputsOf(colocatedCores: FillingCores): Map<number, number> {
+    const inputs = new Map([[BASE_INDEX, 1]]);
+    for (const [image, cores] of colocatedCores) {
       if (cores < TAIL_MODEL.minCores) continue;
-      inputs.set(this.placeOf(image), cores);
+      inputs.set(this.indexOf(image), cores);
     }
     return inputs;
   }
 
   private driftBase(at: Monotonic): void {
-    this.widenBase(Math.max(0, at - (this.learntAt ?? at)));
-    this.learntAt = at;
+    this.increaseBaseVariance(Math.max(0, at - (this.lastReadingAt ?? at)));
+    this.lastReadingAt = at;
   }
 
-  /** The base may have moved since it was last read, but not past all bounds. */
-  private widenBase(sinceMs: number): void {
+  /** Increases the variance of the base by its drift, up to the initial variance. */
+  private increaseBaseVariance(sinceMs: number): void {
     const { baseDriftVariance, baseDeviation } = TAIL_MODEL;
-    const row = this.covariance[BASE] as number[];
-    const known = row[BASE] as number;
+    const row = this.covariance[BASE_INDEX] as number[];
+    const known = row[BASE_INDEX] as number;
     const drifted = known + (sinceMs / MS_PER_SECOND) * baseDriftVariance;
-    row[BASE] = Math.max(known, Math.min(drifted, baseDeviation ** 2));
+    row[BASE_INDEX] = Math.max(known, Math.min(drifted, baseDeviation ** 2));
   }
 
-  private drift(inputs: ReadonlyMap<number, number>): void {
-    for (const place of inputs.keys()) {
-      if (place === BASE) continue;
-      const row = this.covariance[place] as number[];
-      row[place] = (row[place] as number) + TAIL_MODEL.driftVariance;
+  private driftWeights(inputs: ReadonlyMap<number, number>): void {
+    for (const index of inputs.keys()) {
+      if (index === BASE_INDEX) continue;
+      const row = this.covariance[index] as number[];
+      row[index] = (row[index] as number) + TAIL_MODEL.driftVariance;
     }
   }
 
-  /** Covariance of one part with the expected reading. */
-  private spreadAt(place: number, inputs: ReadonlyMap<number, number>): number {
-    const row = this.covariance[place] as number[];
-    let spread = 0;
+  /** Covariance of one component of `mean` with the expected reading. */
+  private covarianceWith(
+    index: number,
+    inputs: ReadonlyMap<number, number>,
+  ): number {
+    const row = this.covariance[index] as number[];
+    let covariance = 0;
     for (const [other, input] of inputs) {
-      spread += (row[other] as number) * input;
+      covariance += (row[other] as number) * input;
     }
-    return spread;
+    return covariance;
   }
 
   private correct(
-    spread: readonly number[],
+    covariances: readonly number[],
     variance: number,
     error: number,
   ): void {
     const { minWeight, maxWeight } = TAIL_MODEL;
-    spread.forEach((own, place) => {
+    covariances.forEach((own, index) => {
       const gain = own / variance;
-      const moved = (this.mean[place] as number) + gain * error;
-      this.mean[place] =
-        place === BASE
-          ? moved
-          : Math.min(maxWeight, Math.max(minWeight, moved));
-      const row = this.covariance[place] as number[];
-      spread.forEach((other, column) => {
+      const updated = (this.mean[index] as number) + gain * error;
+      this.mean[index] =
+        index === BASE_INDEX
+          ? updated
+          : Math.min(maxWeight, Math.max(minWeight, updated));
+      const row = this.covariance[index] as number[];
+      covariances.forEach((other, column) => {
         row[column] = (row[column] as number) - gain * other;
       });
     });
   }
 
-  /** What is known, with numbers rounded to what matters. */
+  /** State of the model with rounded numbers. */
   snapshot(): TailSnapshot {
-    const filling = [...this.places]
+    const filling = [...this.indexByImage]
       .sort(([, a], [, b]) => a - b)
       .map(([image]) => image);
     return {
       filling,
       mean: this.mean.map(rounded),
-      covariance: this.covariance.map((row, place) =>
-        row.slice(0, place + 1).map(rounded),
+      covariance: this.covariance.map((row, index) =>
+        row.slice(0, index + 1).map(rounded),
       ),
     };
   }
 
   /**
-   * @param ageMs how long ago the snapshot was taken; the base has moved since
-   * @returns undefined when its parts do not belong together
+   * @param ageMs how long ago the snapshot was taken; the base has drifted since
+   * @returns undefined when the sizes of its parts do not match
    */
   static restore(
     { filling, mean, covariance }: TailSnapshot,
     ageMs: number,
   ): TailModel | undefined {
     const size = filling.length + 1;
-    const fits =
+    const isConsistent =
       size <= TAIL_MODEL.maxImages + 1 &&
       mean.length === size &&
       covariance.length === size &&
-      covariance.every((row, place) => row.length === place + 1);
-    if (!fits) return undefined;
+      covariance.every((row, index) => row.length === index + 1);
+    if (!isConsistent) return undefined;
     const model = new TailModel();
-    filling.forEach((image, at) => model.places.set(image, at + 1));
+    filling.forEach((image, at) => model.indexByImage.set(image, at + 1));
     model.mean = [...mean];
-    model.covariance = covariance.map((row, place) =>
+    model.covariance = covariance.map((row, index) =>
       mean.map((_, column) =>
-        column <= place
+        column <= index
           ? (row[column] as number)
-          : (covariance[column]?.[place] as number),
+          : (covariance[column]?.[index] as number),
       ),
     );
-    model.widenBase(ageMs);
+    model.increaseBaseVariance(ageMs);
     return model;
   }
 
-  /** The place of the image's weight; an image that is not known gets one. */
-  private placeOf(image: ImageName): number {
-    const known = this.places.get(image);
+  /** Index of the image's weight; a new image gets one, if necessary an evicted image's. */
+  private indexOf(image: ImageName): number {
+    const known = this.indexByImage.get(image);
     if (known !== undefined) {
-      // Seen last: the first of the map is the one not seen for longest.
-      this.places.delete(image);
-      this.places.set(image, known);
+      // Moves the image to the end, so that the map starts with the least recently seen.
+      this.indexByImage.delete(image);
+      this.indexByImage.set(image, known);
       return known;
     }
-    if (this.places.size < TAIL_MODEL.maxImages) return this.addPlace(image);
-    const [[oldest, place] = [image, BASE]] = this.places;
-    this.places.delete(oldest);
-    this.places.set(image, place);
-    this.reset(place);
-    return place;
+    if (this.indexByImage.size < TAIL_MODEL.maxImages)
+      return this.addImage(image);
+    const [[oldest, index] = [image, BASE_INDEX]] = this.indexByImage;
+    this.indexByImage.delete(oldest);
+    this.indexByImage.set(image, index);
+    this.reset(index);
+    return index;
   }
 
-  private addPlace(image: ImageName): number {
-    const place = this.mean.length;
-    this.places.set(image, place);
+  private addImage(image: ImageName): number {
+    const index = this.mean.length;
+    this.indexByImage.set(image, index);
     this.mean.push(TAIL_MODEL.initialWeight);
     for (const row of this.covariance) row.push(0);
-    this.covariance.push(new Array<number>(place + 1).fill(0));
-    this.reset(place);
-    return place;
+    this.covariance.push(new Array<number>(index + 1).fill(0));
+    this.reset(index);
+    return index;
   }
 
-  /** Knows nothing of the weight at this place any more. */
-  private reset(place: number): void {
-    this.mean[place] = TAIL_MODEL.initialWeight;
+  /** Resets the weight at this index to its initial mean and variance. */
+  private reset(index: number): void {
+    this.mean[index] = TAIL_MODEL.initialWeight;
     this.covariance.forEach((row, other) => {
-      row[place] = 0;
-      (this.covariance[place] as number[])[other] = 0;
+      row[index] = 0;
+      (this.covariance[index] as number[])[other] = 0;
     });
-    const row = this.covariance[place] as number[];
-    row[place] = TAIL_MODEL.weightDeviation ** 2;
+    const row = this.covariance[index] as number[];
+    row[index] = TAIL_MODEL.weightDeviation ** 2;
   }
 }
 
-/** Variance of a reading that is the mean of so many tasks of one host. */
-const readingVariance = (tasks: number): number => {
+/** Variance of a reading that is the mean over the given number of tasks of one host. */
+const readingVariance = (taskCount: number): number => {
   const { taskVariance, hostVariance } = TAIL_MODEL;
-  return hostVariance + (taskVariance - hostVariance) / tasks;
+  return hostVariance + (taskVariance - hostVariance) / taskCount;
 };
 
-const boundError = (error: number, variance: number): number => {
-  const most = TAIL_MODEL.maxDeviations * Math.sqrt(variance);
-  return Math.max(-most, Math.min(most, error));
+const clampError = (error: number, variance: number): number => {
+  const limit = TAIL_MODEL.maxDeviations * Math.sqrt(variance);
+  return Math.max(-limit, Math.min(limit, error));
 };
 
-/** Weights and variances below this tell nothing. */
+/** Weights and variances are rounded to multiples of 1 / ROUNDING. */
 const ROUNDING = 1e6;
 
 const rounded = (value: number): number =>
--- a/packages/jobs/src/describeTask.ts
+++ b/packages/jobs/src/describeTask.ts
@@ -1,10 +1,10 @@
-/** What a host is told of a task, for its side to pace it. */
+/** Describes tasks to their hosts, whose sides pace them accordingly. */
 
 import type { JobTaskId } from "@rackspan/common";
 import type { InterferenceProfile } from "@rackspan/protocol";
 import type { JobTask } from "./JobTask.js";
 
-/** A task as its host is told of it. */
+/** A task's description as sent to its host. */
 export interface TaskDescription {
   readonly task: JobTaskId;
   readonly nature: InterferenceProfile;
@@ -12,9 +12,9 @@
 
 export const natureOf = (task: JobTask): InterferenceProfile => {
   const { filling, tailTargetMs, lasting, image, demand } = task.step.spec;
-  const serves = lasting && tailTargetMs > 0;
+  const isServing = lasting && tailTargetMs > 0;
   return {
-    kind: filling ? "filling" : serves ? "serving" : "plain",
+    kind: filling ? "filling" : isServing ? "serving" : "plain",
     tailTargetMs,
     image,
     milliCores: demand.milliCores,
--- a/packages/jobs/src/reconcileReport.ts
+++ b/packages/jobs/src/reconcileReport.ts
@@ -1,4 +1,4 @@
-/** Compares what a host reports with what the leader believes of it. */
+/** Reconciles the report of a host with the leader's state of it. */
 
 import type { Monotonic } from "@rackspan/common";
 import type { HostReport } from "@rackspan/protocol";
@@ -12,44 +12,40 @@
 } from "./HostState.js";
 
 export interface ReportChanges {
-  /** Ends that were not taken note of before, in the worker's order. */
+  /** Ends that were not processed before, in the worker's order. */
   readonly ended: readonly EndedRun[];
-  /** Runs that neither run nor have ended: lapsed, or never begun. */
+  /** Runs that are neither running nor listed as ended: they lapsed or never started. */
   readonly vanished: readonly ActiveRun[];
-  /** Tasks that run there and that the leader did not know of. */
+  /** Running tasks that the leader has no run for. */
   readonly unknown: readonly RunningTask[];
 }
 
 /**
- * Whether a run that the report does not list is not there and never will be:
- * the worker has shown it before, or could not begin it any more by then. While
- * the list of ends is cut off, its end may be among those that are not told yet.
+ * Whether a run that the report does not list is gone and cannot start any more: the
+ * worker has reported it before, or its order had expired or was fenced by a stop at the
+ * time of the report. If the list of ends is truncated, nothing is concluded, as the
+ * run's end may be among those not listed yet.
  */
 const hasVanished = (
   { at, hasMoreEnds }: HostReport,
-  {
-    phase,
-    lastSeenAt: answeredAt,
-    orderExpiresAt: orderLapsesAt,
-    stop,
-  }: ActiveRun,
+  { phase, lastSeenAt, orderExpiresAt, stop }: ActiveRun,
 ): boolean => {
   if (hasMoreEnds) return false;
-  if (answeredAt !== undefined) return at > answeredAt;
-  const barredAt = stop?.confirmedAt;
-  if (barredAt !== undefined && at > barredAt) return true;
-  return phase !== "starting" && at > orderLapsesAt;
+  if (lastSeenAt !== undefined) return at > lastSeenAt;
+  const fencedAt = stop?.confirmedAt;
+  if (fencedAt !== undefined && at > fencedAt) return true;
+  return phase !== "starting" && at > orderExpiresAt;
 };
 
-/** A filling task that gets less than this share of what it asks for crawls. */
+/** A filling task crawls if it gets less than this share of the cores that it requests. */
 const CRAWL_SHARE = 0.35;
 
-const crawls = ({ task, reading }: ActiveRun): boolean => {
+const isCrawling = ({ task, reading }: ActiveRun): boolean => {
   const { filling, demand } = task.step.spec;
   return filling && reading < CRAWL_SHARE * demand.milliCores;
 };
 
-const noteReading = (
+const updateReading = (
   run: ActiveRun,
   row: RunningTask,
   now: Monotonic,
@@ -57,41 +53,42 @@
   if (row.progressPercent > run.progressPercent) run.progressedAt = now;
   run.progressPercent = row.progressPercent;
   run.reading = row.reading;
-  run.crawlingSince = crawls(run) ? (run.crawlingSince ?? now) : undefined;
+  run.crawlingSince = isCrawling(run) ? (run.crawlingSince ?? now) : undefined;
   run.task.step.job.recordCheckpoint(run.task, row.checkpoint);
 };
 
 /**
- * A lasting task outlives many workers, and must not be given up for the sum of
- * them: one that works for a while has crashed none by being started.
+ * Clears the crash log of a lasting task that has worked for `clearAfterMs`. A lasting task
+ * outlives many workers and must not fail permanently because of their total number; a
+ * run that works for that long did not crash its worker by starting.
  */
-const clearLasting = (run: ActiveRun): void => {
-  const { crashLog: crashes, step } = run.task;
-  if (!step.spec.lasting || crashes.isEmpty) return;
+const clearLastingCrashLog = (run: ActiveRun): void => {
+  const { crashLog, step } = run.task;
+  if (!step.spec.lasting || crashLog.isEmpty) return;
   if (workedMs(run) < CRASH_LIMITS.clearAfterMs) return;
-  crashes.clear();
+  crashLog.clear();
   step.job.hasUnpersistedProgress = true;
 };
 
-/** Brings the ledger's runs up to date; what needs a decision is returned. */
+/** Updates the runs of the host from its report and returns the changes that need a decision. */
 export const reconcileReport = (
-  ledger: HostState,
+  host: HostState,
   report: HostReport,
   now: Monotonic,
 ): ReportChanges => {
   const ended = report.ended
-    .filter(({ number }) => number > ledger.processedEnds)
+    .filter(({ number }) => number > host.processedEnds)
     .sort((a, b) => a.number - b.number);
   const endedRuns = new Set(ended.map(runKeyOf));
   const rows = new Map(report.running.map((row) => [runKeyOf(row), row]));
   const vanished: ActiveRun[] = [];
-  for (const [key, run] of ledger.runs) {
+  for (const [key, run] of host.runs) {
     const row = rows.get(key);
     if (row) {
       rows.delete(key);
-      noteReading(run, row, now);
+      updateReading(run, row, now);
       markSeen(run, report.at);
-      clearLasting(run);
+      clearLastingCrashLog(run);
       if (run.phase === "starting" || run.phase === "unsure") {
         run.phase = "running";
       }
@@ -101,8 +98,8 @@
     if (hasVanished(report, run)) vanished.push(run);
   }
   const last = ended.at(-1);
-  if (last) ledger.processedEnds = last.number;
-  ledger.reportedAt = report.at;
-  ledger.reportReceivedAt = now;
+  if (last) host.processedEnds = last.number;
+  host.reportedAt = report.at;
+  host.reportReceivedAt = now;
   return { ended, vanished, unknown: [...rows.values()] };
 };
--- a/packages/scheduling/tests/changingCapacity.test.ts
+++ b/packages/scheduling/tests/changingCapacity.test.ts
@@ -1,4 +1,4 @@
-/** Workers whose room changes while they run are never filled past it. */
+/** A worker whose capacity changes at run time is never filled beyond its capacity. */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -9,10 +9,11 @@
 const CORE = 1_000;
 const FULL = 32;
 
-const roomUsed = (host: FakeHost): number => host.runningTasks.length * CORE;
+const usedMilliCores = (host: FakeHost): number =>
+  host.runningTasks.length * CORE;
 
-/** A host whose room is as large as its tasks, and then half of that. */
-const shrunk = async () => {
+/** A host that is full when its capacity drops to half. */
+const createShrunkHost = async () => {
   const site = new EngineHarness();
   const host = await site.addHost("h1");
   const job = site.submit(JOB, [{ taskCount: FULL }]);
@@ -24,32 +25,32 @@
   return { site, host, jobs: [job, next] };
 };
 
-const endSome = (host: FakeHost, count: number): void => {
+const endTasks = (host: FakeHost, count: number): void => {
   for (const task of host.runningTasks.slice(0, count)) host.end(task, "done");
 };
 
-test("a worker whose room has shrunk below what runs there gets nothing before enough has ended", async () => {
-  const { site, host } = await shrunk();
+test("a worker whose capacity drops below its usage gets no tasks until enough have ended", async () => {
+  const { site, host } = await createShrunkHost();
   const starts = host.starts.length;
-  endSome(host, FULL / 2);
+  endTasks(host, FULL / 2);
   await site.run(500);
   expect(host.starts.length).toEqual(starts);
-  endSome(host, 2);
+  endTasks(host, 2);
   await site.run(500);
   expect(host.starts.length).toEqual(starts + 2);
-  expect(roomUsed(host)).toBeLessThanOrEqual(host.milliCores);
+  expect(usedMilliCores(host)).toBeLessThanOrEqual(host.milliCores);
 });
 
-test("room that has grown again is used", async () => {
-  const { site, host } = await shrunk();
+test("capacity that grows again is used", async () => {
+  const { site, host } = await createShrunkHost();
   host.milliCores = (FULL + 4) * CORE;
   await site.run(500);
   expect(host.isRunning(taskId(`${NEXT}.0.0.0`))).toEqual(true);
-  expect(roomUsed(host)).toEqual(host.milliCores);
+  expect(usedMilliCores(host)).toEqual(host.milliCores);
 });
 
-test("what is being stopped takes room on a worker that has shrunk", async () => {
-  const { site, host, jobs } = await shrunk();
+test("runs that are stopping still count on a worker whose capacity dropped", async () => {
+  const { site, host, jobs } = await createShrunkHost();
   host.stopsAtOnce = false;
   const [first] = jobs;
   if (first) site.engine.cancelJob(first.spec.id);
@@ -58,12 +59,12 @@
   expect(host.starts.length).toEqual(starts);
 });
 
-test("the next leader counts what runs on a worker that has shrunk", async () => {
-  const { site: former, host, jobs } = await shrunk();
+test("the next leader counts the runs on a worker whose capacity dropped", async () => {
+  const { site: previous, host, jobs } = await createShrunkHost();
   const starts = host.starts.length;
-  former.engine.stop();
-  former.isLeader = false;
-  const { clock, store } = former;
+  previous.engine.stop();
+  previous.isLeader = false;
+  const { clock, store } = previous;
   const roster = [host.host];
   const next = new EngineHarness({ epoch: 2, clock, store, roster });
   next.hosts.push(host);
@@ -71,23 +72,23 @@
   next.engine.attach(host.host, host);
   await next.run(1_000);
   expect(host.starts.length).toEqual(starts);
-  endSome(host, FULL / 2 + 1);
+  endTasks(host, FULL / 2 + 1);
   await next.run(500);
   expect(host.starts.length).toEqual(starts + 1);
 });
 
-test("the next life of a worker is filled to its own room", async () => {
-  const { site, host } = await shrunk();
+test("the next incarnation of a worker is filled up to its own capacity", async () => {
+  const { site, host } = await createShrunkHost();
   host.replaceWorker();
   await site.run(12_000);
-  expect(roomUsed(host)).toEqual(host.milliCores);
+  expect(usedMilliCores(host)).toEqual(host.milliCores);
 });
 
-test("a side that attaches anew tells the room as it is then", async () => {
-  const { site, host } = await shrunk();
+test("a side that attaches again reports the current capacity", async () => {
+  const { site, host } = await createShrunkHost();
   site.engine.detach(host.host, host);
   host.milliCores = (FULL / 4) * CORE;
-  endSome(host, FULL / 2 + 2);
+  endTasks(host, FULL / 2 + 2);
   const starts = host.starts.length;
   site.engine.attach(host.host, host);
   await site.run(500);
--- a/packages/scheduling/tests/duplicateStarts.test.ts
+++ b/packages/scheduling/tests/duplicateStarts.test.ts
@@ -1,14 +1,14 @@
-/** Late answers and overdue passes do not start a task twice within milliseconds. */
+/** Late answers and overdue scheduling cycles do not start a task twice within milliseconds. */
 
 import { test } from "node:test";
 import { expect } from "earl";
 import type { JobTaskId } from "@rackspan/common";
 import { EngineHarness, taskId, type FakeHost } from "./engineHarness.js";
 
-/** Longer than a pass may be overdue. */
-const STANDSTILL_MS = 600;
+/** Longer than a scheduling cycle may be overdue. */
+const STALL_MS = 600;
 const TASK_COUNT = 5;
-/** Of the harness's queue. */
+/** Attempts allowed by the harness's queue. */
 const MAX_ATTEMPTS = 2;
 const TASK = taskId("j.0.0.0");
 
@@ -19,7 +19,7 @@
   readonly others: readonly FakeHost[];
 }
 
-const orderAtSilentHost = async (taskCount: number): Promise<Site> => {
+const orderFromSilentHost = async (taskCount: number): Promise<Site> => {
   const harness = new EngineHarness();
   const lost = await harness.addHost("h1");
   lost.answers = "held";
@@ -38,16 +38,16 @@
 const startCount = (hosts: readonly FakeHost[]): number =>
   startedTasks(hosts).length;
 
-test("tasks of a lost worker are started once by a leader that is short of time", async () => {
-  const { harness, lost, others } = await orderAtSilentHost(TASK_COUNT);
+test("a stalled leader starts the tasks of a lost worker only once", async () => {
+  const { harness, lost, others } = await orderFromSilentHost(TASK_COUNT);
   const [next] = others;
   if (!next) throw new Error("no other host");
   harness.engine.handleWorkerGone(lost.host, lost.instance);
-  harness.clock.freeze(STANDSTILL_MS);
+  harness.clock.freeze(STALL_MS);
   harness.reportOf(next);
   expect(startCount(others)).toEqual(TASK_COUNT);
   lost.answerHeld({ kind: "replaced" });
-  // Only what is late already: no time passes.
+  // Runs only the timers that are already overdue; the clock does not advance.
   await harness.clock.advance(0);
   const tasks = startedTasks(others);
   expect(tasks).toEqual([...new Set(tasks)]);
@@ -55,18 +55,18 @@
   expect(startCount(others)).toEqual(TASK_COUNT);
 });
 
-test("a worker that is lost while a pass is overdue has its tasks started once", async () => {
-  const { harness, lost, others } = await orderAtSilentHost(TASK_COUNT);
+test("the tasks of a worker lost while a scheduling cycle is overdue are started only once", async () => {
+  const { harness, lost, others } = await orderFromSilentHost(TASK_COUNT);
   harness.engine.handleOperatorChange();
-  harness.clock.freeze(STANDSTILL_MS);
+  harness.clock.freeze(STALL_MS);
   harness.engine.handleWorkerGone(lost.host, lost.instance);
   lost.answerHeld({ kind: "replaced" });
   await harness.run(1_000, others);
   expect(startCount(others)).toEqual(TASK_COUNT);
 });
 
-/** Fails all runs of the task at once, whichever host tells of it first. */
-const failEverywhere = (hosts: readonly FakeHost[]): number => {
+/** Fails all runs of the task and returns their number. */
+const failAllRuns = (hosts: readonly FakeHost[]): number => {
   let failures = 0;
   for (const host of hosts) {
     for (; host.isRunning(TASK); failures += 1) host.end(TASK, "failed");
@@ -74,20 +74,20 @@
   return failures;
 };
 
-test("a task that always fails is not started past its attempts once its worker was lost", async () => {
+test("a task that always fails is not started more often than its attempts allow after its worker was lost", async () => {
   for (const lastFirst of [false, true]) {
-    const { harness, lost, others } = await orderAtSilentHost(1);
+    const { harness, lost, others } = await orderFromSilentHost(1);
     harness.engine.handleWorkerGone(lost.host, lost.instance);
     await harness.run(50, others);
     lost.answerHeld({ kind: "replaced" });
     await harness.run(50, others);
-    const telling = [...others].sort((a, b) =>
+    const reporting = [...others].sort((a, b) =>
       lastFirst ? latestRun(b) - latestRun(a) : latestRun(a) - latestRun(b),
     );
     for (let failures = 0; failures < MAX_ATTEMPTS;) {
-      failures += failEverywhere(others);
+      failures += failAllRuns(others);
       const before = startCount(others);
-      for (const host of telling) {
+      for (const host of reporting) {
         harness.reportOf(host);
         await harness.clock.advance(20);
       }
--- a/packages/scheduling/tests/neverStartedRuns.test.ts
+++ b/packages/scheduling/tests/neverStartedRuns.test.ts
@@ -1,4 +1,4 @@
-/** Runs that never began before their workers crashed speak against no task. */
+/** Runs that had not started when their workers crashed are no evidence against their tasks. */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -16,7 +16,7 @@
 } from "./singleJobSite.js";
 import { EngineHarness, type FakeHost } from "./engineHarness.js";
 
-/** One more loss without proof gives the task up. */
+/** After one more lost run without proof the task fails permanently. */
 const NEAR_LIMIT: ProgressRecord = {
   ...BEGUN_PROGRESS,
   crashes: [
@@ -30,16 +30,16 @@
   ],
 };
 
-const orderedAt = (site: EngineHarness): FakeHost | undefined =>
+const hostWithOrder = (site: EngineHarness): FakeHost | undefined =>
   site.hosts.find(
     ({ answers, starts }) =>
       answers === "held" && starts.some(({ task }) => task === TASK),
   );
 
-/** The worker crashes beside the running task; later orders are answered in that way. */
-const loseRunning = async (
+/** Crashes the worker of the running task; later orders get the given answer. */
+const crashWorker = async (
   site: EngineHarness,
-  told: Partial<LostRun>,
+  state: Partial<LostRun>,
   answers: FakeHost["answers"] = "ok",
 ): Promise<void> => {
   const host = await hostOfTask(site);
@@ -49,22 +49,22 @@
   host.lostRuns = host.lostRuns.map((lost) => ({
     ...lost,
     workedMs: 90,
-    ...told,
+    ...state,
   }));
   await site.run(100);
 };
 
-/** The worker crashes while the order has no answer, which arrives after that. */
-const crashUnderOrder = async (
+/** Crashes the worker while the order is unanswered; the answer, if any, arrives later. */
+const crashDuringOrder = async (
   site: EngineHarness,
   answer: HostCallResult | undefined,
-  told: Partial<LostRun> = {},
+  state: Partial<LostRun> = {},
 ): Promise<void> => {
-  const host = orderedAt(site);
+  const host = hostWithOrder(site);
   const order = host?.starts.findLast(({ task }) => task === TASK);
   if (!host || !order) throw new Error("the task was not ordered");
-  const lost = { task: TASK, run: order.run, wasAtWork: false, ...told };
-  // Its next run goes elsewhere.
+  const lost = { task: TASK, run: order.run, wasAtWork: false, ...state };
+  // The next run of the task is ordered from another host.
   host.answers = "ok";
   for (const other of site.hosts) if (other !== host) other.answers = "held";
   host.replaceWorker();
@@ -74,32 +74,32 @@
   await site.run(300);
 };
 
-test("an order that another life answers is no crash under its task", async () => {
+test("an order that another incarnation answers is no crash of its task", async () => {
   const site = await createSite(3);
   for (const host of site.hosts) host.answers = "held";
   site.submit(JOB, [{ estimateMs: 500 }]);
   await site.run(100);
-  await crashUnderOrder(site, { kind: "replaced" });
+  await crashDuringOrder(site, { kind: "replaced" });
   expect(evidenceOf(site)).toEqual([]);
 });
 
-test("an order without an answer to a worker that crashed may have begun", async () => {
+test("the run of an unanswered order to a crashed worker may have started", async () => {
   const site = await createSite(3);
   for (const host of site.hosts) host.answers = "held";
   site.submit(JOB, [{ estimateMs: 500 }]);
   await site.run(100);
-  await crashUnderOrder(site, { kind: "silent" });
+  await crashDuringOrder(site, { kind: "silent" });
   expect(evidenceOf(site)).toEqual(["unseen"]);
 });
 
-test("a task is not given up before the order to its last run is answered", async () => {
+test("a task does not fail permanently before the order of its last run is answered", async () => {
   const site = await createSite(4);
   site.submit(JOB, [{ estimateMs: 500 }]);
-  await loseRunning(site, { orderedMs: 100 });
-  await loseRunning(site, { orderedMs: 635 }, "held");
+  await crashWorker(site, { orderedMs: 100 });
+  await crashWorker(site, { orderedMs: 635 }, "held");
   expect(evidenceOf(site)).toEqual(["young", "unanswered"]);
   await site.run(200);
-  await crashUnderOrder(site, undefined, { wasAtWork: true, orderedMs: 10 });
+  await crashDuringOrder(site, undefined, { wasAtWork: true, orderedMs: 10 });
   expect(evidenceOf(site)).toEqual(["young", "unanswered"]);
   expect(stateOf(site)).toEqual("running");
   for (const host of site.hosts) host.answerHeld({ kind: "replaced" });
@@ -108,16 +108,16 @@
   expect(site.hosts.some((one) => one.isRunning(TASK))).toEqual(true);
 });
 
-test("a run ordered from a worker that no longer answered is no crash under its task", async () => {
+test("a run ordered from a worker that no longer answered is no crash of its task", async () => {
   const site = await createSite(3);
   for (const host of site.hosts) host.answers = "held";
   site.submit(JOB, [{ estimateMs: 500 }]);
   await site.run(100);
-  await crashUnderOrder(site, { kind: "silent" }, { orderedMs: -40 });
+  await crashDuringOrder(site, { kind: "silent" }, { orderedMs: -40 });
   expect(evidenceOf(site)).toEqual(["unknown"]);
 });
 
-/** The next loss of the task gives it up. */
+/** Orders a task that fails permanently if one more run is lost. */
 const orderNearLimit = async (site: EngineHarness): Promise<AcceptedJob> => {
   for (const host of site.hosts) host.answers = "held";
   const acceptedAt = site.clock.now();
@@ -127,8 +127,8 @@
   return job;
 };
 
-/** The next leader, to which all sides attach at once. */
-const leadNext = (
+/** The next leader, to which all sides attach immediately. */
+const startNextLeader = (
   site: EngineHarness,
   job: AcceptedJob,
   progress: ProgressRecord | undefined,
@@ -145,34 +145,35 @@
   return next;
 };
 
-const loseOrdered = (host: FakeHost): void => {
+const crashAfterOrder = (host: FakeHost): void => {
   const { task, run } = host.starts.at(-1) ?? {};
-  if (task === undefined || run === undefined) throw new Error("no order");
+  if (task === undefined || run === undefined)
+    throw new Error("no start was ordered");
   host.replaceWorker();
   host.lostRuns = [{ task, run, wasAtWork: true, orderedMs: 10 }];
 };
 
-test("a run whose order is open when its leader ends gives no task up at the next leader", async () => {
+test("a run whose order is open when its leader ends does not fail its task at the next leader", async () => {
   const site = await createSite(3);
   const job = await orderNearLimit(site);
-  const host = orderedAt(site);
+  const host = hostWithOrder(site);
   if (!host) throw new Error("the task was not ordered");
-  loseOrdered(host);
+  crashAfterOrder(host);
   await site.run(300);
   site.isLeader = false;
   site.engine.stop();
   host.answerHeld({ kind: "replaced" });
-  const next = leadNext(site, job, progressOf(site));
+  const next = startNextLeader(site, job, progressOf(site));
   await next.run(3_000);
   expect(stateOf(next)).toEqual("running");
 });
 
-test("an answer that came does not shorten the wait for that of the next order", async () => {
+test("the answer to an order does not shorten the wait for the answer to the next one", async () => {
   const site = await createSite(4);
   await orderNearLimit(site);
-  const first = orderedAt(site);
+  const first = hostWithOrder(site);
   if (!first) throw new Error("the task was not ordered");
-  loseOrdered(first);
+  crashAfterOrder(first);
   await site.run(300);
   first.answerHeld({ kind: "replaced" });
   await site.run(300);
@@ -180,43 +181,43 @@
     (host) => host.starts.length > (host === first ? 1 : 0),
   );
   if (!second) throw new Error("the task was not ordered again");
-  loseOrdered(second);
+  crashAfterOrder(second);
   await site.run(1_700);
   second.answerHeld({ kind: "replaced" });
   await site.run(300);
   expect(stateOf(site)).toEqual("running");
 });
 
-test("a run that a side tells a new leader of while its order is open gives no task up", async () => {
+test("a lost run that is reported to a new leader while its order is open does not fail its task", async () => {
   const site = await createSite(3);
   const job = await orderNearLimit(site);
-  const host = orderedAt(site);
+  const host = hostWithOrder(site);
   if (!host) throw new Error("the task was not ordered");
   const progress = progressOf(site);
   site.isLeader = false;
   site.engine.stop();
-  loseOrdered(host);
-  const next = leadNext(site, job, progress);
+  crashAfterOrder(host);
+  const next = startNextLeader(site, job, progress);
   await next.run(60);
   host.answerHeld({ kind: "replaced" });
   await next.run(3_000);
   expect(stateOf(next)).toEqual("running");
 });
 
-/** A side tells the next leader of the run while it still repeats the order to it. */
-const tellNextWhileOpen = async (): Promise<{
+/** A side reports the lost run to the next leader while the order is still open. */
+const reportWhileOpen = async (): Promise<{
   readonly next: EngineHarness;
   readonly host: FakeHost;
 }> => {
   const site = await createSite(3);
   const job = await orderNearLimit(site);
-  const host = orderedAt(site);
+  const host = hostWithOrder(site);
   if (!host) throw new Error("the task was not ordered");
   const progress = progressOf(site);
   site.isLeader = false;
   site.engine.stop();
-  loseOrdered(host);
-  const next = leadNext(site, job, progress);
+  crashAfterOrder(host);
+  const next = startNextLeader(site, job, progress);
   await next.run(1_000);
   return { next, host };
 };
@@ -225,8 +226,8 @@
   hosts.flatMap(({ starts }) => starts).filter(({ task }) => task === TASK)
     .length;
 
-test("a task that an open order may give up starts no more until the order is over", async () => {
-  const { next, host } = await tellNextWhileOpen();
+test("a task that may fail because of an open order is not started until the order is closed", async () => {
+  const { next, host } = await reportWhileOpen();
   expect(startsOf(next)).toEqual(1);
   expect(stateOf(next)).toEqual("running");
   host.answerHeld({ kind: "silent" });
@@ -235,17 +236,17 @@
   expect(startsOf(next)).toEqual(1);
 });
 
-test("a task is given up where its side does not tell what came of an open order", async () => {
-  const { next } = await tellNextWhileOpen();
+test("a task fails permanently if its side does not report the outcome of an open order", async () => {
+  const { next } = await reportWhileOpen();
   await next.run(1_000, []);
   expect(stateOf(next)).toEqual("failed");
   expect(startsOf(next)).toEqual(1);
 });
 
-test("an open order that its leader gave over a former connection gives no task up", async () => {
+test("an open order that its leader sent over a previous connection does not fail its task", async () => {
   const site = await createSite(3);
   await orderNearLimit(site);
-  const host = orderedAt(site);
+  const host = hostWithOrder(site);
   const order = host?.starts.at(-1);
   if (!host || !order) throw new Error("the task was not ordered");
   site.engine.attach(host.host, host);
@@ -265,10 +266,11 @@
   expect(stateOf(site)).toEqual("running");
 });
 
-test("a run that a side tells of as never begun while its worker is silent is taken back", async () => {
-  const { next, host } = await tellNextWhileOpen();
+test("the evidence of a run that is reported as never started while its worker is silent is removed", async () => {
+  const { next, host } = await reportWhileOpen();
   const { task, run } = host.starts[0] ?? {};
-  if (task === undefined || run === undefined) throw new Error("no order");
+  if (task === undefined || run === undefined)
+    throw new Error("no start was ordered");
   next.engine.handleWorkerSilent(host.host, undefined, [{ task, run }]);
   await next.run(1_500, []);
   expect(stateOf(next)).toEqual("running");
--- a/packages/scheduling/tests/overload.test.ts
+++ b/packages/scheduling/tests/overload.test.ts
@@ -1,17 +1,17 @@
-/** Order by worth serves callers no worse than by slack where there is too much bulk work. */
+/** Under overload with bulk work the order by utility yields no less utility than that by slack. */
 
 import { test } from "node:test";
 import { expect } from "earl";
 import { simulateOverload, type OverloadResult } from "./simulateOverload.js";
 
-/** Twice what a site is built for is the most that its users have planned for. */
+/** Users plan for at most twice the load that a site is built for. */
 const LOADS = [1, 1.4, 1.8];
 const SEEDS = [1, 2];
 
 const mean = (values: readonly number[]): number =>
   values.reduce((sum, value) => sum + value, 0) / values.length;
 
-const playAll = async (order: string): Promise<OverloadResult[]> => {
+const simulateAll = async (order: string): Promise<OverloadResult[]> => {
   const results: OverloadResult[] = [];
   for (const load of LOADS) {
     for (const seed of SEEDS) {
@@ -21,17 +21,17 @@
   return results;
 };
 
-test("past what a site can do callers get no less by worth than by slack, and large jobs are served too", async () => {
-  const bySlack = await playAll("bySlack");
-  const byWorth = await playAll("byWorth");
-  const earned = (results: readonly OverloadResult[]): number =>
+test("under overload the order by utility yields no less than that by slack, and large jobs are served too", async () => {
+  const bySlack = await simulateAll("bySlack");
+  const byUtility = await simulateAll("byWorth");
+  const meanUtility = (results: readonly OverloadResult[]): number =>
     mean(results.map((one) => one.utilityShare));
-  expect(earned(byWorth)).toBeGreaterThanOrEqual(earned(bySlack));
-  // The users' rule of sizes: the largest tenth at least half as often as all.
+  expect(meanUtility(byUtility)).toBeGreaterThanOrEqual(meanUtility(bySlack));
+  // Users require that the largest tenth of the jobs is served at least half as often as all jobs.
   for (const {
     largestServedShare: largestServed,
     servedShare: served,
-  } of byWorth) {
+  } of byUtility) {
     expect(largestServed).toBeGreaterThanOrEqual(served / 2);
   }
 });
--- a/packages/scheduling/tests/previousIncarnations.test.ts
+++ b/packages/scheduling/tests/previousIncarnations.test.ts
@@ -1,4 +1,4 @@
-/** What is heard late of a worker's former life does not act on the present one. */
+/** Late messages about a worker's previous incarnation do not affect the current one. */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -12,7 +12,7 @@
   readonly host: FakeHost;
 }
 
-/** A host whose worker has a task. */
+/** A host whose worker runs a task. */
 const createSite = async (): Promise<Site> => {
   const harness = new EngineHarness();
   const host = await harness.addHost("h1");
@@ -22,31 +22,31 @@
   return { harness, host };
 };
 
-test("that a former life is gone is passed over once the next one works", async () => {
+test("the end of a previous incarnation is ignored once the next one works", async () => {
   const { harness, host } = await createSite();
-  const former = host.instance;
+  const previous = host.instance;
   host.replaceWorker();
   await harness.run(500);
   expect(host.isRunning(TASK)).toEqual(true);
   const startCount = host.starts.length;
   const other = await harness.addHost("h2");
-  harness.engine.handleWorkerGone(host.host, former);
+  harness.engine.handleWorkerGone(host.host, previous);
   await harness.run(500);
   expect(host.starts.length + other.starts.length).toEqual(startCount);
 });
 
-test("that a former connection is closed does not take the present one away", async () => {
+test("the close of a previous connection does not detach the current one", async () => {
   const { harness, host } = await createSite();
-  const former: FakeHost = Object.create(host) as FakeHost;
-  harness.engine.attach(host.host, former);
+  const previous: FakeHost = Object.create(host) as FakeHost;
+  harness.engine.attach(host.host, previous);
   harness.engine.attach(host.host, host);
-  harness.engine.detach(host.host, former);
+  harness.engine.detach(host.host, previous);
   harness.submit("0f3b5d7a9c1e2468", [{}]);
   await harness.run(200);
   expect(host.runningTasks.length).toEqual(2);
 });
 
-test("ends of a former life that are kept late acknowledge none of the next one's", async () => {
+test("ends of a previous incarnation that are persisted late acknowledge none of the next one's", async () => {
   const { harness, host } = await createSite();
   harness.store.fault = "refuses";
   host.end(TASK, "done");
