--- a/packages/kernel/src/Lifecycle.ts
+++ b/packages/kernel/src/Lifecycle.ts
@@ -1,12 +1,12 @@
-/** Start, drain and stop of the parts of one process, in order. */
+/** Starts, drains and stops the parts of one process in order. */
 
 import { describeError, type Logger } from "@rackspan/common";
 
-/** A part of a process. Each step is optional. */
+/** A part of a process with its own start, drain and stop; each is optional. */
 export interface LifecyclePart {
   readonly name: string;
   start?(): Promise<void>;
-  /** Takes no new work, and resolves once work in progress is done. */
+  /** Stops accepting new work, and resolves once work in progress is done. */
   drain?(): Promise<void>;
   stop?(): Promise<void>;
 }
@@ -26,7 +26,7 @@
     return this.current;
   }
 
-  /** Starts the parts in order; a failure stops what had started and is thrown. */
+  /** Starts the parts in order. If one fails, stops those already started and rethrows the error. */
   async start(): Promise<void> {
     try {
       for (const part of this.parts) {
@@ -42,7 +42,7 @@
     this.logger.info("lifecycle.running");
   }
 
-  /** A planned stop: drains in order, then stops in reverse order. */
+  /** Planned stop: drains the parts in order, then stops them in reverse order. */
   async shutDown(): Promise<void> {
     if (this.current !== "running") return;
     this.current = "draining";
@@ -53,7 +53,7 @@
     this.logger.info("lifecycle.stopped");
   }
 
-  /** Stops at once, as a kill would. */
+  /** Stops at once without draining, like a killed process. */
   async kill(): Promise<void> {
     this.current = "stopped";
     await this.stopStarted();
--- a/packages/kernel/src/settings.ts
+++ b/packages/kernel/src/settings.ts
@@ -1,5 +1,5 @@
 /**
- * Settings in JSON with comments, checked by a schema.
+ * Loads settings from JSON with comments and validates them against a schema.
  * Precedence, lowest first: the file, the environment, flags.
  */
 
@@ -16,10 +16,10 @@
 import type { z } from "zod";
 import { RackspanError } from "@rackspan/common";
 
-/** One fault of a settings or declaration file. */
+/** One error in a settings or declaration file. */
 export interface Fault {
   readonly file: string;
-  /** From 1. */
+  /** Line number, starting at 1. */
   readonly line: number;
   /** Dotted path of the value; empty for the whole document. */
   readonly path: string;
@@ -30,7 +30,7 @@
 export const formatFault = (fault: Fault): string =>
   `${fault.file}:${fault.line}: ${fault.path || "(document)"}: ${fault.what}; ${fault.remedy}`;
 
-/** Every fault of the files at once. */
+/** Lists all faults of the files at once. */
 export class SettingsError extends RackspanError {
   readonly kind = "bad-settings";
   constructor(readonly faults: readonly Fault[]) {
@@ -41,7 +41,7 @@
   }
 }
 
-/** A parsed document that remembers where each value stands. */
+/** A parsed document with the source position of each value. */
 export interface SourceDocument {
   readonly file: string;
   readonly text: string;
@@ -114,7 +114,7 @@
   return faults;
 };
 
-/** The line of a value, or of the nearest enclosing value that stands in the file. */
+/** The line of a value, or of the nearest enclosing value that is present in the file. */
 const lineOfPath = (document: SourceDocument, path: JSONPath): number => {
   if (!document.tree) return 1;
   for (let length = path.length; length >= 0; length -= 1) {
@@ -124,7 +124,7 @@
   return 1;
 };
 
-/** A fault that is found after the schema's own checks. */
+/** Creates a fault for a check beyond the schema. */
 export const faultAt = (
   document: SourceDocument,
   path: readonly (string | number)[],
@@ -173,17 +173,17 @@
 
 /** One value that overrides the file. */
 export interface Override {
-  /** Dotted path, as `listen.port`. */
+  /** Dotted path, for example `listen.port`. */
   readonly path: string;
-  /** Parsed as JSON where possible, else taken as text. */
+  /** Parsed as JSON if possible, otherwise used as a string. */
   readonly value: string;
-  /** Where it came from, for messages. */
+  /** Origin of the override, for error messages. */
   readonly source: string;
 }
 
 const ENVIRONMENT_PREFIX = "RACKSPAN__";
 
-/** `RACKSPAN__listen__port=8080` overrides `listen.port`. */
+/** Reads overrides from the environment: `RACKSPAN__listen__port=8080` overrides `listen.port`. */
 export const overridesFromEnvironment = (
   env: Readonly<Record<string, string | undefined>>,
 ): Override[] =>
@@ -195,7 +195,7 @@
       source: `environment ${name}`,
     }));
 
-/** `listen.port=8080`, as given to `--set`. */
+/** Parses the value of a `--set` flag, for example `listen.port=8080`. */
 export const overrideFromFlag = (flag: string): Override => {
   const at = flag.indexOf("=");
   if (at < 1) {
@@ -229,7 +229,7 @@
   "prototype",
 ]);
 
-/** Puts the override into the value; objects on its way are made where absent. */
+/** Sets the overridden value at its path, and creates missing objects along the path. */
 const applyOverride = (
   root: unknown,
   { path, value, source }: Override,
@@ -260,11 +260,11 @@
 export interface LoadOptions<S extends z.ZodType> {
   readonly file: string;
   readonly schema: S;
-  /** In rising precedence. */
+  /** In order of increasing precedence. */
   readonly overrides?: readonly Override[];
 }
 
-/** @throws SettingsError with every fault at once */
+/** @throws SettingsError that lists every fault at once */
 export const loadSettings = <S extends z.ZodType>({
   file,
   schema,
--- a/packages/kernel/tests/settings.test.ts
+++ b/packages/kernel/tests/settings.test.ts
@@ -36,7 +36,7 @@
 const check = (text: string): readonly Fault[] =>
   faultsOf(() => checkDocument(schema, parseDocument("a.jsonc", text)));
 
-test("every fault is named at once, with its line, path and a remedy", () => {
+test("all faults are reported at once, each with its line, path and remedy", () => {
   const faults = check(
     '{\n  // a comment\n  "name": 7,\n  "listen": {\n    "port": 70000,\n    "prot": 1,\n  },\n}',
   );
@@ -48,7 +48,7 @@
   expect(faults[2]?.remedy ?? "").toEqual(expect.includes("prot"));
 });
 
-test("syntax faults and keys that stand twice are named by line", () => {
+test("syntax faults and duplicate keys are reported with their lines", () => {
   expect(check('{\n  "name": \n}')[0]?.line).toEqual(3);
   const [twice] = check(
     '{\n  "name": "a",\n  "listen": { "port": 1 },\n  "name": "b"\n}',
@@ -57,7 +57,7 @@
   expect(check("").length).toEqual(1);
 });
 
-test("flags go before the environment, which goes before the file", () => {
+test("flags take precedence over the environment, which takes precedence over the file", () => {
   const file = join(mkdtempSync(join(tmpdir(), "rackspan-test-")), "s.jsonc");
   writeFileSync(file, '{ "name": "file", "listen": { "port": 1 } }');
   const environment = overridesFromEnvironment({
@@ -78,7 +78,7 @@
   expect(loadSettings({ file, schema, overrides }).listen.port).toEqual(3);
 });
 
-test("an override that is no path is a fault, and cannot reach a prototype", () => {
+test("an override with an invalid path is a fault and cannot change a prototype", () => {
   const file = join(mkdtempSync(join(tmpdir(), "rackspan-test-")), "s.jsonc");
   writeFileSync(file, '{ "name": "file", "listen": { "port": 1 } }');
   for (const flag of ["listen", "=3", "listen..port=1", "__proto__.x=1"]) {
@@ -90,7 +90,7 @@
   expect(({} as Record<string, unknown>)["x"]).toEqual(undefined);
 });
 
-test("whatever the bytes are, the answer is a value or a list of faults", () => {
+test("any input yields a value or a list of faults", () => {
   const text = fc.oneof(
     fc.string(),
     fc.json(),
--- a/packages/side/src/AdmissionGate.ts
+++ b/packages/side/src/AdmissionGate.ts
@@ -1,6 +1,6 @@
 /**
- * The slots and connections of this host: hard limits, whichever entries call.
- * A request waits for a slot only as long as its deadline allows.
+ * Limits the requests and watches on this host by slots and connections. The limits hold
+ * across all entries. A request waits for a slot only as long as its deadline allows.
  */
 
 import PQueue from "p-queue";
@@ -14,7 +14,7 @@
   readonly maxQueued: number;
 }
 
-/** Given back exactly once. */
+/** Permission to use a connection, with or without a slot. Only the first release has an effect. */
 export interface Permit {
   release(): void;
 }
@@ -38,7 +38,7 @@
     return this.queue.pending;
   }
 
-  /** Requests that wait; those whose time ran out keep a place in the queue but count no more. */
+  /** Requests that wait for a slot; expired ones are still in the queue but are not counted. */
   get queued(): number {
     return this.queue.size - this.expired;
   }
@@ -47,7 +47,7 @@
     return this.open;
   }
 
-  /** Takes a connection and a slot. */
+  /** Acquires a connection and a slot. */
   async admitRequest(timeoutMs: number): Promise<Admission> {
     const { connections, slots, maxQueued } = this.options;
     if (this.open >= connections) return refused(REASON.CONNECTIONS_BUSY);
@@ -60,7 +60,7 @@
     return refused(REASON.DEADLINE);
   }
 
-  /** Takes a connection only: a watch waits most of its time. */
+  /** Acquires a connection only, since a watch is idle most of the time. */
   admitWatch(): Admission {
     if (this.open >= this.options.connections)
       return refused(REASON.CONNECTIONS_BUSY);
--- a/packages/side/src/Commitments.ts
+++ b/packages/side/src/Commitments.ts
@@ -1,6 +1,6 @@
 /**
- * What this host has committed: the only place where room is given out.
- * Everything here is decided between two awaits, so no two calls interleave.
+ * Tracks the resources of this host that are reserved or committed to tasks. This is the only
+ * place where resources are allocated. All methods are synchronous, so no two calls interleave.
  */
 
 import {
@@ -28,7 +28,7 @@
 export interface CommitmentsOptions {
   readonly clock: Clock;
   readonly reservationTtlMs: number;
-  /** Switched off only by the test that shows what expiry is for. */
+  /** Disabled only by the test that shows why reservations expire. */
   readonly expireReservations?: boolean;
 }
 
@@ -47,7 +47,7 @@
     return this.capacity;
   }
 
-  /** What neither a task nor a reservation holds. May be negative after a shrink. */
+  /** Resources held neither by a task nor by a reservation. May be negative after capacity shrinks. */
   get free(): Resources {
     this.dropExpired();
     let used = NO_RESOURCES;
@@ -77,7 +77,7 @@
     this.reservations.delete(id);
   }
 
-  /** The task will never be started under a reservation of this process. */
+  /** Releases the task's reservations, so that it can never start under one of this process. */
   releaseFor(task: TaskId): void {
     for (const { id, identity } of this.reservations.values()) {
       if (identity.task === task) this.reservations.delete(id);
@@ -86,7 +86,7 @@
 
   /**
    * Turns the reservation into a commitment.
-   * @throws ReservationGoneError when it is unknown, expired or another task's
+   * @throws ReservationGoneError when it is unknown, has expired or belongs to another task
    */
   commit(id: ReservationId, task: TaskId): Reservation {
     this.dropExpired();
@@ -98,7 +98,7 @@
     return reservation;
   }
 
-  /** A task that the worker ran already when this process started. */
+  /** Commits resources to a task that the worker ran already when this process started. */
   adopt(task: TaskId, resources: Resources): void {
     this.held.set(task, resources);
   }
--- a/packages/side/src/RequestFences.ts
+++ b/packages/side/src/RequestFences.ts
@@ -1,4 +1,4 @@
-/** Which request attempts have started here, and which never may. */
+/** Records which request attempts have started here, and which are fenced and may never start. */
 
 import type { Clock, Monotonic, RequestId } from "@rackspan/common";
 
@@ -19,7 +19,7 @@
 
 export class RequestFences {
   private readonly fates = new Map<string, Remembered>();
-  /** Attempts that came before this moment may have been forgotten. */
+  /** Attempts that arrived up to this time may have been dropped from the map. */
   private horizon: Monotonic = -Infinity;
 
   constructor(
@@ -27,7 +27,7 @@
     private readonly kept: number,
   ) {}
 
-  /** Notes that the attempt starts now, unless it must not. */
+  /** Records that the attempt starts now, unless it is fenced or has started before. */
   tryStart(name: AttemptKey): "started" | "fenced" | "repeated" {
     const key = nameOf(name);
     const known = this.fates.get(key);
@@ -37,8 +37,9 @@
   }
 
   /**
-   * Makes sure that the attempt never starts here, unless it did.
-   * @param ageMs milliseconds since it was sent
+   * Fences the attempt, so that it never starts here, unless it has started already.
+   * @param ageMs milliseconds since the attempt was sent
+   * @returns whether the attempt has started here
    */
   fence(name: AttemptKey, ageMs: number): "yes" | "no" | "unknown" {
     const key = nameOf(name);
--- a/packages/side/src/RequestHandler.ts
+++ b/packages/side/src/RequestHandler.ts
@@ -1,4 +1,4 @@
-/** Admits the requests that entries send, and passes them on to local endpoints. */
+/** Admits requests from entries and forwards them to local endpoints. */
 
 import { Agent, type IncomingMessage, type ServerResponse } from "node:http";
 import type { Duplex } from "node:stream";
@@ -51,7 +51,7 @@
   TIMEOUT: 504,
 } as const;
 
-/** Headers from the entry that the endpoint does not need. */
+/** Headers from the entry that are not forwarded to the endpoint. */
 const DROPPED_REQUEST_HEADERS: ReadonlySet<string> = new Set([
   HEADER.SERVICE,
   HEADER.CLASS,
@@ -60,7 +60,7 @@
 ]);
 
 export class RequestHandler {
-  /** While set, requests are refused as not run. */
+  /** While set, requests are refused with the outcome `not-run`. */
   isRefusing = false;
   private readonly agent = new Agent({
     keepAlive: true,
@@ -71,7 +71,7 @@
 
   constructor(private readonly options: RequestHandlerOptions) {}
 
-  /** Serves one request; every way out of it gives back its slot. */
+  /** Serves one request. Its slot is released on every path. */
   async handle(req: IncomingMessage, res: ServerResponse): Promise<void> {
     const head = readRequestHead(req);
     if (!head) return this.refuse(req, res, undefined, badHead);
@@ -93,7 +93,7 @@
     }
   }
 
-  /** Serves one upgraded connection, which holds a connection but no slot. */
+  /** Serves one protocol upgrade, which holds a connection but no slot. */
   handleUpgrade(req: IncomingMessage, socket: Duplex, head: Buffer): void {
     socket.on("error", () => socket.destroy());
     const request = readRequestHead(req);
@@ -111,7 +111,7 @@
     this.tunnel(req, socket, head, request, admission.permit);
   }
 
-  /** Watches that are open, upgraded or not. */
+  /** Number of open watches, including upgraded connections. */
   get openWatches(): number {
     return this.watches.size;
   }
@@ -162,12 +162,12 @@
     });
     this.options.metrics.count("side_refused", { reason: refusal.reason });
     res.setHeader(HEADER.BUSY_SLOTS, String(this.options.gate.busySlots));
-    // An unread body would otherwise stand between this answer and the next request.
+    // Drains the body, which would otherwise precede the next request on the connection.
     req.resume();
     sendProblem(res, toProblem(refusal, head));
   }
 
-  /** From here on the endpoint may see the request. */
+  /** Forwards an admitted request; from here on the endpoint may receive it. */
   private async forward(
     req: IncomingMessage,
     res: ServerResponse,
--- a/packages/side/src/SideProcess.ts
+++ b/packages/side/src/SideProcess.ts
@@ -1,4 +1,4 @@
-/** The side process of one endpoint host: wires its parts and their life cycle. */
+/** Wires the parts of the side process of one endpoint host, and their lifecycle. */
 
 import {
   createServer,
@@ -109,22 +109,22 @@
     this.lifecycle = this.createLifecycle(logger);
   }
 
-  /** Starts; admits work once the worker's list is known. */
+  /** Starts the process, which admits work once the worker has listed its tasks. */
   start(): Promise<void> {
     return this.lifecycle.start();
   }
 
-  /** A planned stop: requests in progress end, tasks go on under their leases. */
+  /** Planned stop: requests in progress are completed, tasks continue under their leases. */
   shutDown(): Promise<void> {
     return this.lifecycle.shutDown();
   }
 
-  /** Stops at once, as a kill would. */
+  /** Stops at once without draining, like a killed process. */
   kill(): Promise<void> {
     return this.lifecycle.kill();
   }
 
-  /** `IP:PORT` that entries call. */
+  /** `IP:PORT` at which entries call this side. */
   get address(): string {
     return addressOf(this.server);
   }
@@ -206,7 +206,7 @@
     );
   }
 
-  /** Tells the entries first, then refuses, then waits for what is in progress. */
+  /** Notifies the entries, then refuses new requests, then waits for those in progress. */
   private async drain(): Promise<void> {
     const { noticeMs, limitMs } = this.options.settings.drain;
     this.board.startLeaving();
--- a/packages/side/src/StatusPublisher.ts
+++ b/packages/side/src/StatusPublisher.ts
@@ -1,4 +1,4 @@
-/** What this side tells the entries about itself, with a revision that they can wait on. */
+/** Publishes this side's status to entries, with a revision on whose change they can wait. */
 
 import {
   ChangeSignal,
@@ -22,7 +22,7 @@
   readonly clock: Clock;
 }
 
-/** What an entry already knows. */
+/** The status version that an entry already has. */
 export interface KnownStatus {
   readonly incarnation: Incarnation | undefined;
   readonly revision: number;
@@ -42,19 +42,19 @@
     return this.isLeaving;
   }
 
-  /** From now on entries are told to send nothing new. */
+  /** Publishes that the host is leaving, so that entries send nothing new. */
   startLeaving(): void {
     this.isLeaving = true;
     this.bump();
   }
 
-  /** Wakes all waiting entries; no further wait is long. */
+  /** Answers all waiting entries; later reads do not wait. */
   close(): void {
     this.closed = true;
     this.changed.notify();
   }
 
-  /** The status, at once when it differs from what is known, else after `waitMs`. */
+  /** @returns the status, at once when it differs from `known`, else after a change or `waitMs` */
   async read(known: KnownStatus, waitMs: number): Promise<SideStatus> {
     const same = (): boolean =>
       known.incarnation === this.options.incarnation &&
--- a/packages/side/src/TaskSupervisor.ts
+++ b/packages/side/src/TaskSupervisor.ts
@@ -1,6 +1,6 @@
 /**
- * The tasks of this host: starts, renews and stops them at the worker, and
- * reports each end until an entry says that it is on the log.
+ * Supervises the tasks of this host: starts, renews and stops them at the worker, and
+ * reports each end until an entry acknowledges that it is on the log.
  */
 
 import {
@@ -54,12 +54,12 @@
 export interface HeldTask {
   readonly identity: TaskIdentity;
   readonly fencingToken: Sequence;
-  /** `stopped`: the worker has confirmed the stop, the end is not seen yet. */
+  /** `stopped`: the worker has confirmed the stop, but has not reported the end yet. */
   readonly state: TaskStatus["state"] | "stopped";
   readonly end?: EndKind | undefined;
   readonly detail?: string | undefined;
   readonly checkpoint?: string | undefined;
-  /** Where it answers requests, once the worker has said so. */
+  /** The address at which it answers requests, once the worker has reported it. */
   readonly address?: string | undefined;
 }
 
@@ -67,17 +67,17 @@
 const FENCED_TASKS_KEPT = 10_000;
 
 export class TaskSupervisor {
-  /** Emits each change of any task. */
+  /** Emitted on each change of any task. */
   readonly changed = new Emitter<void>();
   private readonly tasks = new Map<TaskId, HeldTask>();
   private readonly fenced = new Set<TaskId>();
-  /** Stops that the worker has not confirmed yet, and whether to save the state. */
+  /** Stop orders that the worker has not confirmed yet, and whether to save a checkpoint. */
   private readonly stopOrders = new Map<TaskId, boolean>();
   private adopted = false;
 
   constructor(private readonly options: TaskSupervisorOptions) {}
 
-  /** Whether the worker's own list is known; before that nothing is admitted. */
+  /** Whether the worker has listed its tasks; nothing is admitted before. */
   get ready(): boolean {
     return this.adopted;
   }
@@ -86,7 +86,7 @@
     return [...this.tasks.values()];
   }
 
-  /** Running tasks that answer requests of the service. */
+  /** Running tasks that answer requests for the service. */
   endpointsOf(service: ServiceName): readonly HeldTask[] {
     return this.list().filter(
       ({ identity, state, address }) =>
@@ -96,7 +96,7 @@
     );
   }
 
-  /** Takes the worker over, and adopts what it runs. Repeats until it succeeds. */
+  /** Takes over the worker and adopts the tasks that it runs. Retries until it succeeds. */
   async adopt(signal: AbortSignal): Promise<void> {
     const { worker, incarnation, clock, logger } = this.options;
     while (!this.adopted) {
@@ -109,7 +109,7 @@
     }
   }
 
-  /** Renews leases and notices ends, until the signal ends it. */
+  /** Renews leases and detects ended tasks until the signal aborts. */
   async renewLeases(signal: AbortSignal): Promise<void> {
     const { clock, renewEveryMs, logger } = this.options;
     try {
@@ -124,7 +124,7 @@
     }
   }
 
-  /** Renews every running task, and takes over what the worker says of them. */
+  /** Renews the leases of all running tasks and applies the states that the worker reports. */
   async refresh(): Promise<void> {
     const { worker, incarnation, leaseMs, metrics } = this.options;
     await this.repeatStops();
@@ -142,7 +142,7 @@
     return this.fenced.has(task);
   }
 
-  /** @throws ReservationGoneError; a worker's failure ends the attempt as failed */
+  /** @throws ReservationGoneError; a failure at the worker is not thrown, but ends the attempt */
   async start(request: StartRequest): Promise<void> {
     const { task } = request;
     if (this.tasks.has(task)) return;
@@ -170,7 +170,7 @@
     await this.refresh();
   }
 
-  /** A stop is final at the worker: it also refuses a start that comes late. */
+  /** Repeats unconfirmed stops. A stop is final at the worker: it also refuses a late start. */
   private async repeatStops(): Promise<void> {
     const { worker, incarnation, logger } = this.options;
     for (const [task, checkpoint] of this.stopOrders) {
@@ -186,7 +186,7 @@
     }
   }
 
-  /** @throws UnknownTaskError when it does not run here */
+  /** @throws UnknownTaskError when the task does not run here */
   async throttle(task: TaskId, share: number): Promise<void> {
     if (this.tasks.get(task)?.state !== "running")
       throw new UnknownTaskError(task);
@@ -196,7 +196,7 @@
     logger.info("task.throttled", { task, share });
   }
 
-  /** Asks every running task to end, so that its unit goes on elsewhere. */
+  /** Stops every running task with a checkpoint, so that its unit can continue elsewhere. */
   async stopAll(): Promise<void> {
     for (const { identity, state } of this.list()) {
       if (state !== "running") continue;
@@ -220,7 +220,7 @@
     return "never";
   }
 
-  /** The ends are on the log: forget them here and at the worker. */
+  /** Removes ended tasks, whose ends are on the log, here and at the worker. */
   async acknowledge(tasks: readonly TaskId[]): Promise<void> {
     const { worker, incarnation, logger } = this.options;
     for (const task of tasks) {
@@ -266,7 +266,7 @@
     }
   }
 
-  /** The start may still take effect: only a confirmed stop settles it. */
+  /** Stops a task whose start may still take effect: only a confirmed stop rules that out. */
   private stopUncertain(task: TaskId): void {
     const held = this.tasks.get(task);
     if (!held) return;
@@ -294,7 +294,7 @@
     this.changed.emit();
   }
 
-  /** Takes over what the worker says; nothing means that it does not run there. */
+  /** Applies the state that the worker reports; undefined means that the task does not run there. */
   private observe(task: TaskId, status: WorkerTask | undefined): void {
     const held = this.tasks.get(task);
     if (!held || held.state === "ended") return;
--- a/packages/side/src/errors.ts
+++ b/packages/side/src/errors.ts
@@ -1,11 +1,11 @@
-/** Refusals of a side process. */
+/** Errors with which a side process refuses calls. */
 
 import { RackspanError, type Resources } from "@rackspan/common";
 
 const describe = ({ processors, memoryMiB, accelerators }: Resources): string =>
   `processors=${processors} memoryMiB=${memoryMiB} accelerators=${accelerators}`;
 
-/** The host cannot hold what was asked for. */
+/** The host lacks the requested resources. */
 export class OverCommitError extends RackspanError {
   readonly kind = "over-commit";
   constructor(task: string, asked: Resources, free: Resources) {
--- a/packages/side/src/jobs/FencedTaskHost.ts
+++ b/packages/side/src/jobs/FencedTaskHost.ts
@@ -1,7 +1,8 @@
 /**
- * Calls each life of the worker under a part of the leader's epoch of its own. A worker
- * obeys nothing below what it has heard: its first call from here bars all that was sent
- * under the parts before, to a former life or by a former process.
+ * Wraps a TaskHost and calls each incarnation of the worker under its own sub-epoch of the
+ * leader's epoch. A worker rejects calls whose epoch is lower than the highest it has
+ * received, so the first call to an incarnation fences everything that was sent under lower
+ * sub-epochs, to a previous incarnation or by a previous process of this side.
  */
 
 import type {
@@ -25,25 +26,25 @@
 import { BoundedMap } from "@rackspan/state";
 
 const PARTS = {
-  /** Of one epoch; those by the clock begin anew after 13 years. */
+  /** Sub-epochs per epoch. Sub-epochs derived from the clock wrap around after 13 years. */
   ofEpoch: 2 ** 32,
-  /** What one part stands for on the wall clock, milliseconds. */
+  /** Wall-clock time per sub-epoch, milliseconds. */
   unitMs: 100,
-  /** Lives whose parts are kept; the oldest are forgotten. */
+  /** Incarnations whose sub-epochs are kept; the oldest are dropped. */
   maxLives: 64,
-  /** Starts of which it is kept what they were sent under; the oldest are forgotten. */
+  /** Starts whose epochs are kept; the oldest are dropped. */
   maxStarts: 1_024,
 } as const;
 
-/** Below the first one. */
+/** Lower than the first sub-epoch. */
 const NO_PART = -1;
 
-/** What a life is called under. */
+/** Fencing state of one incarnation. */
 interface LifePart {
   part: number;
-  /** How far above it is tried next, should the worker have heard a higher one. */
+  /** Increment for the next retry when the worker has received a higher sub-epoch. */
   reach: number;
-  /** The highest that it has answered a look under; undefined before. */
+  /** The highest epoch under which it has answered a poll; undefined before the first answer. */
   obeyed: Epoch | undefined;
 }
 
@@ -56,7 +57,7 @@
   private readonly lives = new BoundedMap<WorkerInstance, LifePart>(
     PARTS.maxLives,
   );
-  /** What each start was last sent under, by run. */
+  /** The epoch under which each start was last sent, by run. */
   private readonly sentUnder = new BoundedMap<string, Epoch>(PARTS.maxStarts);
   private highest = NO_PART;
   private epoch: Epoch | undefined;
@@ -84,9 +85,9 @@
   }
 
   /**
-   * The worker may have heard a higher part of the same epoch: from a process whose clock
-   * was ahead, or in a look that was meant for another life under its id. Looks alone are
-   * tried again above it, and no part of this epoch passes a higher epoch.
+   * The worker may have received a higher sub-epoch of the same epoch: from a process whose
+   * clock was ahead, or in a poll that was meant for another incarnation under its id. Only
+   * polls are retried with a higher sub-epoch, and no sub-epoch exceeds the next epoch.
    */
   async poll(
     instance: WorkerInstance,
@@ -107,7 +108,7 @@
     }
   }
 
-  /** Whether that life has obeyed more than the start was last sent under. */
+  /** Whether that incarnation has accepted a higher epoch than the start was last sent under. */
   rejectsStart(instance: WorkerInstance, run: RunRef): boolean {
     const sentUnder = this.sentUnder.get(runKeyOf(run));
     const obeyed = this.lives.get(instance)?.obeyed;
@@ -135,7 +136,7 @@
     }
   }
 
-  /** @returns undefined when the worker has heard a higher one */
+  /** @returns undefined when the worker has received a higher sub-epoch */
   private async tryPart(
     instance: WorkerInstance,
     order: PollRequest,
@@ -154,21 +155,22 @@
     }
   }
 
-  /** What that life is called under now. */
+  /** The epoch and sub-epoch under which that incarnation is called now. */
   private presentOf(instance: WorkerInstance, epoch: Epoch): Epoch {
     return divide(epoch, this.lifeOf(instance, epoch).part);
   }
 
   /**
-   * The life may be over. The next one may stand under its id and be reached by calls for
-   * this one, before it is heard: the first of them bars what was sent until now.
+   * The incarnation may have ended. The next one may have the same id and receive calls that
+   * are meant for this one, before its first heartbeat arrives. With a new sub-epoch, the
+   * first of these calls fences everything that was sent until now.
    */
   private raise(instance: WorkerInstance): void {
     const life = this.lives.get(instance);
     if (life) life.part = this.nextPart();
   }
 
-  /** Above those of all lives that were called before under the epoch. */
+  /** A new incarnation gets a sub-epoch above all that were used under this epoch. */
   private lifeOf(instance: WorkerInstance, epoch: Epoch): LifePart {
     if (this.epoch === undefined || epoch > this.epoch) this.beginEpoch(epoch);
     const known = this.lives.get(instance);
@@ -183,14 +185,14 @@
     return this.highest;
   }
 
-  /** All that was sent under the epoch before is below each part of this one. */
+  /** Everything sent under a previous epoch is lower than each sub-epoch of this one. */
   private beginEpoch(epoch: Epoch): void {
     this.epoch = epoch;
     this.highest = NO_PART;
     for (const [instance] of this.lives) this.lives.delete(instance);
   }
 
-  /** A process that knows nothing of the one before is above it too. */
+  /** Follows the clock, so that a restarted process without state exceeds the previous one. */
   private partOfNow(): number {
     const units = Math.floor(this.options.clock.now() / PARTS.unitMs);
     return units % PARTS.ofEpoch;
--- a/packages/side/src/jobs/JobSideProcess.ts
+++ b/packages/side/src/jobs/JobSideProcess.ts
@@ -1,4 +1,4 @@
-/** The side process of a host whose worker runs the tasks of jobs. */
+/** Wires the side process of a host whose worker runs tasks of jobs. */
 
 import {
   createLogger,
@@ -29,11 +29,11 @@
 import { WorkerPoller } from "./WorkerPoller.js";
 
 const SIDE = {
-  /** A call to the worker, which is on this host, is repeated after this. */
+  /** Timeout of one call to the worker, which is on this host; the call is then repeated. */
   workerCallTimeoutMs: 400,
-  /** A process that takes this one's place has attached and renews the lease within this. */
+  /** Time within which a replacement of this process has attached and renews the lease. */
   restartMs: 3_000,
-  /** Share of the time for a planned stop in which a leader must hear that the worker left. */
+  /** Share of the time for a planned stop within which a leader must record that the worker left. */
   goodbyeShare: 0.6,
 } as const;
 
@@ -124,7 +124,7 @@
     this.logger.info("side.started", { host: settings.host, pid: process.pid });
   }
 
-  /** A planned stop: tasks go on at the worker until their lease is over. */
+  /** Planned stop: tasks continue at the worker until their lease expires. */
   async shutDown(): Promise<void> {
     this.logger.info("side.stopping", { host: this.options.settings.host });
     await this.link.stop();
@@ -149,7 +149,7 @@
   return fencesLives ? new FencedTaskHost({ host, clock }) : host;
 };
 
-/** Settings list entries with another port than the one that sides connect to. */
+/** Replaces the ports of the configured entries by the port that sides connect to. */
 const buildFinder = (
   { entries, entryPort }: JobSideSettings,
   membership: StoreClient,
--- a/packages/side/src/jobs/LeaderClient.ts
+++ b/packages/side/src/jobs/LeaderClient.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps one connection to the leading entry: attaches, reports what the worker
- * shows, takes leases and orders. One task, for as long as the process runs.
+ * Maintains one connection to the leading entry: attaches to it, reports the worker's
+ * status, and receives leases and orders. Runs as a single loop until the process stops.
  */
 
 import { connect, type Socket } from "node:net";
@@ -32,29 +32,29 @@
 import type { WorkerStatus, WorkerPoller } from "./WorkerPoller.js";
 
 const LINK = {
-  /** Between two looks for a leader. */
+  /** Interval between two attempts to find a leader. */
   findEveryMs: 200,
   connectTimeoutMs: 600,
   callTimeoutMs: 1_200,
-  /** A report at least this often: it renews the lease. */
+  /** Longest interval between two reports; each report renews the lease. */
   reportEveryMs: 500,
-  /** The same while the worker drains: time is short then. */
+  /** The same while the worker drains, when little time is left. */
   drainingReportEveryMs: 250,
-  /** Longest wait for news before it is looked whether a report is due. */
+  /** Longest wait for a status change before checking whether a report is due. */
   newsWaitMs: 125,
-  /** While there is nothing to report, the connection is kept open this often. */
+  /** Interval of the pings that keep the connection open while there is nothing to report. */
   pingEveryMs: 1_500,
-  /** Least time between two reports, so that ends are told together. */
+  /** Least time between two reports, so that ends are reported in batches. */
   reportFloorMs: 12,
-  /** A connection without a byte for this long is closed. */
+  /** A connection on which no byte arrives for this long is closed. */
   silenceMs: 4_000,
   /** A leader that grants no lease for this long may have been replaced. */
   ungrantedMs: 700,
-  /** Unanswered reports in a row after which another leader is looked for. */
+  /** Consecutive unanswered reports after which the side searches for another leader. */
   maxUnanswered: 2,
-  /** Between two looks whether a leader has taken note of the worker's end. */
+  /** Interval between two checks whether a leader has recorded the worker's end. */
   goodbyeLookMs: 50,
-  /** Until a leader that has not taken note of it is told again. */
+  /** Delay until a leader that has not recorded it is notified again. */
   goodbyeAgainMs: 400,
 } as const;
 
@@ -68,7 +68,7 @@
   readonly pacer: Pacer;
   readonly clock: Clock;
   readonly logger: Logger;
-  /** For how long a planned stop waits until a leader knows that the worker left, milliseconds. */
+  /** How long a planned stop waits until a leader has recorded that the worker left, milliseconds. */
   readonly deregistrationTimeoutMs: number;
 }
 
@@ -76,12 +76,12 @@
   private readonly abort = new AbortController();
   private connection: LeaderConnection | undefined;
   private reportedAt: Monotonic = -Infinity;
-  /** When the leader last granted a lease, or was last looked for since. */
+  /** When the leader last granted a lease, or when the store was last asked for the leader since. */
   private grantedAt: Monotonic = -Infinity;
-  /** The life of whose end the leader of this connection has taken note. */
+  /** The incarnation whose end the leader of this connection has recorded. */
   private toldGone: WorkerInstance | undefined;
   private isTelling = false;
-  /** The newest sighting that was reported over this connection. */
+  /** The newest status that was reported over this connection. */
   private lastSent: WorkerStatus | undefined;
   private task: Promise<void> | undefined;
 
@@ -100,8 +100,9 @@
   }
 
   /**
-   * A host is often taken away once its worker has left. Were nobody told, the next
-   * leader would start nothing that it knew before until this host's lease is over.
+   * Waits until a leader has recorded the worker's end. A host is often removed once its
+   * worker has left. If no leader had recorded the end, the next leader would start no task
+   * of previous terms until this host's lease has expired.
    */
   private async awaitGoodbye(): Promise<void> {
     const {
@@ -129,7 +130,7 @@
     }
   }
 
-  /** Attaches to the entry and reports for as long as it answers. */
+  /** Attaches to the entry and sends reports as long as it answers. */
   private async serve(address: string): Promise<void> {
     const { host, availabilityZone, poller: watch, logger } = this.options;
     let reason: string;
@@ -188,7 +189,7 @@
     };
   }
 
-  /** @returns why it ended */
+  /** @returns why reporting ended */
   private async reportWhileOpen(
     connection: LeaderConnection,
     address: string,
@@ -232,8 +233,8 @@
   }
 
   /**
-   * Reports what the worker showed, or that it is silent.
-   * @returns whether the leader answered; undefined when nothing is due
+   * Reports the worker's status, or that the worker is silent.
+   * @returns whether the leader answered; undefined when no report is due
    */
   private tellDue(
     connection: LeaderConnection,
@@ -280,14 +281,14 @@
     } catch (err) {
       const error = describeError(err);
       logger.warn("worker.goodbye-unanswered", { instance, error });
-      // Without a worker there are no reports that would show a silent leader.
+      // Without a worker no reports are sent, so an unresponsive leader is detected only here.
       const isSilent = err instanceof LostAnswerError;
       if (isSilent && !registry.worker) connection.close("goodbye unanswered");
       await sleep(clock, LINK.goodbyeAgainMs);
     }
   }
 
-  /** Whether the store names another leader than this one, which grants nothing. */
+  /** Whether the store names another leader, checked when this one has granted no lease for a while. */
   private async isReplaced(address: string): Promise<boolean> {
     const { clock, finder } = this.options;
     if (clock.monotonic() - this.grantedAt < LINK.ungrantedMs) return false;
@@ -296,7 +297,7 @@
     return leader !== undefined && leader !== address;
   }
 
-  /** Older ones may show a worker that is gone, or runs that ended since. */
+  /** An older status may list a worker that has ended, or runs that have ended since. */
   private sightingSince(attachedAt: Monotonic): WorkerStatus | undefined {
     const { currentStatus: sighting } = this.options.poller;
     return sighting && sighting.polledAt >= attachedAt ? sighting : undefined;
--- a/packages/side/src/jobs/LeaderConnection.ts
+++ b/packages/side/src/jobs/LeaderConnection.ts
@@ -1,4 +1,4 @@
-/** The side's end of a connection to the leading entry. */
+/** The side's end of the connection to the leading entry. */
 
 import type {
   hostMethods,
--- a/packages/side/src/jobs/LeaderFinder.ts
+++ b/packages/side/src/jobs/LeaderFinder.ts
@@ -1,7 +1,7 @@
 /**
- * Finds the entry that leads: first by the store, which knows the owner of the
- * leadership partition, then by the entries named in the settings, one of which
- * may still lead while the store is away.
+ * Finds the leading entry: first in the store, which records the owner of the leadership
+ * partition, then among the entries named in the settings, one of which may still lead
+ * while the store is unavailable.
  */
 
 import { describeError, type Clock, type Logger } from "@rackspan/common";
@@ -11,7 +11,7 @@
 export interface LeaderFinderOptions {
   readonly membership: GroupMembership;
   readonly topic: TopicName;
-  /** `IP:PORT` of entries, some of which may be gone. */
+  /** `IP:PORT` of entries, some of which may no longer exist. */
   readonly knownEntries: readonly string[];
   readonly clock: Clock;
   readonly logger: Logger;
@@ -23,7 +23,7 @@
 
   constructor(private readonly options: LeaderFinderOptions) {}
 
-  /** `IP:PORT` of the likeliest leader; undefined when there is none now. */
+  /** `IP:PORT` of the most likely leader; undefined when there is currently none. */
   async find(): Promise<string | undefined> {
     const { membership, topic, logger } = this.options;
     try {
@@ -40,7 +40,7 @@
     }
   }
 
-  /** The leader as the store knows it; undefined when there is none, or no answer. */
+  /** The leader according to the store; undefined when there is none or no answer. */
   async findInStore(): Promise<string | undefined> {
     const address = await this.find();
     return this.storeAnswers ? address : undefined;
--- a/packages/side/src/jobs/PacePlanner.ts
+++ b/packages/side/src/jobs/PacePlanner.ts
@@ -1,7 +1,7 @@
 /**
- * Decides at what pace the filling tasks of this host go on: slower while a
- * serving task beside them nears its tail target, those first that are known to
- * disturb it, and faster again while there is slack. Gives no orders.
+ * Decides the pace of the filling tasks on this host. While a serving task beside them
+ * nears its tail latency target, the filling tasks that are known to disturb it are slowed
+ * down first; while there is slack, they are sped up again. Sends no orders.
  */
 
 import {
@@ -26,44 +26,44 @@
 } from "./paceFactors.js";
 
 /**
- * Shares of the allowed time leave two readings between slowing everything, halting
- * it, and the end of that time.
+ * The shares of the allowed time are chosen so that two readings fit between slowing all
+ * filling tasks, halting them, and the end of that time.
  */
 export const PACING = {
-  /** Their least pace, percent: some progress tells them from hung tasks. */
+  /** Least pace of a filling task, percent: some progress distinguishes it from a hung task. */
   minPercent: 4,
-  /** Least pace at which a new task begins, percent. */
+  /** Least pace at which a new task starts, percent. */
   minFirstPercent: 15,
-  /** Points of percent by which they speed up at least. */
+  /** Least increase of a pace, percentage points. */
   minSpeedUpPoints: 8,
-  /** Time between two adjustments, milliseconds; a reading spans 500. */
+  /** Interval between two adjustments, milliseconds; a reading spans 500. */
   intervalMs: 250,
   /**
-   * Share of the time that a tail may stay over its target after which every
-   * filling task is slowed: what was learnt of the images is then wrong.
+   * Share of the time that a tail may stay over its target after which every filling task is
+   * slowed down: the learned weights of the images are then assumed to be wrong.
    */
   slowAllAfter: 0.25,
-  /** Share of it after which they stand still; a reading is half a second old. */
+  /** Share of it after which all filling tasks are halted; a reading is half a second old. */
   haltAfter: 0.6,
 } as const;
 
-/** Percent; the pace of a task that must not disturb at all for now. */
+/** Pace of a task that must not disturb at all for now, percent. */
 const HALTED = 0;
 
-/** What the longest time of a tail over its target asks for. */
+/** Escalation level that follows from the longest time of a tail over its target. */
 type Trouble = "none" | "blame-all" | "halt";
 
 export interface PacePlannerOptions {
-  /** Milliseconds for which a tail may stay over its target on end. */
+  /** Longest time that a tail may stay over its target without a break, milliseconds. */
   readonly tailGraceMs: number;
-  /** Share of its target at which a tail is held while filling tasks want more. */
+  /** Share of its target at which a tail is held while filling tasks could use more. */
   readonly tailAim: number;
 }
 
 export interface PacePlan {
-  /** The pace wanted for each filling task, percent. */
+  /** Target pace of each filling task, percent. */
   readonly paces: ReadonlyMap<RunningTask, number>;
-  /** Those of them that must slow down. */
+  /** Tasks whose pace is lowered. */
   readonly slowed: ReadonlySet<RunningTask>;
   readonly serving: readonly ServingTail[];
 }
@@ -71,7 +71,7 @@
 export class PacePlanner {
   private readonly tasks = new TaskDescriptions();
   private readonly longTails = new TailOverrunTracker();
-  /** The pace last wanted for each run, percent. */
+  /** Latest target pace of each run, percent. */
   private readonly wanted = new Map<string, number>();
 
   constructor(private readonly options: PacePlannerOptions) {}
@@ -80,14 +80,14 @@
     this.tasks.describe(task, nature);
   }
 
-  /** Takes what the leader knows of the images on this host. */
+  /** Replaces the interference weights by those that the leader sent for the images on this host. */
   updateDisturbances(disturbances: readonly InterferenceWeight[]): void {
     this.tasks.updateDisturbances(disturbances);
   }
 
   /**
-   * Takes a run that this process did not start: its pace is told by the
-   * processor time that it gets.
+   * Adopts a run that this process did not start. Its pace is derived from the processor
+   * time that it gets.
    */
   adoptRun(row: RunningTask): void {
     const key = runKeyOf(row);
@@ -99,7 +99,7 @@
     );
   }
 
-  /** The run was begun at this pace, percent. */
+  /** Records the pace at which the run was started, percent. */
   recordFirstPace(row: RunningTask, percent: number): void {
     this.wanted.set(runKeyOf(row), percent);
   }
@@ -122,7 +122,7 @@
       const before =
         this.wanted.get(runKeyOf(row)) ?? this.firstPace(row, serving, filling);
       const factor = boundFactor(factors.get(row) ?? 1, trouble);
-      // Nobody stands still any longer than the trouble does.
+      // A halted task resumes at its least pace as soon as the halt is over.
       const going = Math.max(before, PACING.minPercent);
       const pace =
         trouble === "halt" ? HALTED : this.nextPace(row, going, factor);
@@ -140,7 +140,7 @@
     return share >= PACING.slowAllAfter ? "blame-all" : "none";
   }
 
-  /** Processor time that the task got, percent of what it asked for. */
+  /** Processor time that the task got, percent of what it requested. */
   private usedPercent(row: RunningTask): number {
     return (FULL_PACE * row.reading) / this.tasks.demandOf(row);
   }
@@ -159,7 +159,7 @@
     return Math.min(FULL_PACE, Math.round(faster));
   }
 
-  /** A new task goes on as others of its image do here, or as the tails allow. */
+  /** A new task gets the pace of other tasks of its image here, or the pace that the tails allow. */
   private firstPace(
     row: RunningTask,
     serving: readonly ServingTail[],
@@ -170,7 +170,7 @@
     return Math.max(PACING.minFirstPercent, pace);
   }
 
-  /** The least pace of other tasks of the image; undefined when there are none. */
+  /** The lowest pace of other tasks of the image; undefined when there are none. */
   private paceOfSiblings(
     row: RunningTask,
     filling: readonly RunningTask[],
@@ -183,7 +183,7 @@
     return paces.length > 0 ? Math.min(...paces) : undefined;
   }
 
-  /** The pace at which the task alone would take up the headroom of a tail. */
+  /** The pace at which the task alone would use up the smallest headroom of any tail. */
   private paceFor(row: RunningTask, serving: readonly ServingTail[]): number {
     const cores = this.tasks.demandOf(row) / MILLI_CORES_PER_CORE;
     let pace = FULL_PACE;
@@ -206,6 +206,6 @@
   }
 }
 
-/** A tail that stays too long shows that the tasks to blame are not known. */
+/** A tail that stays over its target for too long shows that its cause is not known. */
 const boundFactor = (factor: number, trouble: Trouble): number =>
   trouble === "none" ? factor : Math.min(factor, PACE_FACTORS.minFactor);
--- a/packages/side/src/jobs/Pacer.ts
+++ b/packages/side/src/jobs/Pacer.ts
@@ -1,7 +1,7 @@
 /**
- * Orders the worker to slow filling tasks down and to speed them up, as planned
- * from the readings of its reports. The leader need not be asked: readings are
- * half a second old at most.
+ * Orders the worker to slow down or speed up filling tasks, as planned from the readings in
+ * its poll responses. Decides on the side, without the leader, so that readings are half a
+ * second old at most.
  */
 
 import {
@@ -30,12 +30,12 @@
 import { retainListedRuns } from "./retainListedRuns.js";
 import { PacePlanner, type PacePlan } from "./PacePlanner.js";
 
-/** Runs that were ordered and may not be listed yet; older ones are forgotten. */
+/** Limit of ordered runs that may not be listed yet; older ones are dropped. */
 const MAX_UNLISTED = 64;
 
 /**
- * An order without an answer may be carried out this long after it, and then take
- * the place of a newer one; milliseconds: workers speak of seconds.
+ * A worker may carry out an unanswered order up to this long after it was sent, and then
+ * override a newer one, milliseconds. The worker's interface only states "seconds".
  */
 const OPEN_ORDER_MS = 5_000;
 
@@ -44,13 +44,13 @@
   readonly clock: Clock;
   readonly logger: Logger;
   readonly metrics: Metrics;
-  /** Milliseconds for which a tail may stay over its target on end. */
+  /** Longest time that a tail may stay over its target without a break, milliseconds. */
   readonly tailGraceMs: number;
-  /** Share of its target at which a tail is held while filling tasks want more. */
+  /** Share of its target at which a tail is held while filling tasks could use more. */
   readonly tailAim: number;
 }
 
-/** A run that the worker has begun, and the pace at which it is to begin. */
+/** A run that the worker has started, and the first pace that it should have. */
 export type FirstPace = RunRef & {
   readonly instance: WorkerInstance;
   readonly epoch: Epoch;
@@ -60,11 +60,11 @@
 
 export class Pacer {
   private readonly planner: PacePlanner;
-  /** The pace last given to each run, percent; absent when it is not known. */
+  /** The pace last ordered for each run, percent; absent when the pace in force is unknown. */
   private readonly given = new Map<string, number>();
-  /** The first pace of runs that this process ordered and no look has shown yet, percent. */
+  /** First pace of runs that this process ordered and that no poll has listed yet, percent. */
   private readonly unlisted = new BoundedMap<string, number>(MAX_UNLISTED);
-  /** Until when an order for each run that got no answer may be carried out. */
+  /** Until when an unanswered order may still be carried out, by run. */
   private readonly openUntil = new Map<string, Monotonic>();
 
   constructor(private readonly options: PacerOptions) {
@@ -75,12 +75,12 @@
     this.planner.describe(task, nature);
   }
 
-  /** This process starts the run; the worker begins it at full pace. */
+  /** Records that this process starts the run; the worker starts it at full pace. */
   recordStarting(run: RunRef): void {
     this.unlisted.set(runKeyOf(run), FULL_PACE);
   }
 
-  /** The worker has begun the run: its first pace is ordered without waiting for a look. */
+  /** Orders the first pace of a run that the worker has started, without waiting for a poll. */
   orderFirstPace({
     instance,
     epoch,
@@ -90,19 +90,19 @@
   }: FirstPace): void {
     if (firstPercent >= FULL_PACE) return;
     const key = runKeyOf({ task, run });
-    // A look was faster: the pace follows from what it showed.
+    // A poll has listed the run already, so its pace follows from the readings.
     if (this.unlisted.get(key) === undefined) return;
     this.unlisted.replace(key, firstPercent);
     this.options.metrics.count("pace_orders", { way: "first" });
     this.send(instance, { task, run, percent: firstPercent, epoch });
   }
 
-  /** Takes what the leader knows of the images on this host. */
+  /** Replaces the interference weights by those that the leader sent for the images on this host. */
   updateDisturbances(disturbances: readonly InterferenceWeight[]): void {
     this.planner.updateDisturbances(disturbances);
   }
 
-  /** Looks at the readings of one report and orders new paces where needed. */
+  /** Evaluates the readings of one poll and orders new paces where needed. */
   adjust(
     instance: WorkerInstance,
     epoch: Epoch,
@@ -143,8 +143,8 @@
   }
 
   /**
-   * Orders a pace. One that gets no answer leaves it open which pace is in force,
-   * so until it cannot be carried out any more each look orders the pace again.
+   * Orders a pace. After an order without an answer it is unknown which pace is in force, so
+   * each poll orders the pace again until the order can no longer be carried out.
    */
   private send(instance: WorkerInstance, order: PaceOrder): void {
     const { host, clock, logger, metrics } = this.options;
@@ -158,7 +158,7 @@
     });
   }
 
-  /** Drops orders that cannot be carried out any more. */
+  /** Drops unanswered orders that can no longer be carried out. */
   private closeOrders(): void {
     const now = this.options.clock.monotonic();
     for (const [key, until] of this.openUntil) {
@@ -177,7 +177,7 @@
   }
 }
 
-/** Where the pace goes from the one given before, for the metrics. */
+/** Direction of the change from the pace ordered before, for the metrics. */
 const wayOf = (before: number | undefined, percent: number): string => {
   if (before === undefined) return "found";
   if (before === percent) return "again";
--- a/packages/side/src/jobs/PreviousStartFencer.ts
+++ b/packages/side/src/jobs/PreviousStartFencer.ts
@@ -1,6 +1,6 @@
 /**
- * Bars at a worker's present life what a former one was told to start and has not
- * answered: each of these runs may begin there until it is barred.
+ * Fences, at the worker's current incarnation, start orders that were sent to a previous one
+ * and never answered: each of these runs may start at the current one until it is fenced.
  */
 
 import {
@@ -14,11 +14,11 @@
 import type { UnansweredStarts } from "./UnansweredStarts.js";
 
 const BARS = {
-  /** Starts that are barred at once, so that one bar without an answer holds up few others. */
+  /** Starts that are fenced concurrently, so that a call without an answer delays few others. */
   atOnce: 4,
-  /** Tries of one bar; all that are on their way need a connection each. */
+  /** Calls per start. Each call in flight needs its own connection. */
   tries: 3,
-  /** Until a bar without an answer is sent once more, milliseconds. */
+  /** Delay until a call without an answer is sent once more, milliseconds. */
   againMs: 50,
 } as const;
 
@@ -32,7 +32,7 @@
 export class PreviousStartFencer {
   constructor(private readonly options: PreviousStartFencerOptions) {}
 
-  /** @returns the errors of bars that failed; none when the worker has barred them all */
+  /** @returns the errors of failed calls; empty when the worker has fenced all starts */
   async fenceAll(
     instance: WorkerInstance,
     epoch: Epoch,
@@ -59,7 +59,7 @@
   }
 
   /**
-   * Does not wait until a try is given up before the next one: the run may begin
+   * Sends the next call before the previous one has timed out, since the run may start
    * meanwhile.
    */
   private async bar(
--- a/packages/side/src/jobs/SentLeaseTracker.ts
+++ b/packages/side/src/jobs/SentLeaseTracker.ts
@@ -1,8 +1,8 @@
 /**
- * Until when the worker on this host may at most run anything, by the leases that were
- * sent to it. Only its side sends them, so this holds whoever leads. Calls without an
- * answer count as well, since a worker may carry them out later; their leases end at a
- * time of its own clock all the same.
+ * Tracks an upper bound for the time until which the worker on this host may run anything,
+ * derived from the leases that were sent to it. Only its side sends leases, so the bound
+ * holds for every leader. Calls without an answer count as well, since a worker may carry
+ * them out later; their leases still end at a fixed time on the worker's clock.
  */
 
 import type {
@@ -13,7 +13,7 @@
 } from "@rackspan/common";
 import { latestLeaseExpiry } from "@rackspan/leadership";
 
-/** The newest reading of a life's clock. */
+/** The newest reading of an incarnation's clock. */
 interface ClockReading {
   readonly instance: WorkerInstance;
   readonly at: WorkerTime;
@@ -23,29 +23,29 @@
 
 export interface SentLeaseTrackerOptions {
   readonly clock: Clock;
-  /** Longest lease that the worker takes, milliseconds; Infinity when nobody says. */
+  /** Longest lease that the worker accepts, milliseconds; Infinity when it is unknown. */
   readonly longestLeaseMs: number;
 }
 
 export class SentLeaseTracker {
-  /** Unknown until this process begins. */
+  /** Infinity (unknown) until `start`. */
   private overBy: Monotonic = Infinity;
   private reading: ClockReading | undefined;
 
   constructor(private readonly options: SentLeaseTrackerOptions) {}
 
-  /** A process before this one may have sent a lease until now, and none later. */
+  /** A previous process of this side may have sent a lease until now, but not later. */
   start(): void {
     this.overBy = this.longestFromNow();
   }
 
-  /** That life has answered with this reading of its clock. */
+  /** Records the clock reading in an answer of that incarnation. */
   recordClockReading(instance: WorkerInstance, at: WorkerTime): void {
     const receivedAt = this.options.clock.monotonic();
     this.reading = { instance, at, receivedAt };
   }
 
-  /** A call that carries this lease is about to be sent to that life. */
+  /** Records that a call with this lease is about to be sent to that incarnation. */
   recordSent(instance: WorkerInstance, leaseUntil: WorkerTime): void {
     const { reading } = this;
     if (reading?.instance !== instance) {
@@ -56,12 +56,12 @@
     this.raise(latestLeaseExpiry(reading.receivedAt, leaseMs));
   }
 
-  /** A lease was sent, here or by another, of which this process cannot tell the end. */
+  /** Assumes the longest lease from now: one with an unknown end was sent, by this process or another. */
   assumeLongest(): void {
     this.raise(this.longestFromNow());
   }
 
-  /** Milliseconds until every lease is over for certain; undefined when nobody can tell. */
+  /** Milliseconds until every lease is guaranteed to be over; undefined when that is unknown. */
   get overInMs(): number | undefined {
     const leftMs = this.overBy - this.options.clock.monotonic();
     return Number.isFinite(leftMs) ? Math.max(0, Math.ceil(leftMs)) : undefined;
--- a/packages/side/src/jobs/SilenceReporter.ts
+++ b/packages/side/src/jobs/SilenceReporter.ts
@@ -1,7 +1,7 @@
 /**
- * Tells the leader of one connection until when the silent worker may run anything, so
- * that a leader which has not heard of it need not count the longest lease from the
- * beginning of its own term.
+ * Reports to the leader of one connection until when a silent worker may run anything.
+ * Without this report, a leader to which the host has not reported yet would have to wait
+ * for the longest lease, counted from the start of its own term.
  */
 
 import {
@@ -16,7 +16,7 @@
 import type { WorkerStatus, WorkerPoller } from "./WorkerPoller.js";
 
 const SILENCE = {
-  /** A worker that has not been seen for this long since the side attached is silent, milliseconds. */
+  /** A worker without a status for this long after the side attached counts as silent, milliseconds. */
   unseenMs: 500,
   /** Least time between two calls to the leader, milliseconds. */
   tellEveryMs: 500,
@@ -24,33 +24,33 @@
 
 /** A call to a leader about a silent worker, and its outcome. */
 interface SilenceTold {
-  /** Absent when the side cannot tell when the worker's lease is over. */
+  /** Absent when the side does not know when the worker's lease is over. */
   readonly overInMs: number | undefined;
   readonly grants?: boolean;
-  /** Why there is no answer. */
+  /** The error when there is no answer. */
   readonly error?: string;
 }
 
 export interface SilenceReporterOptions {
   readonly connection: LeaderConnection;
-  /** When the side attached over the connection. */
+  /** When the side attached on this connection. */
   readonly attachedAt: Monotonic;
   readonly registry: WorkerRegistry;
   readonly poller: WorkerPoller;
   readonly clock: Clock;
   readonly logger: Logger;
-  /** For how long an answer is waited for, milliseconds. */
+  /** Timeout of a call to the leader, milliseconds. */
   readonly callTimeoutMs: number;
 }
 
 export class SilenceReporter {
   private toldAt: Monotonic = -Infinity;
-  /** The outcome of the call that was logged last. */
+  /** The outcome that was logged last. */
   private loggedOutcome: string | undefined;
 
   constructor(private readonly options: SilenceReporterOptions) {}
 
-  /** @param sighting the newest since the side attached */
+  /** @param status the newest status since the side attached */
   isDue(sighting: WorkerStatus | undefined): boolean {
     const { poller: watch, clock, attachedAt } = this.options;
     const now = clock.monotonic();
@@ -77,19 +77,19 @@
         { overInMs, neverBegun },
         callTimeoutMs,
       );
-      // One that decides nothing any more hands nothing on.
+      // A leader that no longer grants leases does not pass the runs on to the next leader.
       if (grants) registry.runs.markNeverBegunReported(neverBegun);
       this.logOutcome({ overInMs, grants });
       return { isAnswered: true, grants };
     } catch (err) {
       this.logOutcome({ overInMs, error: describeError(err) });
-      // A leader of an earlier version refuses a method that it does not know.
+      // A leader of an earlier version rejects this method as unknown, which is an answer, too.
       const isAnswered = !(err instanceof LostAnswerError);
       return { isAnswered, grants: false };
     }
   }
 
-  /** Once a connection, and when what came of it changes. */
+  /** Logs the first outcome on a connection, and each change of it. */
   private logOutcome({ overInMs, grants, error }: SilenceTold): void {
     const { poller: watch, registry, logger } = this.options;
     const outcome = error ?? `grants ${grants}`;
--- a/packages/side/src/jobs/TailOverrunTracker.ts
+++ b/packages/side/src/jobs/TailOverrunTracker.ts
@@ -1,13 +1,13 @@
-/** Follows for how long the tails of serving tasks have been over their targets. */
+/** Tracks for how long the tail latencies of serving tasks have been over their targets. */
 
 import type { JobTaskId, Monotonic } from "@rackspan/common";
 import type { ServingTail } from "./paceFactors.js";
 
 export class TailOverrunTracker {
-  /** Since when each serving task's tail has been over its target. */
+  /** When each serving task's tail last rose above its target. */
   private readonly since = new Map<JobTaskId, Monotonic>();
 
-  /** @returns the longest time of any tail over its target on end, milliseconds */
+  /** @returns the longest time that any tail has been over its target without a break, milliseconds */
   update(serving: readonly ServingTail[], now: Monotonic): number {
     let longestMs = 0;
     for (const { task, tail } of serving) {
@@ -22,7 +22,7 @@
     return longestMs;
   }
 
-  /** Drops what is known of tasks that run no more. */
+  /** Drops tasks that no longer run. */
   retainOnly(tasks: ReadonlySet<JobTaskId>): void {
     for (const task of this.since.keys()) {
       if (!tasks.has(task)) this.since.delete(task);
--- a/packages/side/src/jobs/TaskDescriptions.ts
+++ b/packages/side/src/jobs/TaskDescriptions.ts
@@ -1,6 +1,6 @@
 /**
- * What the leader told this side of the tasks on its host: what each of them is,
- * and how much the images there disturb each other.
+ * What the leader has sent about the tasks on this host: a description of each task, and
+ * how much the images there disturb each other.
  */
 
 import type { JobTaskId } from "@rackspan/common";
@@ -11,7 +11,7 @@
 } from "@rackspan/protocol";
 import type { ServingTail } from "./paceFactors.js";
 
-/** Tasks that were ordered and are not listed yet, whose natures are kept at most. */
+/** Limit of ordered tasks that are not listed yet whose descriptions are kept. */
 const KEPT_UNLISTED = 64;
 
 export class TaskDescriptions {
@@ -23,7 +23,7 @@
     this.natures.set(task, nature);
   }
 
-  /** Takes what the leader knows of the images on this host, in place of all before. */
+  /** Replaces all weights by those that the leader sent for the images on this host. */
   updateDisturbances(disturbances: readonly InterferenceWeight[]): void {
     this.weights.clear();
     for (const { serving, filling, weight } of disturbances) {
@@ -41,17 +41,17 @@
     return this.natures.get(task)?.image;
   }
 
-  /** What one core of the task adds to the logarithm of the serving image's tail. */
+  /** Increase of the logarithm of the serving image's tail for each core that the task uses. */
   weightOf(serving: string, row: RunningTask): number {
     return this.weights.get(serving)?.get(this.imageOf(row) ?? "") ?? 0;
   }
 
-  /** Thousandths of a core that the task asked for, at least one. */
+  /** Thousandths of a core that the task requests, at least one. */
   demandOf({ task }: RunningTask): number {
     return Math.max(1, this.natures.get(task)?.milliCores ?? 0);
   }
 
-  /** The tails of the serving tasks among those that run. */
+  /** Tail latencies of the running serving tasks, relative to their targets. */
   servingTails(running: readonly RunningTask[]): ServingTail[] {
     const tails: ServingTail[] = [];
     for (const { task, reading } of running) {
@@ -63,7 +63,7 @@
     return tails;
   }
 
-  /** Drops what is known of tasks that run no more, once that is much. */
+  /** Drops descriptions of tasks that no longer run, once there are many of them. */
   retainOnly(tasks: ReadonlySet<JobTaskId>): void {
     if (this.natures.size <= 2 * tasks.size + KEPT_UNLISTED) return;
     for (const task of this.natures.keys()) {
--- a/packages/side/src/jobs/TaskOrderHandler.ts
+++ b/packages/side/src/jobs/TaskOrderHandler.ts
@@ -1,4 +1,4 @@
-/** Carries the leader's orders out at the worker; calls without an answer are repeated. */
+/** Carries out the leader's orders at the worker and repeats calls without an answer. */
 
 import {
   describeError,
@@ -26,13 +26,13 @@
 import type { WorkerPoller } from "./WorkerPoller.js";
 
 const ORDERS = {
-  /** Calls to the worker are repeated for this long; the leader waits a little longer. */
+  /** Calls to the worker are repeated for this long; the leader's timeout is a little longer. */
   repeatForMs: 1_300,
-  /** Between two tries: a worker that refuses connections does so at once. */
+  /** Pause between two tries: a worker that refuses connections does so at once. */
   repeatPauseMs: 50,
 } as const;
 
-/** What an order took at the worker, for logs; empty when the worker was not called. */
+/** Tries and duration of an order, for logs; empty when the worker was not called. */
 interface CallEffort {
   readonly tries?: number;
   /** Milliseconds from the first try to the last answer. */
@@ -86,7 +86,7 @@
         if (!(err instanceof WorkerSilentError)) throw err;
         mayHaveArrived ||= err.mayHaveArrived;
         if (mayHaveArrived) throw err;
-        // No connection: the run has not begun, and goes elsewhere at once.
+        // No connection: the run has not begun, so the leader can place it elsewhere at once.
         return { kind: "refused", reason: "unhealthy" };
       }
     });
@@ -95,9 +95,9 @@
       registry.runs.recordStarted(instance, order, result.at);
       pacer.orderFirstPace(call);
     }
-    // A refusal speaks of the last try only: one before it that got no answer may
-    // have been carried out, and the run have ended since, or may be later. So does
-    // the answer of another life: the run may have crashed the one before it.
+    // A refusal only covers the last try: an earlier try without an answer may have been
+    // carried out, with the run over by now, or may be carried out later. The same holds
+    // for an answer of another incarnation: the run may have crashed the one before it.
     const isNo = result.kind === "refused" || result.kind === "replaced";
     const isUnsure = mayHaveArrived && isNo;
     if (isNo && !isUnsure) registry.runs.recordRefused(instance, order);
@@ -125,7 +125,7 @@
     if (epoch < (watch.currentEpoch ?? 0)) {
       return { kind: "refused", reason: "fenced" };
     }
-    // While it is open which life stands here, the worker's own answer decides.
+    // While it is unknown which incarnation is current, the worker's own answer decides.
     return registry.mayBeCurrent(instance) ? undefined : { kind: "replaced" };
   }
 
--- a/packages/side/src/jobs/UnansweredStarts.ts
+++ b/packages/side/src/jobs/UnansweredStarts.ts
@@ -1,7 +1,7 @@
 /**
- * Orders to start that have no answer, or none yet. A worker may carry one out seconds
- * later, and so may its next life where both stand under one id: the run would begin
- * there although the leader has taken it for lost with the life before.
+ * Tracks start orders that have no answer, or none yet. A worker may carry out such an order
+ * seconds later, and so may its next incarnation if both have the same id: the run would
+ * start there although the leader has recorded it as lost with the previous incarnation.
  */
 
 import type { Clock, Monotonic, WorkerInstance } from "@rackspan/common";
@@ -9,9 +9,9 @@
 import { BoundedMap } from "@rackspan/state";
 
 const UNANSWERED = {
-  /** An order is not carried out later than this, milliseconds: workers speak of seconds. */
+  /** No order is carried out later than this, milliseconds; the worker's interface states "seconds". */
   keptMs: 15_000,
-  /** The oldest are forgotten. */
+  /** Limit of starts; the oldest are dropped. */
   maxKept: 1_024,
 } as const;
 
@@ -19,7 +19,7 @@
   readonly ref: RunRef;
   readonly instance: WorkerInstance;
   readonly triedAt: Monotonic;
-  /** The other life that has last confirmed that the run never begins there. */
+  /** The other incarnation that last confirmed that the run never starts there. */
   barredAt: WorkerInstance | undefined;
 }
 
@@ -31,7 +31,7 @@
 
   constructor(private readonly clock: Clock) {}
 
-  /** That life is about to be told to start it. */
+  /** Records that a start order is about to be sent to that incarnation. */
   recordSent(instance: WorkerInstance, { task, run }: RunRef): void {
     const triedAt = this.clock.monotonic();
     this.starts.set(runKeyOf({ task, run }), {
@@ -42,18 +42,18 @@
     });
   }
 
-  /** Every order to start it was answered. */
+  /** Records that every start order for the run was answered. */
   recordAnswered(ref: RunRef): void {
     this.starts.delete(runKeyOf(ref));
   }
 
-  /** The run never begins at that life. */
+  /** Records that the run never starts at that incarnation. */
   recordFenced(instance: WorkerInstance, ref: RunRef): void {
     const start = this.starts.get(runKeyOf(ref));
     if (start) start.barredAt = instance;
   }
 
-  /** Runs that were ordered of other lives, and that may yet begin at this one. */
+  /** Runs that were ordered from other incarnations and that may still start at this one. */
   unfencedAt(instance: WorkerInstance): readonly RunRef[] {
     return this.ofOthers(instance)
       .filter(({ barredAt }) => barredAt !== instance)
@@ -61,10 +61,10 @@
   }
 
   /**
-   * For how long a start that was sent to another life may yet reach that one.
-   * @param instance undefined for a life that was not heard yet
-   * @param isBarred whether that life refuses the start, whenever it comes
-   * @returns milliseconds; 0 when none may
+   * How long a start that was sent to another incarnation may still arrive at this one.
+   * @param instance undefined for an incarnation whose heartbeat has not arrived yet
+   * @param isRejected whether that incarnation rejects the start, whenever it arrives
+   * @returns milliseconds; 0 when no start can arrive any more
    */
   mayArriveForMs(
     instance: WorkerInstance | undefined,
--- a/packages/side/src/jobs/WorkerPoller.ts
+++ b/packages/side/src/jobs/WorkerPoller.ts
@@ -1,6 +1,6 @@
 /**
- * Looks at the worker all the time: renews its lease with what the leader has
- * granted, and keeps the newest lists of what runs and what ended there.
+ * Polls the worker continuously: renews its lease with what the leader has granted, and
+ * keeps the newest lists of running and ended tasks.
  */
 
 import {
@@ -29,24 +29,24 @@
 import type { WorkerRegistry } from "./WorkerRegistry.js";
 
 const WATCH = {
-  /** Pause while there is no worker or no leader, and after a failure. */
+  /** Pause while there is no worker or no leader, and after a failed poll. */
   idleMs: 100,
-  /** Pause while ends are listed that the leader has not acknowledged. */
+  /** Pause while some listed ends are not acknowledged by the leader. */
   unacknowledgedMs: 40,
   /**
-   * A worker that has had a look for this long has told of every end that it knew of:
+   * A worker that has held a poll for this long has reported every end it had recorded:
    * longer than a call takes on one machine.
    */
   heldMs: 15,
 } as const;
 
-/** What one look at the worker has shown. */
+/** Result of one poll of the worker. */
 export interface WorkerStatus {
   readonly instance: WorkerInstance;
-  /** The epoch that the worker had heard by then. */
+  /** The epoch under which the poll was sent. */
   readonly epoch: Epoch;
   readonly answer: PollResponse;
-  /** When the call was made that it answers, on the side's clock. */
+  /** When the poll was sent, on the side's clock. */
   readonly polledAt: Monotonic;
 }
 
@@ -56,20 +56,20 @@
   readonly pacer: Pacer;
   readonly clock: Clock;
   readonly logger: Logger;
-  /** The worker's lease is never renewed further ahead than this, milliseconds. */
+  /** The worker's lease is renewed no further ahead than this, milliseconds. */
   readonly unattendedLeaseMs: number;
-  /** Longest lease that the worker takes, milliseconds; Infinity when nobody says. */
+  /** Longest lease that the worker accepts, milliseconds; Infinity when it is unknown. */
   readonly longestLeaseMs: number;
 }
 
 export class WorkerPoller {
-  /** Notified at the first look under an epoch, and when ends were listed. */
+  /** Notified after the first poll under an epoch, and when new ends are listed. */
   readonly statusChanged = new ChangeSignal();
   private readonly abort = new AbortController();
   private readonly wake = new ChangeSignal();
   private epoch: Epoch | undefined;
   private lastSighting: WorkerStatus | undefined;
-  /** When the last sighting arrived, on the side's clock. */
+  /** When the last status arrived, on the side's clock. */
   private seenAt: Monotonic = -Infinity;
   private leaseUntil: WorkerTime | undefined;
   private acknowledged = 0;
@@ -102,7 +102,7 @@
     await this.task;
   }
 
-  /** The newest sighting under the current epoch. */
+  /** The newest status of the current incarnation under the current epoch. */
   get currentStatus(): WorkerStatus | undefined {
     const seen = this.lastSighting;
     const { worker } = this.options.registry;
@@ -114,51 +114,53 @@
     return this.epoch;
   }
 
-  /** An order that carries this lease is about to be sent to that life. */
+  /** Records that an order with this lease is about to be sent to that incarnation. */
   recordLeaseSent(instance: WorkerInstance, leaseUntil: WorkerTime): void {
     this.sent.recordSent(instance, leaseUntil);
   }
 
-  /** Whether the last look at the worker was answered. */
+  /** Whether the worker answered the last poll. */
   get isResponding(): boolean {
     return this.answering;
   }
 
-  /** Obeys this epoch from now on, and no lower one. */
+  /** Switches to this epoch unless the current one is higher. */
   raiseEpoch(epoch: Epoch): void {
     if (this.epoch !== undefined && epoch <= this.epoch) return;
     this.epoch = epoch;
     this.wake.notify();
   }
 
-  /** The leader lets the worker's tasks run until then. */
+  /** Records that the leader lets the worker's tasks run until then. */
   grant(instance: WorkerInstance, leaseUntil: WorkerTime): void {
     if (this.lastSighting?.instance !== instance) return;
     this.leaseUntil = leaseUntil;
   }
 
   /**
-   * Tells when the lease of a silent worker is over, for the present leader to count on.
-   * What was granted before is not renewed any more: the worker may answer again, and
-   * the leader knows of that only once it has taken a report.
+   * Stops renewing the lease of a silent worker, and returns when the lease is over at the
+   * latest, so that the current leader can rely on it. The worker may answer again, and the
+   * leader learns of that only from the next report, so the lease is not renewed until the
+   * leader grants it anew.
    *
-   * @returns milliseconds; undefined when it cannot be told
+   * @returns milliseconds; undefined when the end is unknown
    */
   stopRenewingLease(): number | undefined {
     const { worker } = this.options.registry;
     this.leaseUntil = undefined;
-    // Its lease is by the clock of another life.
+    // The lease of such a start is measured by the clock of another incarnation.
     if (this.previousStartsForMs(worker?.instance) > 0)
       this.sent.assumeLongest();
     return this.sent.overInMs;
   }
 
   /**
-   * For how long a start that was sent to another life may yet bring a lease at that one.
-   * One that a stop has barred brings it too; one that is refused by its fence does not.
+   * How long a start that was sent to another incarnation may still give this one a lease.
+   * A start that a stop order has fenced still gives a lease; one that is rejected because of
+   * its epoch does not.
    *
-   * @param instance undefined for a life that was not heard yet
-   * @returns milliseconds; 0 when none may
+   * @param instance undefined for an incarnation whose heartbeat has not arrived yet
+   * @returns milliseconds; 0 when no start can arrive any more
    */
   previousStartsForMs(instance: WorkerInstance | undefined): number {
     const { registry, host } = this.options;
@@ -169,7 +171,7 @@
     );
   }
 
-  /** The store keeps all ends up to this number. */
+  /** All ends up to this number are persisted in the store. */
   acknowledge(instance: WorkerInstance, acknowledged: number): void {
     if (this.lastSighting?.instance !== instance) return;
     if (acknowledged <= this.acknowledged) return;
@@ -177,7 +179,7 @@
     this.wake.notify();
   }
 
-  /** Ends that were not acknowledged, of the newest sighting. */
+  /** Ends in the newest status that are not acknowledged yet. */
   get unacknowledgedEnds(): readonly EndedRun[] {
     const ended = this.currentStatus?.answer.ended ?? [];
     return ended.filter(({ number }) => number > this.acknowledged);
@@ -236,8 +238,8 @@
   }
 
   /**
-   * Before the leader hears of this life.
-   * @returns whether no start of a former one begins here any more
+   * Runs before the first report of this incarnation to the leader.
+   * @returns whether no start of a previous incarnation can begin here any more
    */
   private async barFormerStarts(
     instance: WorkerInstance,
@@ -249,9 +251,9 @@
   }
 
   /**
-   * Whether the look broke off while the worker had it and waited for an end. A look
-   * after one that failed may never have reached the worker: something else at its
-   * address takes the connection and drops it.
+   * Whether the poll was interrupted while the worker held it and waited for an end. A poll
+   * after a failed one does not count, since it may never have reached the worker: another
+   * process at its address may have accepted and dropped the connection.
    */
   private hasBrokenOff(
     err: unknown,
@@ -265,14 +267,14 @@
   }
 
   /**
-   * What the leader has granted, but no further ahead than the worker may go alone. A
-   * silent worker gets none: its lease would last longer, and so would the wait for it.
+   * The granted lease, limited to the time that the worker may continue unattended. A silent
+   * worker gets none, since that would extend the lease and with it the wait until it is over.
    */
   private renewedLease(): WorkerTime | undefined {
     const { clock, unattendedLeaseMs } = this.options;
     if (this.leaseUntil === undefined || !this.lastSighting) return undefined;
     if (!this.answering) return undefined;
-    // The worker's clock is at least this: its answer took time to arrive.
+    // A lower bound for the worker's clock, since its answer took time to arrive.
     const at = this.lastSighting.answer.at + clock.monotonic() - this.seenAt;
     const until = Math.min(this.leaseUntil, Math.floor(at + unattendedLeaseMs));
     return until as WorkerTime;
@@ -308,7 +310,7 @@
     }
     if (err instanceof TaskRefusedError && err.fenced) {
       logger.info("worker.fenced-us", { epoch: this.epoch });
-      // Another process calls this worker, and may renew its lease.
+      // Another process calls this worker and may renew its lease.
       this.sent.assumeLongest();
     }
     if (!this.answering) return;
@@ -316,7 +318,7 @@
     logger.warn("worker.lost", { error: describeError(err) });
   }
 
-  /** Another life of the worker: its numbers and its clock begin anew. */
+  /** For another incarnation of the worker, whose end numbers and clock start anew. */
   private forget(): void {
     this.lastSighting = undefined;
     this.leaseUntil = undefined;
--- a/packages/side/src/jobs/WorkerRegistry.ts
+++ b/packages/side/src/jobs/WorkerRegistry.ts
@@ -1,4 +1,4 @@
-/** Which life of the worker stands on this host, by its own heartbeats. */
+/** Determines from heartbeats which incarnation of the worker is the current one on this host. */
 
 import {
   ChangeSignal,
@@ -16,31 +16,31 @@
 /** A heartbeat of the worker on this host. */
 export interface WorkerHeartbeat {
   readonly worker: WorkerDescription;
-  /** Rises with each heartbeat of one life. */
+  /** Increases with each heartbeat of one incarnation. */
   readonly sequence: number;
   /**
-   * Whether it may be another life's that was heard; given only where the worker does
-   * not say which of the lives under its id it is.
+   * Whether the heartbeat may be from another registered incarnation. Only set when the
+   * worker does not specify which of the incarnations with its id it is.
    */
   readonly mayBeFrom?: ((life: WorkerInstance) => boolean) | undefined;
 }
 
 const REGISTRY = {
-  /** Ids of lives that are over; late heartbeats of theirs are passed over. */
+  /** Incarnations that have ended; their late heartbeats are ignored. */
   maxGone: 64,
-  /** Lives that may be the present one; those heard before them are forgotten. */
+  /** Displaced incarnations that may be the current one; older ones are dropped. */
   maxDisplaced: 8,
 } as const;
 
-/** What a worker says at its planned end. */
+/** Message of a worker at its planned end. */
 export interface WorkerDeregistration {
-  /** The life that it names. */
+  /** The incarnation that the message names. */
   readonly instance: WorkerInstance;
-  /** Whether it may mean that life, where it does not name one that was heard. */
+  /** Whether the message may be from that incarnation, when it names none that is registered. */
   readonly mayBeFrom: (life: WorkerInstance) => boolean;
 }
 
-/** The heartbeat of a worker that is not the one on this host. */
+/** Thrown for a heartbeat of a worker that does not belong to this host. */
 export class OtherServiceError extends RackspanError {
   readonly kind = "other-service";
   constructor(
@@ -55,7 +55,7 @@
   }
 }
 
-/** A heartbeat that leaves open which life it is from, where a life that says so stands. */
+/** Thrown for a heartbeat without an incarnation while a worker that specifies its own is registered. */
 export class AmbiguousIncarnationError extends RackspanError {
   readonly kind = "open-life";
   constructor(instance: WorkerInstance) {
@@ -69,27 +69,26 @@
 export class WorkerRegistry {
   /** Notified when the worker or its state changes. */
   readonly changed = new ChangeSignal();
-  /** What runs at the lives that may be the present one, and what was lost with others. */
+  /** Runs at the incarnations that may be the current one, and runs lost with others. */
   readonly runs: WorkerRunTracker;
-  /** Starts that a life may yet carry out, or its next one in its place. */
+  /** Starts that an incarnation, or the next one in its place, may still carry out. */
   readonly unansweredStarts: UnansweredStarts;
-  /** The life that ended last. */
+  /** The incarnation that ended last. */
   lastGone: WorkerInstance | undefined;
   private heartbeat: WorkerHeartbeat | undefined;
   private heardAt: Monotonic = -Infinity;
   /**
-   * The lives heard before, the last one at the end, until the present one has
-   * answered a call. Heartbeats may be delayed until after their sender has
-   * crashed and the next life registered, so which of them stands here is known
-   * only from an answer. Were only the last of them kept, the second late heartbeat
-   * would shut the present life out for good.
+   * Incarnations registered before, the latest at the end, until the current one has answered
+   * a call. A heartbeat may arrive after its sender has crashed and the next incarnation has
+   * registered, so only an answer confirms which of them is current. If only the latest were
+   * kept, a second late heartbeat would permanently lock out the current incarnation.
    */
   private displaced: WorkerHeartbeat[] = [];
   private readonly gone = new Set<WorkerInstance>();
-  /** Lives that drain, and that may have said that they leave. */
+  /** Draining incarnations that may have deregistered. */
   private readonly leaving = new Set<WorkerInstance>();
 
-  /** @param service that of the worker on this host; any when left out */
+  /** @param service service of the worker on this host; any service is accepted when left out */
   constructor(
     private readonly clock: Clock,
     private readonly logger: Logger,
@@ -99,7 +98,7 @@
     this.unansweredStarts = new UnansweredStarts(clock);
   }
 
-  /** The life that was heard last and is not known to be over. */
+  /** The incarnation that registered last and is not known to have ended. */
   get worker(): WorkerDescription | undefined {
     if (!this.heartbeat) return undefined;
     const { worker } = this.heartbeat;
@@ -110,8 +109,8 @@
   }
 
   /**
-   * @throws OtherServiceError when it does not come from the worker on this host
-   * @throws OpenLifeError when it may come from another life than it names
+   * @throws OtherServiceError when the heartbeat is not from the worker on this host
+   * @throws AmbiguousIncarnationError when it may be from another incarnation than it names
    */
   recordHeartbeat(beat: WorkerHeartbeat): void {
     const { instance, service } = beat.worker;
@@ -141,14 +140,14 @@
     this.changed.notify();
   }
 
-  /** Whether that life may be the present one: only an answer settles it. */
+  /** Whether that incarnation may be the current one; only an answer confirms it. */
   mayBeCurrent(instance: WorkerInstance): boolean {
     const { heartbeat } = this;
     if (!heartbeat || heartbeat.worker.instance === instance) return true;
     return this.isDisplaced(instance);
   }
 
-  /** That life of the worker has answered a call: those before are over. */
+  /** That incarnation has answered a call, so all previous ones have ended. */
   confirmCurrent(instance: WorkerInstance): void {
     if (this.heartbeat?.worker.instance !== instance) return;
     for (const { worker } of this.displaced) this.ban(worker);
@@ -156,9 +155,9 @@
   }
 
   /**
-   * The worker has said that it leaves. Which life under its id said so may be open, and
-   * what was held up may come from one before: only one that drains can have said it,
-   * and it is over once it can be reached no more.
+   * The worker has deregistered. It may be unknown which incarnation with its id sent the
+   * message, and a delayed message may be from a previous one. Only a draining incarnation can
+   * have sent it, and that incarnation has ended once it is unreachable.
    */
   recordDeregistration({
     instance: life,
@@ -175,13 +174,13 @@
     this.logger.info("worker.goodbye-passed-over", { instance: life });
   }
 
-  /** No connection to that life of the worker can be made. */
+  /** Records that no connection to that incarnation of the worker can be made. */
   recordUnreachable(instance: WorkerInstance): void {
     if (!this.leaving.has(instance)) return;
     this.recordGone(instance, "it said that it leaves, and cannot be reached");
   }
 
-  /** That life of the worker is over. */
+  /** Records that that incarnation of the worker has ended. */
   recordGone(instance: WorkerInstance, reason: string): void {
     if (this.gone.has(instance)) return;
     this.ban(this.heard(instance) ?? { instance, draining: false });
@@ -191,7 +190,7 @@
       ({ worker }) => worker.instance !== instance,
     );
     if (this.heartbeat?.worker.instance === instance) {
-      // Its heartbeat came late: the life before may be the present one.
+      // Its heartbeat was late: the previously registered incarnation may be the current one.
       this.heartbeat = this.displaced.pop();
     }
     this.changed.notify();
@@ -201,25 +200,25 @@
     return this.displaced.some(({ worker }) => worker.instance === instance);
   }
 
-  /** @param current the life that a heartbeat of another one replaces */
+  /** @param current the incarnation that a heartbeat of another one replaces */
   private displace(current: WorkerHeartbeat): void {
     this.displaced.push(current);
     if (this.displaced.length > REGISTRY.maxDisplaced) this.displaced.shift();
   }
 
-  /** What that life has said of itself last. */
+  /** The latest description that was received from that incarnation. */
   private heard(instance: WorkerInstance): WorkerDescription | undefined {
     return this.lives.find(({ worker }) => worker.instance === instance)
       ?.worker;
   }
 
-  /** Lives that may be the present one. */
+  /** Incarnations that may be the current one. */
   private get lives(): readonly WorkerHeartbeat[] {
     const { heartbeat, displaced } = this;
     return heartbeat ? [heartbeat, ...displaced] : displaced;
   }
 
-  /** That life is over: its heartbeats are passed over from now on. */
+  /** Ends that incarnation; its heartbeats are ignored from now on. */
   private ban({
     instance,
     draining,
--- a/packages/side/src/jobs/WorkerRunTracker.ts
+++ b/packages/side/src/jobs/WorkerRunTracker.ts
@@ -1,7 +1,8 @@
 /**
- * Which runs may be under way at the worker, and which were lost with its former
- * lives. The worker forgets them when it crashes, and a leader that ends with it
- * tells nobody; this process outlives both, so that the next leader can count them.
+ * Tracks which runs may be in progress at the worker, and which were lost with its previous
+ * incarnations. The worker loses this state when it crashes, and a leader that ends at the
+ * same time hands nothing on. This process survives both, so the next leader can count the
+ * lost runs.
  */
 
 import {
@@ -15,22 +16,22 @@
 import { BoundedMap } from "@rackspan/state";
 
 const MEMORY = {
-  /** Lives that may be the present one; see WorkerRegistry. */
+  /** Incarnations that may be the current one; see WorkerRegistry. */
   maxLives: 9,
-  /** Runs that were lost and that no leader has heard of; the oldest are forgotten. */
+  /** Lost runs that no leader has recorded; the oldest are dropped. */
   maxLost: 512,
-  /** An order that the worker has not shown by then has lapsed, milliseconds. */
+  /** An ordered run that the worker does not list within this time has lapsed, milliseconds. */
   unshownMs: 4_000,
 } as const;
 
-/** Told of a run that this process did not order: it may have begun at any time. */
+/** Reported for a run that this process did not order: it may have started at any time. */
 const UNKNOWN_MS = Number.MAX_SAFE_INTEGER;
 
 interface BegunRun {
   readonly ref: RunRef;
-  /** When it was ordered or first listed, on the side's clock. */
+  /** When the run was ordered or first listed, on the side's clock. */
   readonly orderedAt: Monotonic;
-  /** Whether this process ordered it. */
+  /** Whether this process ordered the run. */
   readonly isOwn: boolean;
   shownFirstAt: WorkerTime | undefined;
   shownLastAt: WorkerTime | undefined;
@@ -39,14 +40,14 @@
 interface WorkerLife {
   /** By run. */
   readonly runs: Map<string, BegunRun>;
-  /** Ends in the newest list: the worker lists each until it is acknowledged. */
+  /** Ends in the newest list. The worker lists each end until it is acknowledged. */
   ended: readonly RunRef[];
   /**
-   * When the call broke off in which the worker would have told of an end, on the
-   * side's clock; undefined while calls are answered.
+   * When the poll was interrupted in which the worker would have reported an end, on the
+   * side's clock; undefined while polls are answered.
    */
   lookBrokenAt: Monotonic | undefined;
-  /** Since when looks get no answer, on the side's clock; undefined while they do. */
+  /** When polls stopped being answered, on the side's clock; undefined while they are answered. */
   silentSince: Monotonic | undefined;
 }
 
@@ -56,23 +57,23 @@
   );
   /** By run. */
   private readonly lost = new BoundedMap<string, LostRun>(MEMORY.maxLost);
-  /** Of the lost runs those that never began, of which no leader has taken note; by run. */
+  /** Lost runs that never began and that no leader has recorded as such, by run. */
   private readonly notBegun = new BoundedMap<string, RunRef>(MEMORY.maxLost);
-  /** Runs that had ended before their lives did, of which no leader has taken note; by run. */
+  /** Runs that ended before their incarnations did and that no leader has recorded, by run. */
   private readonly ended = new BoundedMap<string, RunRef>(MEMORY.maxLost);
-  /** Runs whose orders are being repeated. */
+  /** Runs whose start orders are being repeated. */
   private readonly openOrders = new Set<string>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** The worker is about to be told to start it. */
+  /** Records that a start order for the run is about to be sent. */
   recordOrdered(instance: WorkerInstance, ref: RunRef): void {
     const runs = this.runsOf(instance);
     const key = runKeyOf(ref);
     if (!runs.has(key)) runs.set(key, this.begun(ref, true));
   }
 
-  /** The order to start it is repeated until it is answered, or given up. */
+  /** Records that the start order is repeated until it is answered or times out. */
   recordOrderOpen(ref: RunRef): void {
     this.openOrders.add(runKeyOf(ref));
   }
@@ -81,7 +82,7 @@
     this.openOrders.delete(runKeyOf(ref));
   }
 
-  /** The worker has said that the run is there. */
+  /** Records that the worker has confirmed the start of the run. */
   recordStarted(instance: WorkerInstance, ref: RunRef, at: WorkerTime): void {
     const life = this.lifeOf(instance);
     life.silentSince = undefined;
@@ -91,7 +92,7 @@
     run.shownLastAt = at;
   }
 
-  /** The run has not begun, and never will; its life may have ended meanwhile. */
+  /** Records that the run has not begun and never will; its incarnation may have ended meanwhile. */
   recordRefused(instance: WorkerInstance, ref: RunRef): void {
     const key = runKeyOf(ref);
     this.lives.get(instance)?.runs.delete(key);
@@ -100,7 +101,7 @@
     this.notBegun.set(key, { task: ref.task, run: ref.run });
   }
 
-  /** @param askedAt when the worker was asked for these lists, on the side's clock */
+  /** @param polledAt when the poll that returned these lists was sent, on the side's clock */
   recordListed(
     instance: WorkerInstance,
     { at, running, ended }: PollResponse,
@@ -123,27 +124,27 @@
     for (const [key, { shownLastAt, orderedAt }] of runs) {
       if (listed.has(key)) continue;
       const hasLapsed = askedAt - orderedAt > MEMORY.unshownMs;
-      // Lists that were on their way when it started do not tell of it.
+      // A list that was in flight when the run started does not contain it.
       const hasEnded = shownLastAt !== undefined && at > shownLastAt;
       if (hasEnded || hasLapsed) runs.delete(key);
     }
   }
 
   /**
-   * The worker was being looked at, and would have answered at once had a run ended;
-   * the connection broke off instead. If its life has ended, its runs were at work, but
-   * for those that had ended while the look or its answer was held up on its way.
+   * Records that a poll was interrupted while the worker held it and would have answered at
+   * once if a run had ended. If the incarnation has ended, its runs were at work, except for
+   * those that ended while the poll or its response was delayed on the network.
    */
   recordPollInterrupted(instance: WorkerInstance): void {
     this.lifeOf(instance).lookBrokenAt = this.clock.monotonic();
   }
 
-  /** The worker has not answered a look. */
+  /** Records that the worker has not answered a poll. */
   recordSilent(instance: WorkerInstance): void {
     this.lifeOf(instance).silentSince ??= this.clock.monotonic();
   }
 
-  /** @param wasPlanned whether the worker had said that it would leave */
+  /** @param wasPlanned whether the worker had announced that it would leave */
   endIncarnation(instance: WorkerInstance, wasPlanned: boolean): void {
     const life = this.lives.get(instance);
     if (!life) return;
@@ -155,36 +156,36 @@
     }
   }
 
-  /** Lost runs that no leader has answered for yet. */
+  /** Lost runs that no leader has recorded yet. */
   get unreportedLostRuns(): readonly LostRun[] {
     return [...this.lost].map(([key, run]) =>
       this.openOrders.has(key) ? { ...run, isOrderOpen: true } : run,
     );
   }
 
-  /** Runs that had ended before their lives did, of which no leader has taken note yet. */
+  /** Runs that ended before their incarnations did and that no leader has recorded yet. */
   get unreportedEnds(): readonly RunRef[] {
     return [...this.ended].map(([, ref]) => ref);
   }
 
-  /** Lost runs that never began, of which no leader has taken note yet. */
+  /** Lost runs that never began and that no leader has recorded as such yet. */
   get unreportedNeverBegun(): readonly RunRef[] {
     return [...this.notBegun].map(([, ref]) => ref);
   }
 
-  /** A leader has taken note of them; of those with an open order the rest is to come. */
+  /** A leader has recorded them. Runs with an open order stay, since their outcome is not final. */
   markLostRunsReported(told: readonly LostRun[]): void {
     for (const run of told) {
       if (!run.isOrderOpen) this.lost.delete(runKeyOf(run));
     }
   }
 
-  /** A leader has taken note of them. */
+  /** A leader has recorded these ends. */
   markEndsReported(told: readonly RunRef[]): void {
     for (const ref of told) this.ended.delete(runKeyOf(ref));
   }
 
-  /** A leader has taken note of them. */
+  /** A leader has recorded that these runs never began. */
   markNeverBegunReported(told: readonly RunRef[]): void {
     for (const ref of told) this.notBegun.delete(runKeyOf(ref));
   }
--- a/packages/side/src/jobs/paceFactors.ts
+++ b/packages/side/src/jobs/paceFactors.ts
@@ -1,48 +1,48 @@
 /**
- * Tells by how much filling tasks should use more or less than they do now, from
- * one look at the worker. Tails and processor time in a look span the same half
- * second, so the same look always gives the same answer: a second look before
- * the first change shows does not change paces twice.
+ * Computes by which factor filling tasks should use more or less processor time than now,
+ * from the readings of one poll. Tails and processor time in a poll span the same half
+ * second, so the same readings always give the same target: a second poll before the first
+ * change takes effect does not change paces twice.
  *
- * The logarithm of a tail is taken to grow by a weight for each core in use
- * beside it. What is missing to the aim, or left over, is shared among the tasks
+ * The model: the logarithm of a tail grows by a weight for each core in use beside it. The
+ * distance to the target share (`aim`), positive or negative, is divided among the tasks
  * that disturb, in proportion to what they use.
  */
 
 import { MILLI_CORES_PER_CORE, type JobTaskId } from "@rackspan/common";
 import type { RunningTask } from "@rackspan/ports";
 
-/** Where these come from: docs/CAPACITY.md, "How values were found". */
+/** See docs/CAPACITY.md, "How values were found". */
 export const PACE_FACTORS = {
-  /** Differences to the aim below this change nothing; logarithm. */
+  /** Distances to the aim below this change nothing; logarithm. */
   deadband: 0.07,
-  /** Tasks use at least this share of what they did after one change. */
+  /** Lower bound for the factor of one change. */
   minFactor: 0.4,
-  /** They use at most this many times as much. */
+  /** Upper bound for the factor of one change. */
   maxFactor: 2,
-  /** A pair below this weight is taken as harmless; logarithm a core. */
+  /** A pair of images with a lower weight is ignored; logarithm per core. */
   minWeight: 0.02,
-  /** A task that adds less than this share of what the worst one adds is not to blame. */
+  /** A task that adds less than this share of what the worst one adds is not slowed down. */
   minBlamedShare: 0.1,
 } as const;
 
 export interface ServingTail {
   readonly task: JobTaskId;
   readonly image: string;
-  /** Share of the target. */
+  /** Tail latency as a share of its target. */
   readonly tail: number;
 }
 
 export interface PaceFactorsOptions {
-  /** Share of its target at which a tail is held while filling tasks want more. */
+  /** Share of its target at which a tail is held while filling tasks could use more. */
   readonly aim: number;
   readonly serving: readonly ServingTail[];
   readonly filling: readonly RunningTask[];
-  /** What one core of the task adds to the logarithm of the serving image's tail. */
+  /** Increase of the logarithm of the serving image's tail for each core that the task uses. */
   readonly weightOf: (serving: string, row: RunningTask) => number;
 }
 
-/** Below 1: use less. Exactly 1: go on as now. Above 1: use more. */
+/** Below 1: use less. Exactly 1: no change. Above 1: use more. */
 export type PaceFactors = ReadonlyMap<RunningTask, number>;
 
 export const paceFactors = (options: PaceFactorsOptions): PaceFactors => {
@@ -56,7 +56,7 @@
   return factors;
 };
 
-/** Logarithm by which the tail may still grow; negative when it must shrink. */
+/** Logarithm of the factor by which the tail may still grow; negative when it must shrink. */
 export const headroomOf = ({ tail }: ServingTail, aim: number): number =>
   Math.log(aim / Math.max(tail, Number.MIN_VALUE));
 
@@ -85,7 +85,7 @@
 ): Map<RunningTask, number> => {
   const total = sumOf(added.values());
   if (total <= 0) {
-    // No pair is known to disturb: any of the tasks may be the cause.
+    // No pair of images is known to disturb, so any of the tasks may be the cause.
     const factor = Math.max(PACE_FACTORS.minFactor, Math.exp(headroom));
     return new Map(filling.map((row) => [row, factor]));
   }
--- a/packages/side/src/jobs/retainListedRuns.ts
+++ b/packages/side/src/jobs/retainListedRuns.ts
@@ -1,8 +1,8 @@
-/** Keeps maps by run from growing with runs that have ended. */
+/** Limits the size of maps by run to the runs that are in progress. */
 
 import { runKeyOf, type RunningTask } from "@rackspan/ports";
 
-/** Drops what is kept of runs that are not listed any more. */
+/** Removes the entries of runs that are no longer listed. */
 export const retainListedRuns = (
   byRun: Map<string, unknown>,
   running: readonly RunningTask[],
--- a/packages/side/src/jobs/workerInboxes.ts
+++ b/packages/side/src/jobs/workerInboxes.ts
@@ -1,4 +1,4 @@
-/** Plug-in point for the listener to which the worker on this host reports itself. */
+/** Plug-in point for the listener that receives the heartbeats of the worker on this host. */
 
 import { Registry, type Logger } from "@rackspan/common";
 import type { WorkerRegistry } from "./WorkerRegistry.js";
--- a/packages/side/src/requestHead.ts
+++ b/packages/side/src/requestHead.ts
@@ -1,4 +1,4 @@
-/** What an entry says about a request that it sends to a side. */
+/** Parses the headers with which an entry describes a request that it sends to a side. */
 
 import type { IncomingMessage } from "node:http";
 import {
@@ -15,7 +15,7 @@
   readonly attempt: number;
   readonly incarnation: string;
   readonly timeoutMs: number;
-  /** A watch is answered for as long as it lives: it holds no slot, and no deadline cuts it. */
+  /** Whether the request is a watch, whose response stays open: it holds no slot and has no deadline. */
   readonly watch: boolean;
 }
 
@@ -37,7 +37,7 @@
   return fits ? number : undefined;
 };
 
-/** Nothing when a header is missing or wrong. */
+/** @returns undefined when a header is missing or invalid */
 export const readRequestHead = (
   req: IncomingMessage,
 ): RequestHead | undefined => {
--- a/packages/side/src/settings.ts
+++ b/packages/side/src/settings.ts
@@ -12,9 +12,9 @@
 import { workers } from "@rackspan/ports";
 
 export const sideSettingsSchema = z.strictObject({
-  /** This host's name in the host list. */
+  /** Name of this host in the host list. */
   host: idSchema<HostId>(),
-  /** Raised by the platform each time the host is replaced. */
+  /** Increased by the platform each time the host is replaced. */
   generation: countSchema<HostGeneration>(),
   availabilityZone: idSchema<AvailabilityZone>(),
   rack: idSchema<Rack>(),
@@ -22,23 +22,23 @@
     address: z.union([z.ipv4(), z.ipv6()]),
     port: z.number().int().min(0).max(65_535),
   }),
-  /** The worker agent of this host. */
+  /** The worker on this host. */
   worker: z.strictObject({
     url: z.url({ protocol: /^http$/ }),
-    /** Its wire format. */
+    /** The worker client, which determines the wire format. */
     client: z.enum(workers.names() as [string, ...string[]]).default("http"),
   }),
   security: z.strictObject({
-    /** Peers and operators are not authenticated; must be asked for by name. */
+    /** In this mode peers and operators are not authenticated, so it must be set explicitly. */
     mode: z.literal("development"),
   }),
   admission: z
     .strictObject({
-      /** Requests that may run at the endpoints of this host at once. */
+      /** Limit of requests that run at the endpoints of this host at once. */
       slots: z.number().int().min(1).max(10_000).default(8),
-      /** Requests and watches that may be open at once. */
+      /** Limit of requests and watches that are open at once. */
       connections: z.number().int().min(1).max(100_000).default(64),
-      /** Requests that may wait for a slot. */
+      /** Limit of requests that wait for a slot. */
       maxQueued: z.number().int().min(0).max(10_000).default(16),
     })
     .prefault({}),
@@ -51,9 +51,9 @@
     .prefault({}),
   drain: z
     .strictObject({
-      /** After a planned stop was told to the entries, requests are still taken this long. */
+      /** How long requests are still accepted after the entries were notified of a planned stop. */
       noticeMs: z.number().int().min(0).max(60_000).default(2_000),
-      /** Watches that cannot be moved are cut after this. */
+      /** Watches that have not been moved are closed after this. */
       limitMs: z.number().int().min(0).max(3_600_000).default(30_000),
     })
     .prefault({}),
@@ -65,7 +65,7 @@
         .min(1_024)
         .max(1_048_576)
         .default(32_768),
-      /** Requests whose fate is remembered, to answer fences. */
+      /** Limit of request attempts whose state is kept, to answer fence requests. */
       fencesKept: z.number().int().min(100).max(10_000_000).default(100_000),
     })
     .prefault({}),
--- a/packages/side/src/sideHandlers.ts
+++ b/packages/side/src/sideHandlers.ts
@@ -1,4 +1,4 @@
-/** What a side does for each call of an entry. */
+/** Handlers for the calls of entries to a side. */
 
 import type { Clock, Incarnation, Logger } from "@rackspan/common";
 import type { Handlers, SideMethods } from "@rackspan/protocol";
@@ -76,7 +76,8 @@
   },
 
   fenceRequest: ({ request, attempt, incarnation: meant, ageMs }) => ({
-    // An earlier run took its requests with it; what it had started is not known here.
+    // An earlier incarnation of this process has ended with its requests; which of them had
+    // started is unknown here.
     started:
       meant === incarnation
         ? fences.fence({ request, attempt }, ageMs)
--- a/packages/side/src/taskIdentity.ts
+++ b/packages/side/src/taskIdentity.ts
@@ -1,4 +1,4 @@
-/** Who a task is, as the claim names it and as the worker's notes keep it. */
+/** Identity of a task, as named by its claim and as stored in the worker's notes. */
 
 import {
   unitId,
@@ -17,7 +17,7 @@
   readonly service?: ServiceName | undefined;
 }
 
-/** The notes that a later run of the side process reads the identity from. */
+/** Notes from which a later side process restores the identity. */
 export const notesOf = (identity: TaskIdentity): Record<string, string> => ({
   unit: identity.unit,
   attempt: String(identity.attempt),
@@ -25,7 +25,7 @@
   ...(identity.service === undefined ? {} : { service: identity.service }),
 });
 
-/** Nothing when the task was not started by a side process. */
+/** @returns undefined when the task was not started by a side process */
 export const identityFromNotes = ({
   task,
   notes,
--- a/packages/side/tests/buildPacer.ts
+++ b/packages/side/tests/buildPacer.ts
@@ -1,4 +1,4 @@
-/** A pacer at one worker, on which a serving task stands beside filling ones. */
+/** Builds a pacer for one worker that runs a serving task beside filling tasks. */
 
 import {
   brand,
@@ -17,7 +17,7 @@
 export const EPOCH = brand<Epoch>(1);
 export const TARGET_MS = 10;
 export const GRACE_MS = 4_000;
-/** How often the worker is looked at, milliseconds. */
+/** Interval between two polls of the worker, milliseconds. */
 export const LOOK_MS = 250;
 
 /** The only run of the task. */
@@ -35,9 +35,9 @@
 });
 
 export interface PacerSite {
-  /** How the worker answers. */
+  /** The fake worker. */
   readonly host: Pick<TaskHost, "pace">;
-  /** By filling task; tests start these tasks themselves. */
+  /** Image of each filling task; tests start these tasks themselves. */
   readonly fillingImages: Readonly<Record<string, string>>;
 }
 
--- a/packages/side/tests/buildSide.ts
+++ b/packages/side/tests/buildSide.ts
@@ -1,4 +1,4 @@
-/** The parts of a side around one worker; tests name only what matters to them. */
+/** Builds the parts of a side around one worker; tests specify only the options they need. */
 
 import {
   ManualClock,
@@ -11,10 +11,10 @@
 import { createHeartbeat } from "./createHeartbeat.js";
 
 export interface SideOptions {
-  /** How the worker answers. */
+  /** The fake worker. */
   readonly host: TaskHost;
   readonly clock?: ManualClock;
-  /** Lives whose heartbeats came before, in order. */
+  /** Incarnations whose heartbeats arrived before, in order. */
   readonly heard?: readonly (string | WorkerInstance)[];
   /** Milliseconds; see WorkerWatchOptions. */
   readonly unattendedLeaseMs?: number;
@@ -46,7 +46,7 @@
     longestLeaseMs,
   });
   const orders = new TaskOrders({ ...base, registry, poller: watch, pacer });
-  /** Ends the watch once its look is over. */
+  /** Stops the poller once its current poll is over. */
   const stop = async (): Promise<void> => {
     const stopped = watch.stop();
     await clock.advance(2_000);
--- a/packages/side/tests/createHeartbeat.ts
+++ b/packages/side/tests/createHeartbeat.ts
@@ -1,4 +1,4 @@
-/** A heartbeat as a side's registry takes it; tests name only the life and its number. */
+/** Builds a heartbeat for a side's registry; tests specify only incarnation and sequence number. */
 
 import { brand, type ServiceName, type WorkerInstance } from "@rackspan/common";
 import type { WorkerHeartbeat } from "@rackspan/side";
--- a/packages/side/tests/fencedLease.test.ts
+++ b/packages/side/tests/fencedLease.test.ts
@@ -1,4 +1,7 @@
-/** How long a silent worker is waited for that refuses the starts of the life before. */
+/**
+ * A worker that rejects the starts sent to its previous incarnation gets no lease from them,
+ * so its lease bound must not include the longest lease.
+ */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -31,7 +34,7 @@
 const NEXT = brand<WorkerInstance>("w2");
 const EPOCH = 1 as unknown as Epoch;
 
-/** A worker that answers no start, and refuses calls below the highest that it has heard. */
+/** A worker that answers no start, and rejects calls below the highest epoch it has received. */
 const watchWorker = async () => {
   const clock = new ManualClock();
   const worker = { heard: 0, isSilent: false, starts: [] as RunStart[] };
@@ -76,8 +79,8 @@
   return { ...side, clock, worker, at };
 };
 
-// A refusal of this kind brings no lease, so nothing outlasts what its side has renewed.
-test("a silent worker that refuses the starts of the life before is waited for no longer than its renewed lease", async () => {
+// A rejected start gives no lease, so nothing outlasts the lease that the side has renewed.
+test("the lease bound of a silent worker that rejects starts of its previous incarnation is its renewed lease", async () => {
   const { clock, worker, watch, registry, orders, at, stop } =
     await watchWorker();
   void orders.start({ ...START_CALL, instance: FIRST, epoch: EPOCH });
--- a/packages/side/tests/fencedTaskHost.test.ts
+++ b/packages/side/tests/fencedTaskHost.test.ts
@@ -1,4 +1,7 @@
-/** What a worker refuses of the calls that were sent before its present life was reached. */
+/**
+ * FencedTaskHost makes a worker reject calls that were sent before the first call to its
+ * current incarnation: such a call may arrive late and start a run that is recorded as lost.
+ */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -24,14 +27,14 @@
 const FIRST = brand<WorkerInstance>("w1");
 const NEXT = brand<WorkerInstance>("w2");
 const AT = 1 as unknown as WorkerTime;
-/** Time of day goes back by this, in one step. */
+/** The wall clock goes back by this in one step. */
 const HOUR_MS = 3_600_000;
-/** Looks that a side needs at the most until a worker takes its calls again. */
+/** Most polls that a side needs until a worker accepts its calls again. */
 const MOST_LOOKS = 28;
 
 const epochAt = (epoch: number): Epoch => epoch as unknown as Epoch;
 
-/** A worker of which only the fence counts, and the starts that it was sent. */
+/** A fake worker that only fences calls and records the starts that were sent to it. */
 class FencingWorker implements TaskHost {
   heard = 0;
   isSilent = false;
@@ -42,7 +45,7 @@
     return Promise.resolve(this.carryOut(order));
   }
 
-  /** The worker has come to the start, at once or seconds later. */
+  /** Carries out the start, at once or seconds later. */
   carryOut({ epoch }: RunStart): StartOutcome {
     if (epoch < this.heard) return { kind: "refused", reason: "fenced" };
     this.heard = epoch;
@@ -63,7 +66,7 @@
     return this.obey(epoch, undefined);
   }
 
-  /** Its next life has heard nothing. */
+  /** Begins the next incarnation, which has received no epoch. */
   startAgain(): void {
     this.heard = 0;
   }
@@ -100,7 +103,7 @@
 const carryOutLast = (worker: FencingWorker): StartOutcome =>
   worker.carryOut(worker.sent.at(-1) as RunStart);
 
-test("a start that a life left unanswered is refused from the first call to the next one on", async () => {
+test("a start that an incarnation left unanswered is rejected after the first call to the next one", async () => {
   const { worker, look, start } = build();
   await look(FIRST);
   await start(FIRST);
@@ -109,7 +112,7 @@
   expect(carryOutLast(worker)).toEqual({ kind: "refused", reason: "fenced" });
 });
 
-test("a start that a side sent before it was started anew is refused after its first call", async () => {
+test("a start that a side sent before its restart is rejected after its first call", async () => {
   const { clock, worker, look, start } = build();
   await look(FIRST);
   await start(FIRST);
@@ -119,7 +122,7 @@
   expect(carryOutLast(worker)).toEqual({ kind: "refused", reason: "fenced" });
 });
 
-test("a start is refused by a next life that a call for the one before reaches first", async () => {
+test("a start is rejected by the next incarnation when a call for the previous one reaches it first", async () => {
   const { worker, look, start } = build();
   await look(FIRST);
   await start(FIRST);
@@ -131,7 +134,7 @@
   expect(carryOutLast(worker)).toEqual({ kind: "refused", reason: "fenced" });
 });
 
-test("a life is started under what it was looked at with", async () => {
+test("starts are sent under the sub-epoch with which their incarnation was polled", async () => {
   const { clock, look, start } = build();
   await look(FIRST);
   await clock.advance(HOUR_MS);
@@ -140,7 +143,7 @@
   expect((await start(FIRST)).kind).toEqual("refused");
 });
 
-test("a side whose time of day is behind that of the process before is taken by the worker", async () => {
+test("the worker accepts a side whose wall clock is behind that of the previous process", async () => {
   const { clock, worker, look } = build();
   await look(FIRST);
   const behind = new ManualClock(clock.now() - HOUR_MS);
@@ -151,7 +154,7 @@
   await look(FIRST, 1, next);
 });
 
-test("a side is taken again by a life that was looked at under the part of a later one", async () => {
+test("a side is accepted again by an incarnation that was polled under the sub-epoch of a later one", async () => {
   const { look, start } = build();
   await look(FIRST);
   await look(NEXT);
@@ -159,7 +162,7 @@
   expect((await start(FIRST)).kind).toEqual("started");
 });
 
-test("no part of an epoch passes a later epoch", async () => {
+test("no sub-epoch of an epoch exceeds a later epoch", async () => {
   const { worker, look } = build();
   await look(FIRST, 2);
   for (let looks = 0; looks < MOST_LOOKS; looks += 1) {
--- a/packages/side/tests/interruptedPoll.test.ts
+++ b/packages/side/tests/interruptedPoll.test.ts
@@ -1,4 +1,8 @@
-/** Runs that ended unheard of before their worker died are not told as lost at work. */
+/**
+ * A run that ended before its worker died, without the side receiving the end, must not be
+ * reported as lost while at work. The side infers "at work" from a poll that is interrupted
+ * while the worker holds it.
+ */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -22,26 +26,26 @@
 
 const INSTANCE = brand<WorkerInstance>("w1");
 const RUN = { task: "j.0.0.0", run: 3 } as unknown as RunRef;
-/** Looks begin this long after each multiple of 250 ms on the test's clock, at the most. */
+/** Polls start at most this long after each multiple of 250 ms on the test's clock. */
 const BETWEEN_LOOKS_MS = 1;
-/** A side pauses for this after a look that failed. */
+/** A side pauses for this long after a failed poll. */
 const IDLE_MS = 100;
-/** No look waits longer for an end. */
+/** No poll waits longer than this for an end. */
 const LONGEST_WAIT_MS = 700;
 
 interface Death {
-  /** How long after the worker's last answer it dies, milliseconds. */
+  /** Time from the worker's last answer to its death, milliseconds. */
   readonly afterMs: number;
-  /** How long after that the look at it breaks off, milliseconds. */
+  /** Time from its death until the poll is interrupted, milliseconds. */
   readonly silentMs?: number;
-  /** Whether a look before that one broke off too, with the worker going on. */
+  /** Whether the poll before was interrupted too, while the worker kept running. */
   readonly isSecond?: boolean;
 }
 
 /**
- * A worker shows the run and then dies.
+ * A worker lists the run and then dies.
  *
- * @returns what its side says of the run
+ * @returns whether its side reports the run as lost while at work
  */
 const loseWorker = async ({
   afterMs,
@@ -90,20 +94,20 @@
   return told?.wasAtWork;
 };
 
-test("a run was at work when the look at its worker breaks off before its answer was due", async () => {
+test("a run was at work when a poll of its worker is interrupted before the answer was due", async () => {
   expect(await loseWorker({ afterMs: 100 })).toEqual(true);
 });
 
-test("a run may have ended when the answer was due before the look broke off", async () => {
+test("a run may have ended when the answer was due before the poll was interrupted", async () => {
   const death = { afterMs: 100, silentMs: LONGEST_WAIT_MS };
   expect(await loseWorker(death)).toEqual(false);
 });
 
-test("a run may have ended when the look broke off before the worker can have had it", async () => {
+test("a run may have ended when the poll was interrupted before it can have reached the worker", async () => {
   expect(await loseWorker({ afterMs: 5 })).toEqual(false);
 });
 
-// Whatever stands at the address by then may drop the next look at once.
-test("a run may have ended when the look before had failed too", async () => {
+// Another process that has taken the address may drop the next poll at once.
+test("a run may have ended when the previous poll had failed too", async () => {
   expect(await loseWorker({ afterMs: 100, isSecond: true })).toEqual(false);
 });
--- a/packages/side/tests/lostPaceOrders.test.ts
+++ b/packages/side/tests/lostPaceOrders.test.ts
@@ -1,4 +1,4 @@
-/** Paces whose orders get no answer, and may be carried out late or never. */
+/** Pace orders without an answer may be carried out late or never, and must then be repeated. */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -15,11 +15,11 @@
 
 const RUN = runOf("heavy");
 
-/** A worker that lets the first orders to a run go unanswered, and carries them out later. */
+/** A worker that can leave orders unanswered and carry them out later. */
 class ForgetfulWorker {
   percent = 100;
   answers = true;
-  /** Given up by the side; what is left of them is carried out by `catchUp`. */
+  /** Orders that timed out at the side; `catchUp` carries them out. */
   private late: PaceOrder[] = [];
 
   async pace(_: WorkerInstance, order: PaceOrder): Promise<void> {
@@ -53,7 +53,7 @@
   return { clock, worker, pacer, look };
 };
 
-// An order without an answer may be carried out after the one that follows it.
+// An order without an answer may be carried out after the next one.
 test("a pace that is carried out after a newer one does not stay in force", async () => {
   const { worker, look } = setUp();
   await look(2);
@@ -71,7 +71,7 @@
 });
 
 // An order may be lost before the worker lists its task.
-test("a first pace whose order was lost is ordered again at the first look", async () => {
+test("a first pace whose order was lost is ordered again at the first poll", async () => {
   const { clock, worker, pacer, look } = setUp();
   worker.answers = false;
   const first = { instance: INSTANCE, epoch: EPOCH, firstPercent: 30 };
@@ -82,7 +82,7 @@
   expect(worker.percent).toEqual(30);
 });
 
-test("a pace is ordered once when its order is answered", async () => {
+test("a pace whose order is answered is ordered once", async () => {
   const { worker, look } = setUp();
   await look(2);
   await look(10.5);
@@ -92,7 +92,7 @@
   expect(worker.percent).toEqual(50);
 });
 
-test("an order that got no answer is not repeated for ever", async () => {
+test("an order without an answer is not repeated forever", async () => {
   const { clock, worker, look } = setUp();
   await look(2);
   worker.answers = false;
--- a/packages/side/tests/orderedFromSilentWorker.test.ts
+++ b/packages/side/tests/orderedFromSilentWorker.test.ts
@@ -1,4 +1,4 @@
-/** What is told of runs that were ordered from a worker that had stopped answering. */
+/** Reports of runs that were ordered after their worker had stopped answering. */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -16,7 +16,7 @@
 const BEFORE = { task: "j.0.0.0", run: 3 } as unknown as RunRef;
 const AFTER: RunRef = { ...BEFORE, run: brand<RunNumber>(4) };
 
-test("a run that was ordered after a look without an answer is told as such", async () => {
+test("a run that was ordered after an unanswered poll is reported as ordered from a silent worker", async () => {
   const host = {
     poll: () => Promise.reject(new WorkerSilentError("no answer")),
   } as unknown as TaskHost;
--- a/packages/side/tests/pacer.test.ts
+++ b/packages/side/tests/pacer.test.ts
@@ -17,7 +17,7 @@
   runOf,
 } from "./buildPacer.js";
 
-/** A tail just over the target. */
+/** Tail latency just over the target. */
 const HOT_MS = 10.5;
 
 const setUp = () => {
@@ -43,7 +43,7 @@
   const look = (tailMs: number) => lookAt(tailMs, 2_000);
   const paceOf = (task: string) =>
     orders.findLast((order) => order.task === brand<JobTaskId>(task))?.percent;
-  /** Looks for some time at a tail that does not change. */
+  /** Polls a constant tail latency for some time. */
   const lookFor = async (tailMs: number, ms: number) => {
     for (let at = 0; at < ms; at += LOOK_MS) {
       look(tailMs);
@@ -53,14 +53,14 @@
   return { pacer, look, lookAt, lookFor, paceOf, startOf, orders };
 };
 
-test("all filling tasks slow down while no pair is known", () => {
+test("all filling tasks slow down while no interference weight is known", () => {
   const { look, paceOf } = setUp();
   look(HOT_MS);
-  // Tasks use half of what they ask for; 0.9 of the target is aimed at.
+  // Tasks use half of what they request; the aim is 0.9 of the target.
   expect([paceOf("heavy"), paceOf("light")]).toEqual([43, 43]);
 });
 
-test("only the image that is known to disturb is slowed", () => {
+test("only the image that is known to disturb is slowed down", () => {
   const { pacer, look, paceOf } = setUp();
   pacer.updateDisturbances([
     { serving: "web", filling: "render", weight: 0.2 },
@@ -71,7 +71,7 @@
   expect([paceOf("heavy"), paceOf("light")]).toEqual([31, undefined]);
 });
 
-test("the same reading, looked at again, does not slow a task twice", () => {
+test("polling the same reading again does not slow a task down twice", () => {
   const { pacer, look, paceOf, orders } = setUp();
   pacer.updateDisturbances([
     { serving: "web", filling: "render", weight: 0.2 },
@@ -82,7 +82,7 @@
   expect([paceOf("heavy"), orders.length]).toEqual([31, 1]);
 });
 
-test("a slowed task speeds up again only while the tail has slack", () => {
+test("a slowed task speeds up again only while the tail has headroom", () => {
   const { pacer, look, paceOf } = setUp();
   pacer.updateDisturbances([
     { serving: "web", filling: "render", weight: 0.2 },
@@ -95,7 +95,7 @@
   expect(paceOf("heavy")).toEqual(62);
 });
 
-test("a task speeds up by what is left to the aim, then by a few points a look", () => {
+test("a task speeds up by the headroom left to the aim, then by a few points per poll", () => {
   const { pacer, look, paceOf } = setUp();
   pacer.updateDisturbances([
     { serving: "web", filling: "render", weight: 0.4 },
@@ -103,14 +103,14 @@
   look(2);
   look(HOT_MS);
   expect(paceOf("heavy")).toEqual(40);
-  // A tail of 0.7 may grow by 0.25; 0.8 is what two cores add.
+  // A tail of 0.7 may grow by 0.25 (logarithm); two cores add 0.8.
   look(7);
   expect(paceOf("heavy")).toEqual(66);
   look(7);
   expect(paceOf("heavy")).toEqual(74);
 });
 
-test("a task is slowed no further than to its least pace, and not ordered again there", () => {
+test("a task is not slowed below the least pace, and that pace is not ordered again", () => {
   const { look, lookAt, paceOf, orders } = setUp();
   for (const used of [2_000, 500, 160, 160, 160]) lookAt(30, used);
   expect(paceOf("heavy")).toEqual(4);
@@ -119,19 +119,19 @@
   expect(orders.length).toEqual(settled);
 });
 
-test("a new task begins at the pace that the tails allow", () => {
+test("a new task starts at the pace that the tails allow", () => {
   const { pacer, paceOf, startOf } = setUp();
   pacer.updateDisturbances([
     { serving: "web", filling: "render", weight: 0.3 },
   ]);
   startOf("heavy");
   pacer.adjust(INSTANCE, EPOCH, [row("server", 4), row("heavy", 0)]);
-  // A tail of 0.4 may grow by 0.81, of the 1.2 that the whole task would add:
-  // 68 %, and some points more while the tail has slack.
+  // A tail of 0.4 may grow by 0.81 of the 1.2 that the task would add at full pace: 68 %,
+  // and some points more while the tail has headroom.
   expect(paceOf("heavy")).toEqual(76);
 });
 
-test("a new task starts at the pace of those of its image", () => {
+test("a new task starts at the pace of other tasks of its image", () => {
   const { pacer, look, paceOf, startOf, orders } = setUp();
   look(30);
   expect(paceOf("heavy")).toEqual(20);
@@ -154,7 +154,7 @@
   expect([paceOf("heavy"), given?.percent]).toEqual([20, 20]);
 });
 
-test("every filling task is slowed, then stands still, while a tail stays over its target", async () => {
+test("every filling task is slowed down, then halted, while a tail stays over its target", async () => {
   const { pacer, look, lookFor, paceOf } = setUp();
   pacer.updateDisturbances([
     { serving: "web", filling: "render", weight: 0.2 },
@@ -166,14 +166,14 @@
   expect(paceOf("light")).toEqual(20);
   await lookFor(11, GRACE_MS * 0.6);
   expect([paceOf("heavy"), paceOf("light")]).toEqual([0, 0]);
-  // The tail is right again, and no more: they go on at their least pace.
+  // The tail is back at its aim without headroom: the tasks resume at their least pace.
   look(9);
   expect([paceOf("heavy"), paceOf("light")]).toEqual([4, 12]);
   look(5);
   expect([paceOf("heavy"), paceOf("light")]).toEqual([12, 24]);
 });
 
-test("a short time over the target does not count against what was learnt", async () => {
+test("a tail that is over its target for a short time does not invalidate the learned weights", async () => {
   const { pacer, lookFor, paceOf } = setUp();
   pacer.updateDisturbances([
     { serving: "web", filling: "render", weight: 0.2 },
@@ -185,7 +185,7 @@
   expect(paceOf("light")).toEqual(undefined);
 });
 
-test("a run that an earlier process started is given a pace by what it uses", () => {
+test("a run that a previous process started gets a pace derived from its usage", () => {
   const { pacer, paceOf, orders } = setUp();
   pacer.updateDisturbances([
     { serving: "web", filling: "render", weight: 0.2 },
@@ -210,7 +210,7 @@
   expect(orders).toEqual([]);
 });
 
-test("a task's first pace is ordered at once, and speeds up while the tail has slack", () => {
+test("a task's first pace is ordered at once and raised while the tail has headroom", () => {
   const { pacer, look, paceOf, orders } = setUp();
   const ref = runOf("heavy");
   pacer.updateDisturbances([
@@ -225,7 +225,7 @@
   expect((paceOf("heavy") ?? 0) > 30).toEqual(true);
 });
 
-test("a first pace that comes after a look changes nothing", () => {
+test("a first pace that comes after a poll listed the run changes nothing", () => {
   const { pacer, look, paceOf, orders } = setUp();
   look(2);
   const ref = runOf("heavy");
--- a/packages/side/tests/pollResponseOf.ts
+++ b/packages/side/tests/pollResponseOf.ts
@@ -1,4 +1,4 @@
-/** What a worker lists at that time of its clock; none of its runs has ended. */
+/** Builds a worker's response to a poll at that time of its clock, without ended runs. */
 
 import type { WorkerTime } from "@rackspan/common";
 import type { PollResponse, RunRef } from "@rackspan/ports";
--- a/packages/side/tests/previousStarts.test.ts
+++ b/packages/side/tests/previousStarts.test.ts
@@ -1,4 +1,7 @@
-/** How starts without an answer are barred at the worker's next life. */
+/**
+ * Unanswered starts are fenced at the worker's next incarnation, which could otherwise carry
+ * them out late although the leader has recorded their runs as lost.
+ */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -27,9 +30,9 @@
 
 const CALL_TIMEOUT_MS = 400;
 const LONGEST_LEASE_MS = 10_000;
-/** Longer than a start may come late. */
+/** Longer than a start can be delayed. */
 const LATEST_MS = 16_000;
-/** Longer than a look at the former life and the pause after it take. */
+/** Longer than a poll of the previous incarnation and the pause after it take. */
 const SOON_MS = 390;
 
 const orderOf = (instance: string, run: number): StartTaskCall => ({
@@ -38,13 +41,13 @@
   run: run as unknown as RunNumber,
 });
 
-/** A worker that leaves starts without an answer, and what it was told to bar. */
+/** A side with a worker that leaves starts unanswered and records which runs it was ordered to fence. */
 const watchWorker = async () => {
   const clock = new ManualClock();
   const worker = {
     life: "w1",
     answersStarts: false,
-    /** Runs whose bars get no answer. */
+    /** Runs whose fencing calls get no answer. */
     silentBars: new Set<number>(),
     bars: [] as number[],
   };
@@ -97,7 +100,7 @@
   return { clock, watch, worker, registry, order, replace, stop };
 };
 
-test("a start whose answer is still awaited is barred at the worker's next life", async () => {
+test("a start whose answer is still pending is fenced at the worker's next incarnation", async () => {
   const { clock, watch, worker, order, replace, stop } = await watchWorker();
   order(7);
   await clock.advance(1);
@@ -108,7 +111,7 @@
   await stop();
 });
 
-test("a start that was answered at once is barred nowhere", async () => {
+test("a start that was answered at once is not fenced", async () => {
   const { clock, watch, worker, order, replace, stop } = await watchWorker();
   worker.answersStarts = true;
   order(7);
@@ -120,7 +123,7 @@
   await stop();
 });
 
-test("a bar without an answer holds up none of the others", async () => {
+test("a fencing call without an answer does not delay the others", async () => {
   const { clock, worker, order, replace, stop } = await watchWorker();
   for (const run of [7, 8, 9]) order(run);
   await clock.advance(CALL_TIMEOUT_MS);
@@ -131,7 +134,7 @@
   await stop();
 });
 
-test("a life is not reported before each bar is answered, and none is sent twice", async () => {
+test("an incarnation is not reported before all fencing calls are answered, and answered ones are not repeated", async () => {
   const { clock, watch, worker, order, replace, stop } = await watchWorker();
   for (const run of [7, 8, 9]) order(run);
   await clock.advance(CALL_TIMEOUT_MS);
@@ -146,7 +149,7 @@
   await stop();
 });
 
-test("a bar without an answer is sent again long before its time is over", async () => {
+test("a fencing call without an answer is sent again long before it times out", async () => {
   const { clock, watch, worker, order, replace, stop } = await watchWorker();
   order(7);
   await clock.advance(CALL_TIMEOUT_MS);
@@ -160,7 +163,7 @@
   await stop();
 });
 
-test("what one life has barred is barred at the next one too", async () => {
+test("a start that was fenced at one incarnation is fenced at the next one too", async () => {
   const { clock, worker, order, replace, stop } = await watchWorker();
   order(7);
   await clock.advance(CALL_TIMEOUT_MS);
@@ -172,9 +175,9 @@
   await stop();
 });
 
-// The clock of the next life may show less, and a worker takes the lease of a start
-// also where it bars the run.
-test("a silent worker's bound counts the lease that a start to the life before may bring", async () => {
+// The clock of the next incarnation may be behind, and a worker accepts the lease of a start
+// even if the run is fenced.
+test("the lease bound of a silent worker includes the lease of a start sent to its previous incarnation", async () => {
   const { clock, watch, worker, order, replace, stop } = await watchWorker();
   await clock.advance(2 * LONGEST_LEASE_MS);
   order(7);
@@ -189,8 +192,8 @@
   await stop();
 });
 
-// A barred start begins nothing, and its lease counts all the same.
-test("it is told for how long a start to the life before may yet be carried out, also once it is barred", async () => {
+// A fenced start begins no run, but its lease still counts.
+test("the side tracks how long a start to the previous incarnation may still arrive, also once it is fenced", async () => {
   const { clock, registry, order, replace, stop } = await watchWorker();
   const [former, next] = [
     brand<WorkerInstance>("w1"),
--- a/packages/side/tests/reportToReplacedLeader.test.ts
+++ b/packages/side/tests/reportToReplacedLeader.test.ts
@@ -1,4 +1,4 @@
-/** What a side has told a leader that decides nothing any more is told to the next one. */
+/** A report to a leader that no longer decides must be repeated to the next leader. */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -16,7 +16,7 @@
 const FIRST = brand<WorkerInstance>("w1");
 const RUN = { task: brand<JobTaskId>("j.0.0.0"), run: brand<RunNumber>(7) };
 
-test("a run that never began is told to the next leader when the one that heard of it grants nothing", async () => {
+test("a run that never began is reported to the next leader when the previous one received it but grants nothing", async () => {
   const clock = new ManualClock();
   const registry = new WorkerRegistry(clock, silentLogger);
   registry.recordHeartbeat(createHeartbeat("w1"));
--- a/packages/side/tests/sentLeaseTracker.test.ts
+++ b/packages/side/tests/sentLeaseTracker.test.ts
@@ -1,4 +1,4 @@
-/** Until when a worker may run anything, by the leases that its side sent. */
+/** Upper bound for the time until which a worker may run anything, from the leases that its side sent. */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -14,10 +14,10 @@
 const LONGEST_MS = 10_000;
 const LIFE = brand<WorkerInstance>("w1");
 const NEXT_LIFE = brand<WorkerInstance>("w2");
-/** What the worker's clock shows when the side's shows 0. */
+/** Reading of the worker's clock when the side's reads 0. */
 const AHEAD_MS = 50_000;
 
-/** The longest time that a lease of this length may last on the side's clock. */
+/** Longest duration of a lease of this length on the side's clock. */
 const lasts = (leaseMs: number): number =>
   leaseMs * (1 + LEASE.workerClockDrift) + LEASE.marginMs;
 
@@ -30,7 +30,7 @@
   return { clock, sent };
 };
 
-/** One whose process has run for longer than any lease of the one before. */
+/** A tracker whose process has run for longer than any lease of the previous process. */
 const createLater = async () => {
   const { clock, sent } = create();
   await clock.advance(2 * LONGEST_MS);
@@ -39,7 +39,7 @@
   return { clock, sent };
 };
 
-test("a side that has started anew counts the longest lease of the process before", async () => {
+test("a restarted side counts the longest lease of the previous process", async () => {
   const { clock, sent } = create();
   expect(sent.overInMs).toEqual(lasts(LONGEST_MS));
   sent.recordClockReading(LIFE, at(0));
@@ -48,7 +48,7 @@
   expect(sent.overInMs).toEqual(lasts(LONGEST_MS) - 3_000);
 });
 
-test("a lease that was sent counts with the drift of the worker's clock, answered or not", async () => {
+test("a lease that was sent counts with the drift of the worker's clock, whether answered or not", async () => {
   const { clock, sent } = await createLater();
   sent.recordSent(LIFE, at(6_000));
   expect(sent.overInMs).toEqual(lasts(6_000));
@@ -56,27 +56,27 @@
   expect(sent.overInMs).toEqual(lasts(6_000) - 2_000);
 });
 
-test("a shorter lease that is sent later does not shorten one before", async () => {
+test("a shorter lease that is sent later does not shorten an earlier one", async () => {
   const { sent } = await createLater();
   sent.recordSent(LIFE, at(6_000));
   sent.recordSent(LIFE, at(2_500));
   expect(sent.overInMs).toEqual(lasts(6_000));
 });
 
-test("a lease counts from the newest reading, however late it is sent", async () => {
+test("a lease counts from the newest clock reading, however late it is sent", async () => {
   const { clock, sent } = await createLater();
   await clock.advance(4_000);
   sent.recordSent(LIFE, at(6_000));
   expect(sent.overInMs).toEqual(lasts(6_000) - 4_000);
 });
 
-test("a lease to a life whose clock is not known counts as the longest from now", async () => {
+test("a lease to an incarnation whose clock is unknown counts as the longest from now", async () => {
   const { sent } = await createLater();
   sent.recordSent(NEXT_LIFE, at(100));
   expect(sent.overInMs).toEqual(lasts(LONGEST_MS));
 });
 
-test("a lease of a former life still counts once the next one has answered", async () => {
+test("a lease of a previous incarnation still counts once the next one has answered", async () => {
   const { sent } = await createLater();
   sent.recordSent(LIFE, at(6_000));
   sent.recordClockReading(NEXT_LIFE, 5 as unknown as WorkerTime);
@@ -91,7 +91,7 @@
   expect(sent.overInMs).toEqual(lasts(6_000));
 });
 
-test("a side that does not know the longest lease cannot tell when all are over", async () => {
+test("without a known longest lease the end of all leases is unknown", async () => {
   const { clock, sent } = create(Infinity);
   await clock.advance(60_000);
   expect(sent.overInMs).toEqual(undefined);
--- a/packages/side/tests/side.test.ts
+++ b/packages/side/tests/side.test.ts
@@ -35,7 +35,7 @@
   return { clock, commitments };
 };
 
-test("a host is never committed past what it has, whatever is asked in whatever order", () => {
+test("a host never commits more than its capacity, for any sequence of calls", () => {
   const step = fc.record({
     action: fc.constantFrom("reserve", "commit", "release", "uncommit"),
     index: fc.nat(9),
@@ -85,7 +85,7 @@
   );
 });
 
-test("a reservation is good for its own task only", () => {
+test("a reservation is valid for its own task only", () => {
   const { commitments } = createCommitments();
   const { id } = commitments.reserve(identity("a"), amounts(1));
   expect(() => commitments.commit(id, identity("b").task)).toThrow(
@@ -98,7 +98,7 @@
   attempt: number,
 });
 
-test("a fenced attempt never starts, a started one is never called not run", () => {
+test("a fenced attempt never starts, and a started one is never reported as not run", () => {
   const fences = new RequestFences(new ManualClock(), 100);
   expect(fences.fence(attempt("a"), 5)).toEqual("no");
   expect(fences.tryStart(attempt("a"))).toEqual("fenced");
@@ -107,7 +107,7 @@
   expect(fences.tryStart(attempt("a", 2))).toEqual("repeated");
 });
 
-test("what may have been forgotten is answered as unknown", async () => {
+test("an attempt whose record may have been dropped is reported as unknown", async () => {
   const clock = new ManualClock();
   const fences = new RequestFences(clock, 3);
   expect(fences.tryStart(attempt("old"))).toEqual("started");
@@ -115,12 +115,12 @@
     await clock.advance(10);
     fences.tryStart(attempt(name));
   }
-  // Sent 30 ms ago, when "old" started, which is forgotten by now.
+  // Sent 30 ms ago, when "old" started, whose record has been dropped by now.
   expect(fences.fence(attempt("old"), 30)).toEqual("unknown");
   expect(fences.fence(attempt("young"), 5)).toEqual("no");
 });
 
-test("slots and connections are hard, and a wait for a slot ends at the deadline", async () => {
+test("slots and connections are hard limits, and a wait for a slot ends at the deadline", async () => {
   const clock = new ManualClock();
   const gate = new AdmissionGate({
     clock,
@@ -150,7 +150,7 @@
   ]);
 });
 
-test("a request whose time ran out does not keep others out of the queue", async () => {
+test("an expired request does not take up space in the queue", async () => {
   const clock = new ManualClock();
   const gate = new AdmissionGate({
     clock,
@@ -168,7 +168,7 @@
   expect((await next).admitted).toEqual(true);
 });
 
-test("requests past the queue are refused at once", async () => {
+test("requests beyond the queue limit are refused at once", async () => {
   const gate = new AdmissionGate({
     clock: new ManualClock(),
     slots: 1,
--- a/packages/side/tests/silentWorker.test.ts
+++ b/packages/side/tests/silentWorker.test.ts
@@ -1,4 +1,7 @@
-/** What lease a worker is sent while it is silent, and once it answers again. */
+/**
+ * Leases sent to a worker while it is silent and once it answers again. A lease that outlasts
+ * the bound reported to a leader would let runs continue that the leader starts elsewhere.
+ */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -24,9 +27,9 @@
 const INSTANCE = brand<WorkerInstance>("w1");
 const LONGEST_MS = 10_000;
 const UNATTENDED_MS = 6_000;
-/** A look without an answer is given up after this. */
+/** A poll without an answer times out after this. */
 const TIMEOUT_MS = 650;
-/** Longer than a look and the pause after it take. */
+/** Longer than a poll and the pause after it take. */
 const SEVERAL_LOOKS_MS = 2_000;
 
 interface Look {
@@ -34,7 +37,7 @@
   readonly leaseUntil: number | undefined;
 }
 
-/** A worker whose clock shows what the side's does, with a lease under epoch 1. */
+/** A side with a worker whose clock equals the side's, with a lease under epoch 1. */
 const watchWorker = async () => {
   const clock = new ManualClock();
   const looks: Look[] = [];
@@ -74,7 +77,7 @@
     );
   lead(1);
   watch.start();
-  // What a process before this one may have sent is over by then.
+  // Leases of a previous process are over by then.
   await clock.advance(2 * LONGEST_MS);
   grant();
   await clock.advance(1_000);
@@ -98,7 +101,7 @@
   await stop();
 });
 
-test("no lease that was sent lasts longer than a leader is told", async () => {
+test("no lease that was sent lasts longer than the bound reported to a leader", async () => {
   const { clock, watch, looks, worker, lead, stop } = await watchWorker();
   worker.answers = false;
   await clock.advance(SEVERAL_LOOKS_MS);
@@ -116,7 +119,7 @@
   await stop();
 });
 
-/** The worker answers again just after its leader was told that it is silent. */
+/** The worker answers again just after its silence was reported to the leader. */
 const answerOnceTold = async ({
   changesLeader,
 }: {
@@ -135,7 +138,7 @@
   return { ...site, leasesSince };
 };
 
-test("a worker that answers again just after a leader was told gets no lease of a former one", async () => {
+test("a worker that answers again just after a new leader received the report gets no lease of the previous leader", async () => {
   const { clock, grant, leasesSince, stop } = await answerOnceTold({
     changesLeader: true,
   });
@@ -146,7 +149,7 @@
   await stop();
 });
 
-test("a worker that answers again gets no lease of the leader that was told before that one grants anew", async () => {
+test("a worker that answers again gets no lease until the leader that received the report grants one anew", async () => {
   const { clock, grant, leasesSince, stop } = await answerOnceTold({
     changesLeader: false,
   });
@@ -157,7 +160,7 @@
   await stop();
 });
 
-test("an order that got no answer counts with the lease that it carries", async () => {
+test("the lease of an order without an answer counts", async () => {
   const { clock, watch, orders, lead, stop } = await watchWorker();
   const until = clock.monotonic() + LONGEST_MS;
   const leaseUntil = until as unknown as WorkerTime;
@@ -172,7 +175,7 @@
   await ordered;
 });
 
-test("a worker that obeys a higher epoch may have any lease of another process", async () => {
+test("a worker that has accepted a higher epoch may have any lease of another process", async () => {
   const { clock, watch, worker, stop } = await watchWorker();
   worker.fences = true;
   await clock.advance(SEVERAL_LOOKS_MS);
--- a/packages/side/tests/startCall.ts
+++ b/packages/side/tests/startCall.ts
@@ -1,4 +1,4 @@
-/** An order to start a plain task, as a leader sends it. */
+/** A leader's order to start a plain task. */
 
 import {
   brand,
--- a/packages/side/tests/taskOrderHandler.test.ts
+++ b/packages/side/tests/taskOrderHandler.test.ts
@@ -1,4 +1,4 @@
-/** What a side makes of the worker's answers to orders. */
+/** How a side derives the result of an order from the worker's answers. */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -15,8 +15,8 @@
 import { START_CALL } from "./startCall.js";
 
 /**
- * Orders a start at a worker that gives these answers in turn; undefined for none.
- * @param heard lives whose heartbeats came before, in order
+ * Orders a start from a worker that gives these answers in turn; undefined stands for no answer.
+ * @param registered incarnations whose heartbeats arrived before, in order
  */
 const startWith = async (
   answers: readonly (StartOutcome | Error | undefined)[],
@@ -43,7 +43,7 @@
   reason,
 });
 
-test("a run that is lost while its order is repeated is told as one with an open order", async () => {
+test("a run that is lost while its order is repeated is reported with an open order", async () => {
   const clock = new ManualClock();
   const host = {
     start: () => Promise.reject(new WorkerSilentError("no answer")),
@@ -61,56 +61,56 @@
   expect(isOpen()).toEqual([undefined]);
 });
 
-test("a refusal is taken as one when no try before it was left unanswered", async () => {
+test("a refusal is reported when no earlier try was left unanswered", async () => {
   expect(await startWith([refused("unhealthy")])).toEqual({
     kind: "refused",
     reason: "unhealthy",
   });
 });
 
-test("a refusal that may pass says nothing of an unanswered try before it", async () => {
+test("a temporary refusal does not cover an earlier unanswered try", async () => {
   for (const reason of ["no-room", "unhealthy", "bad-ticket"] as const) {
     const result = await startWith([undefined, refused(reason)]);
     expect(result).toEqual({ kind: "silent" });
   }
 });
 
-// The try without an answer may have been carried out, and its run be over by now.
-test("no refusal says that an unanswered try before it was not carried out", async () => {
+// The try without an answer may have been carried out, with its run over by now.
+test("a permanent refusal does not cover an earlier unanswered try", async () => {
   for (const reason of ["fenced", "old-run", "late"] as const) {
     const result = await startWith([undefined, refused(reason)]);
     expect(result).toEqual({ kind: "silent" });
   }
 });
 
-test("a refusal for good is taken as one when no try before it was left unanswered", async () => {
+test("a permanent refusal is reported when no earlier try was left unanswered", async () => {
   for (const reason of ["fenced", "old-run", "late"] as const) {
     const result = await startWith([refused(reason)]);
     expect(result).toEqual({ kind: "refused", reason });
   }
 });
 
-// A heartbeat of another writer may name a life that never was.
-test("an order to a life that another one's heartbeat displaced is carried out", async () => {
+// A heartbeat of another writer may name an incarnation that never existed.
+test("an order to an incarnation that another one's heartbeat displaced is carried out", async () => {
   const at = 5 as unknown as WorkerTime;
   const answer = await startWith([{ kind: "started", at }], ["w", "other"]);
   expect(answer).toEqual({ kind: "ok", at });
 });
 
-test("an order to a life that was never heard, beside one that was, is not", async () => {
+test("an order to an unregistered incarnation is not carried out while another one is registered", async () => {
   const at = 5 as unknown as WorkerTime;
   const answer = await startWith([{ kind: "started", at }], ["other"]);
   expect(answer).toEqual({ kind: "replaced" });
 });
 
-// The task may have crashed the life that got the first try.
-test("the answer of another life says nothing of an unanswered try before it", async () => {
+// The task may have crashed the incarnation that received the first try.
+test("the answer of another incarnation does not cover an earlier unanswered try", async () => {
   const replaced = new WorkerReplacedError(START_CALL.instance);
   expect(await startWith([undefined, replaced])).toEqual({ kind: "silent" });
   expect(await startWith([replaced])).toEqual({ kind: "replaced" });
 });
 
-test("a start that found no connection is refused at once", async () => {
+test("a start without a connection is refused at once", async () => {
   const unsent = new WorkerSilentError("no connection", undefined, false);
   expect(await startWith([unsent])).toEqual({
     kind: "refused",
@@ -118,7 +118,7 @@
   });
 });
 
-test("a start that found no connection after an unanswered try is unsure", async () => {
+test("a start without a connection after an unanswered try has an unknown result", async () => {
   const unsent = new WorkerSilentError("no connection", undefined, false);
   const tries = [undefined, ...Array.from({ length: 40 }, () => unsent)];
   expect(await startWith(tries)).toEqual({ kind: "silent" });
--- a/packages/side/tests/unattendedLease.test.ts
+++ b/packages/side/tests/unattendedLease.test.ts
@@ -1,4 +1,7 @@
-/** A worker whose side is removed does not keep its lease for as long as the leader granted. */
+/**
+ * A worker whose side is removed must not keep its lease for as long as the leader granted:
+ * the side renews it only as far ahead as the worker may continue unattended.
+ */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -23,7 +26,7 @@
   readonly leaseUntil: number | undefined;
 }
 
-/** A worker that is looked at; tells how far ahead its lease was renewed. */
+/** A side that polls a worker; records how far ahead the lease was renewed. */
 const watchWorker = async () => {
   const clock = new ManualClock();
   const renewals: Renewal[] = [];
@@ -54,7 +57,7 @@
 const lastLease = (renewals: readonly Renewal[]): number =>
   renewals.at(-1)?.leaseUntil ?? 0;
 
-test("a worker's lease is renewed no further ahead than it may go on alone", async () => {
+test("a worker's lease is renewed no further ahead than it may continue unattended", async () => {
   const { clock, watch, renewals, workerTime, stop } = await watchWorker();
   const granted = workerTime() + 10_000;
   watch.grant(INSTANCE, granted as unknown as WorkerTime);
@@ -66,7 +69,7 @@
   await stop();
 });
 
-test("a worker keeps all that was granted for as long as its side renews it", async () => {
+test("a worker keeps the whole granted lease as long as its side renews it", async () => {
   const { clock, watch, renewals, workerTime, stop } = await watchWorker();
   const granted = workerTime() + 10_000;
   watch.grant(INSTANCE, granted as unknown as WorkerTime);
@@ -77,8 +80,8 @@
   await stop();
 });
 
-// The worker's clock goes on while the side's stands still: what the side takes for
-// the worker's time falls behind, so the lease ends sooner, and never later.
+// The worker's clock keeps running while the side's is stopped: the side's estimate of the
+// worker's time falls behind, so the lease ends earlier, and never later.
 test("a side whose machine was suspended renews the lease no further ahead", async () => {
   const { clock, watch, renewals, workerTime, stop } = await watchWorker();
   const granted = workerTime() + 10_000;
--- a/packages/side/tests/workerRegistry.test.ts
+++ b/packages/side/tests/workerRegistry.test.ts
@@ -1,4 +1,4 @@
-/** Which life of a worker a side takes as the present one. */
+/** Which incarnation of a worker a side considers current. */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -15,7 +15,7 @@
 const createRegistry = () =>
   new WorkerRegistry(new ManualClock(), silentLogger);
 
-test("a heartbeat of the life before that arrives late changes nothing", () => {
+test("a late heartbeat of the previous incarnation changes nothing", () => {
   const registry = createRegistry();
   registry.recordHeartbeat(createHeartbeat("old", 4));
   registry.recordHeartbeat(createHeartbeat("new", 1));
@@ -25,10 +25,10 @@
   expect(registry.worker?.instance).toEqual(brand<WorkerInstance>("new"));
 });
 
-test("a life that was never heard before does not keep the present one out", () => {
+test("a late heartbeat of an unregistered incarnation does not lock out the current one", () => {
   const registry = createRegistry();
   registry.recordHeartbeat(createHeartbeat("present", 3));
-  // This side was started after that life had ended.
+  // This side was started after that incarnation had ended.
   registry.recordHeartbeat(createHeartbeat("former", 9));
   registry.recordGone(brand<WorkerInstance>("former"), "another life answers");
   expect(registry.worker?.instance).toEqual(brand<WorkerInstance>("present"));
@@ -37,7 +37,7 @@
   expect(registry.worker?.instance).toEqual(brand<WorkerInstance>("present"));
 });
 
-test("a life that the next one has replaced for good does not come back", () => {
+test("an incarnation whose replacement has answered is not accepted again", () => {
   const registry = createRegistry();
   registry.recordHeartbeat(createHeartbeat("first", 3));
   registry.recordHeartbeat(createHeartbeat("second", 1));
@@ -48,7 +48,7 @@
   expect(registry.worker).toEqual(undefined);
 });
 
-test("two lives that were never heard before do not keep the present one out", () => {
+test("late heartbeats of two unregistered incarnations do not lock out the current one", () => {
   const registry = createRegistry();
   registry.recordHeartbeat(createHeartbeat("present", 3));
   for (const former of ["former-1", "former-2"]) {
@@ -62,7 +62,7 @@
   expect(registry.worker?.instance).toEqual(brand<WorkerInstance>("present"));
 });
 
-test("a heartbeat of another service than the host's is refused, and the worker here goes on", () => {
+test("a heartbeat of another service than the host's is refused, and the registered worker is unaffected", () => {
   const service = brand<ServiceName>("minutes");
   const registry = new WorkerRegistry(new ManualClock(), silentLogger, service);
   expect(() => registry.recordHeartbeat(createHeartbeat("other"))).toThrow(
--- a/packages/side/tests/workerRunTracker.test.ts
+++ b/packages/side/tests/workerRunTracker.test.ts
@@ -1,4 +1,4 @@
-/** What a side remembers of the runs of each life of its worker. */
+/** What a side records about the runs of each incarnation of its worker, and reports once one ends. */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -33,7 +33,7 @@
     registry.recordHeartbeat(createHeartbeat("w2"));
     registry.confirmCurrent(brand<WorkerInstance>("w2"));
   };
-  /** @returns how long before the broken look each lost run was ordered */
+  /** @returns `orderedMs` of each lost run */
   const crashAfterNextOrder = () => {
     registry.runs.recordOrdered(FIRST, { ...RUN, run: brand<RunNumber>(8) });
     crash();
@@ -42,7 +42,7 @@
   return { clock, registry, crash, crashAfterNextOrder };
 };
 
-test("a run that was ordered in a life that crashed is told", () => {
+test("a run that was ordered from an incarnation that crashed is reported", () => {
   const { registry, crash } = setUp();
   expect(registry.runs.unreportedLostRuns).toEqual([]);
   crash();
@@ -51,7 +51,7 @@
   ]);
 });
 
-test("it is told how long the worker had shown the run", () => {
+test("the report says for how long the worker had listed the run", () => {
   const { registry, crash } = setUp();
   registry.runs.recordStarted(FIRST, RUN, timeOf(1_000));
   registry.runs.recordListed(FIRST, pollResponseOf(1_400, [RUN]), 0);
@@ -61,7 +61,7 @@
   ]);
 });
 
-test("lists that were on their way when the run started do not end it", () => {
+test("a list that was in flight when the run started does not end it", () => {
   const { registry, crash } = setUp();
   registry.runs.recordStarted(FIRST, RUN, timeOf(1_000));
   registry.runs.recordListed(FIRST, pollResponseOf(990, []), 0);
@@ -69,7 +69,7 @@
   expect(registry.runs.unreportedLostRuns.length).toEqual(1);
 });
 
-test("a run that has ended, or was refused, or lapsed is not told", async () => {
+test("a run that has ended, was refused or has lapsed is not reported", async () => {
   const ended = setUp();
   ended.registry.runs.recordStarted(FIRST, RUN, timeOf(1_000));
   ended.registry.runs.recordListed(FIRST, pollResponseOf(1_500, []), 0);
@@ -86,14 +86,14 @@
   expect(lapsed.registry.runs.unreportedLostRuns).toEqual([]);
 });
 
-test("a run that is refused after its life has ended is not told", () => {
+test("a run that is refused after its incarnation has ended is not reported", () => {
   const { registry, crash } = setUp();
   crash();
   registry.runs.recordRefused(FIRST, RUN);
   expect(registry.runs.unreportedLostRuns).toEqual([]);
 });
 
-test("it is told that a run was ordered after its worker had stopped answering", async () => {
+test("the report says that a run was ordered after its worker had stopped answering", async () => {
   const { clock, registry, crash } = setUp();
   const shown: RunRef = { ...RUN, run: brand<RunNumber>(9) };
   registry.runs.recordOrdered(FIRST, shown);
@@ -111,7 +111,7 @@
   ]);
 });
 
-test("a worker that answers a start may carry out the next one", async () => {
+test("a worker that answers a start is not silent for later orders", async () => {
   const { clock, registry, crashAfterNextOrder } = setUp();
   registry.runs.recordSilent(FIRST);
   await clock.advance(40);
@@ -120,7 +120,7 @@
   expect(crashAfterNextOrder()).toEqual([undefined, undefined]);
 });
 
-test("a worker that answers again may carry out what is ordered then", async () => {
+test("a worker that answers polls again is not silent for later orders", async () => {
   const { clock, registry, crashAfterNextOrder } = setUp();
   registry.runs.recordSilent(FIRST);
   await clock.advance(40);
@@ -128,7 +128,7 @@
   expect(crashAfterNextOrder()).toEqual([undefined, undefined]);
 });
 
-test("runs of a worker that leaves as it had said are not told", () => {
+test("runs of a worker that leaves as announced are not reported", () => {
   const { registry } = setUp();
   const leaving = createHeartbeat("w1", 2);
   registry.recordHeartbeat({
@@ -139,14 +139,14 @@
   expect(registry.runs.unreportedLostRuns).toEqual([]);
 });
 
-test("what a leader has answered is told no more", () => {
+test("a lost run is no longer reported once a leader has answered", () => {
   const { registry, crash } = setUp();
   crash();
   registry.runs.markLostRunsReported(registry.runs.unreportedLostRuns);
   expect(registry.runs.unreportedLostRuns).toEqual([]);
 });
 
-test("a lost run whose order is open is told again once the order is over", () => {
+test("a lost run whose order is open is reported again once the order is closed", () => {
   const { registry, crash } = setUp();
   const { runs } = registry;
   runs.recordOrderOpen(RUN);
@@ -157,14 +157,14 @@
   expect(runs.unreportedLostRuns).toEqual([{ ...lost, isOrderOpen: true }]);
   const told = runs.unreportedLostRuns;
   runs.recordOrderClosed(RUN);
-  // The leader's answer is to what was told before.
+  // The leader's answer refers to the report before.
   runs.markLostRunsReported(told);
   expect(runs.unreportedLostRuns).toEqual([lost]);
   runs.markLostRunsReported(runs.unreportedLostRuns);
   expect(runs.unreportedLostRuns).toEqual([]);
 });
 
-test("a run that was told as lost and never began is told as such until a leader answers", () => {
+test("a run that was reported as lost but never began is reported as such until a leader answers", () => {
   const { registry, crash } = setUp();
   const { runs } = registry;
   runs.recordOrderOpen(RUN);
@@ -178,7 +178,7 @@
   expect(runs.unreportedNeverBegun).toEqual([]);
 });
 
-test("a run that is refused while its life stands is told in no way", () => {
+test("a run that is refused before its incarnation ends is not reported at all", () => {
   const { registry, crash } = setUp();
   registry.runs.recordRefused(FIRST, RUN);
   crash();
@@ -190,7 +190,7 @@
   ended: [{ ...RUN, number: 1, outcome: "done", checkpoint: "" }],
 });
 
-test("a run whose end was listed before its life ended is told as ended until a leader answers", () => {
+test("a run whose end was listed before its incarnation ended is reported as ended until a leader answers", () => {
   const { registry, crash } = setUp();
   const { runs } = registry;
   runs.recordStarted(FIRST, RUN, timeOf(1_000));
@@ -203,7 +203,7 @@
   expect(runs.unreportedEnds).toEqual([]);
 });
 
-test("an end that a leader has acknowledged is told no more once its life has ended", () => {
+test("an end that a leader has acknowledged is not reported once its incarnation has ended", () => {
   const { registry, crash } = setUp();
   const { runs } = registry;
   runs.recordStarted(FIRST, RUN, timeOf(1_000));
@@ -213,7 +213,7 @@
   expect(runs.unreportedEnds).toEqual([]);
 });
 
-test("a run is told as one at work only if the last look broke off while it would have told of an end", () => {
+test("a run is reported as at work only if the last poll was interrupted while it would have reported an end", () => {
   const broken = setUp();
   broken.registry.runs.recordStarted(FIRST, RUN, timeOf(1_000));
   broken.registry.runs.recordPollInterrupted(FIRST);
@@ -223,7 +223,7 @@
   ]);
   const goesOn = setUp();
   goesOn.registry.runs.recordPollInterrupted(FIRST);
-  // Only the connection was reset: the run may end unheard of later.
+  // Only the connection was reset: the run may end later without the side receiving the end.
   goesOn.registry.runs.recordListed(FIRST, pollResponseOf(1_200, [RUN]), 0);
   goesOn.crash();
   expect(goesOn.registry.runs.unreportedLostRuns.map(wasAtWork)).toEqual([
@@ -231,15 +231,15 @@
   ]);
 });
 
-// A look or its answer may be held up on its way for as long as the run takes to end.
-test("it is told how long a run can have worked when the look broke off", async () => {
+// A poll or its response may be delayed on the network until the run has ended.
+test("the report says how long a run can have worked when the poll was interrupted", async () => {
   const { clock, registry, crash } = setUp();
   await clock.advance(30);
   registry.runs.recordStarted(FIRST, RUN, timeOf(1_000));
   registry.runs.recordListed(FIRST, pollResponseOf(1_090, [RUN]), 0);
   await clock.advance(605);
   registry.runs.recordPollInterrupted(FIRST);
-  // The next life is heard of later.
+  // The next incarnation registers later.
   await clock.advance(2_000);
   crash();
   expect(registry.runs.unreportedLostRuns).toEqual([
@@ -247,7 +247,7 @@
   ]);
 });
 
-test("a run that a former process of the side ordered may have worked for any time", async () => {
+test("a run that a previous process of the side ordered may have worked for any time", async () => {
   const { clock, registry, crash } = setUp();
   const former: RunRef = { ...RUN, run: brand<RunNumber>(8) };
   registry.runs.recordListed(FIRST, pollResponseOf(1_000, [former]), 0);
