--- a/packages/kernel/src/Lifecycle.ts
+++ b/packages/kernel/src/Lifecycle.ts
@@ -14,7 +14,7 @@
 export type LifecycleState = "starting" | "running" | "draining" | "stopped";
 
 export class Lifecycle {
-  private current: LifecycleState = "starting";
+  private currentState: LifecycleState = "starting";
   private readonly started: LifecyclePart[] = [];
 
   constructor(
@@ -23,7 +23,7 @@
   ) {}
 
   get state(): LifecycleState {
-    return this.current;
+    return this.currentState;
   }
 
   /** Starts the parts in order. If one fails, stops those already started and rethrows the error. */
@@ -35,37 +35,37 @@
       }
     } catch (err) {
       await this.stopStarted();
-      this.current = "stopped";
+      this.currentState = "stopped";
       throw err;
     }
-    this.current = "running";
+    this.currentState = "running";
     this.logger.info("lifecycle.running");
   }
 
   /** Planned stop: drains the parts in order, then stops them in reverse order. */
   async shutDown(): Promise<void> {
-    if (this.current !== "running") return;
-    this.current = "draining";
+    if (this.currentState !== "running") return;
+    this.currentState = "draining";
     this.logger.info("lifecycle.draining");
-    for (const part of this.started) await this.attempt("drain", part);
+    for (const part of this.started) await this.runStep("drain", part);
     await this.stopStarted();
-    this.current = "stopped";
+    this.currentState = "stopped";
     this.logger.info("lifecycle.stopped");
   }
 
   /** Stops at once without draining, like a killed process. */
   async kill(): Promise<void> {
-    this.current = "stopped";
+    this.currentState = "stopped";
     await this.stopStarted();
   }
 
   private async stopStarted(): Promise<void> {
     while (this.started.length > 0) {
-      await this.attempt("stop", this.started.pop() as LifecyclePart);
+      await this.runStep("stop", this.started.pop() as LifecyclePart);
     }
   }
 
-  private async attempt(
+  private async runStep(
     step: "drain" | "stop",
     part: LifecyclePart,
   ): Promise<void> {
--- a/packages/kernel/src/settings.ts
+++ b/packages/kernel/src/settings.ts
@@ -102,7 +102,7 @@
         file,
         line: lineAt(text, keyNode.offset),
         path: childPath.join("."),
-        what: "the key stands twice in one object",
+        what: "the key occurs twice in one object",
         remedy: "remove one of them",
       });
     }
@@ -150,7 +150,7 @@
     case "invalid_value":
       return `use one of: ${issue.values.map(String).join(", ")}`;
     default:
-      return "see docs/INTERFACE.md for what this value may be";
+      return "see docs/INTERFACE.md for the values that are allowed here";
   }
 };
 
@@ -244,8 +244,8 @@
         file: source,
         line: 1,
         path,
-        what: "not a path",
-        remedy: "name the keys from the top, joined by dots",
+        what: "the path has an empty or reserved key",
+        remedy: "write the keys from the top level, joined by dots",
       },
     ]);
   }
@@ -281,7 +281,7 @@
     return readFileSync(file, "utf8");
   } catch (err) {
     const what = err instanceof Error ? err.message : String(err);
-    const remedy = "name a file that can be read";
+    const remedy = "specify a readable file";
     throw new SettingsError([{ file, line: 1, path: "", what, remedy }]);
   }
 };
--- a/packages/side/src/AdmissionGate.ts
+++ b/packages/side/src/AdmissionGate.ts
@@ -27,8 +27,8 @@
 
 export class AdmissionGate {
   private readonly queue: PQueue;
-  private open = 0;
-  private expired = 0;
+  private openCount = 0;
+  private expiredCount = 0;
 
   constructor(private readonly options: AdmissionGateOptions) {
     this.queue = new PQueue({ concurrency: options.slots });
@@ -40,32 +40,35 @@
 
   /** Requests that wait for a slot; expired ones are still in the queue but are not counted. */
   get queued(): number {
-    return this.queue.size - this.expired;
+    return this.queue.size - this.expiredCount;
   }
 
   get openConnections(): number {
-    return this.open;
+    return this.openCount;
   }
 
   /** Acquires a connection and a slot. */
   async admitRequest(timeoutMs: number): Promise<Admission> {
     const { connections, slots, maxQueued } = this.options;
-    if (this.open >= connections) return refused(REASON.CONNECTIONS_BUSY);
+    if (this.openCount >= connections) return refused(REASON.CONNECTIONS_BUSY);
     const mustWait = this.busySlots >= slots;
     if (mustWait && this.queued >= maxQueued) return refused(REASON.SLOTS_BUSY);
-    this.open += 1;
+    this.openCount += 1;
     const permit = await this.waitForSlot(timeoutMs);
     if (permit) return { admitted: true, permit };
-    this.open -= 1;
+    this.openCount -= 1;
     return refused(REASON.DEADLINE);
   }
 
   /** Acquires a connection only, since a watch is idle most of the time. */
   admitWatch(): Admission {
-    if (this.open >= this.options.connections)
+    if (this.openCount >= this.options.connections)
       return refused(REASON.CONNECTIONS_BUSY);
-    this.open += 1;
-    return { admitted: true, permit: oncePermit(() => (this.open -= 1)) };
+    this.openCount += 1;
+    return {
+      admitted: true,
+      permit: createPermit(() => (this.openCount -= 1)),
+    };
   }
 
   private waitForSlot(timeoutMs: number): Promise<Permit | undefined> {
@@ -73,20 +76,20 @@
       let isExpired = false;
       const timer = this.options.clock.after(timeoutMs, () => {
         isExpired = true;
-        this.expired += 1;
+        this.expiredCount += 1;
         resolve(undefined);
       });
       void this.queue.add(() => {
         timer.cancel();
         if (isExpired) {
-          this.expired -= 1;
+          this.expiredCount -= 1;
           return Promise.resolve();
         }
-        return new Promise<void>((free) => {
+        return new Promise<void>((freeSlot) => {
           resolve(
-            oncePermit(() => {
-              this.open -= 1;
-              free();
+            createPermit(() => {
+              this.openCount -= 1;
+              freeSlot();
             }),
           );
         });
@@ -95,7 +98,7 @@
   }
 }
 
-const oncePermit = (release: () => void): Permit => {
+const createPermit = (release: () => void): Permit => {
   let released = false;
   return {
     release: () => {
--- a/packages/side/src/Commitments.ts
+++ b/packages/side/src/Commitments.ts
@@ -34,7 +34,7 @@
 
 export class Commitments {
   private capacity: Resources = NO_RESOURCES;
-  private readonly held = new Map<TaskId, Resources>();
+  private readonly committed = new Map<TaskId, Resources>();
   private readonly reservations = new Map<ReservationId, Reservation>();
 
   constructor(private readonly options: CommitmentsOptions) {}
@@ -51,7 +51,7 @@
   get free(): Resources {
     this.dropExpired();
     let used = NO_RESOURCES;
-    for (const resources of this.held.values())
+    for (const resources of this.committed.values())
       used = addResources(used, resources);
     for (const { resources } of this.reservations.values()) {
       used = addResources(used, resources);
@@ -94,17 +94,17 @@
     if (reservation?.identity.task !== task)
       throw new ReservationGoneError(task);
     this.reservations.delete(id);
-    this.held.set(task, reservation.resources);
+    this.committed.set(task, reservation.resources);
     return reservation;
   }
 
   /** Commits resources to a task that the worker ran already when this process started. */
   adopt(task: TaskId, resources: Resources): void {
-    this.held.set(task, resources);
+    this.committed.set(task, resources);
   }
 
   uncommit(task: TaskId): void {
-    this.held.delete(task);
+    this.committed.delete(task);
   }
 
   private dropExpired(): void {
--- a/packages/side/src/RequestFences.ts
+++ b/packages/side/src/RequestFences.ts
@@ -7,32 +7,32 @@
   readonly attempt: number;
 }
 
-type Fate = "started" | "fenced";
+type AttemptState = "started" | "fenced";
 
-interface Remembered {
-  readonly fate: Fate;
-  readonly at: Monotonic;
+interface AttemptRecord {
+  readonly state: AttemptState;
+  readonly recordedAt: Monotonic;
 }
 
-const nameOf = ({ request, attempt }: AttemptKey): string =>
+const keyOf = ({ request, attempt }: AttemptKey): string =>
   `${request}#${attempt}`;
 
 export class RequestFences {
-  private readonly fates = new Map<string, Remembered>();
+  private readonly attempts = new Map<string, AttemptRecord>();
   /** Attempts that arrived up to this time may have been dropped from the map. */
-  private horizon: Monotonic = -Infinity;
+  private droppedUntil: Monotonic = -Infinity;
 
   constructor(
     private readonly clock: Clock,
-    private readonly kept: number,
+    private readonly maxEntries: number,
   ) {}
 
   /** Records that the attempt starts now, unless it is fenced or has started before. */
   tryStart(name: AttemptKey): "started" | "fenced" | "repeated" {
-    const key = nameOf(name);
-    const known = this.fates.get(key);
-    if (known) return known.fate === "fenced" ? "fenced" : "repeated";
-    this.remember(key, "started");
+    const key = keyOf(name);
+    const recorded = this.attempts.get(key);
+    if (recorded) return recorded.state === "fenced" ? "fenced" : "repeated";
+    this.record(key, "started");
     return "started";
   }
 
@@ -42,22 +42,22 @@
    * @returns whether the attempt has started here
    */
   fence(name: AttemptKey, ageMs: number): "yes" | "no" | "unknown" {
-    const key = nameOf(name);
-    const known = this.fates.get(key);
-    if (known) return known.fate === "started" ? "yes" : "no";
-    this.remember(key, "fenced");
+    const key = keyOf(name);
+    const recorded = this.attempts.get(key);
+    if (recorded) return recorded.state === "started" ? "yes" : "no";
+    this.record(key, "fenced");
     const sentAt = this.clock.monotonic() - ageMs;
-    return sentAt <= this.horizon ? "unknown" : "no";
+    return sentAt <= this.droppedUntil ? "unknown" : "no";
   }
 
-  private remember(key: string, fate: Fate): void {
-    this.fates.set(key, { fate, at: this.clock.monotonic() });
-    if (this.fates.size <= this.kept) return;
-    const [oldest, { at }] = this.fates.entries().next().value as [
+  private record(key: string, state: AttemptState): void {
+    this.attempts.set(key, { state, recordedAt: this.clock.monotonic() });
+    if (this.attempts.size <= this.maxEntries) return;
+    const [oldest, { recordedAt }] = this.attempts.entries().next().value as [
       string,
-      Remembered,
+      AttemptRecord,
     ];
-    this.fates.delete(oldest);
-    this.horizon = at;
+    this.attempts.delete(oldest);
+    this.droppedUntil = recordedAt;
   }
 }
--- a/packages/side/src/RequestHandler.ts
+++ b/packages/side/src/RequestHandler.ts
@@ -174,7 +174,7 @@
     head: RequestHead,
     timeoutMs: number,
   ): Promise<void> {
-    const endpoint = this.leastBusy(head);
+    const endpoint = this.leastLoadedEndpoint(head);
     if (!endpoint) return this.refuse(req, res, head, endpointGone);
     if (res.destroyed) return;
     if (timeoutMs <= 0)
@@ -196,18 +196,18 @@
     const task = endpoint.identity.task;
     const attempt = this.send(req, head, endpoint, timeoutMs);
     this.addInFlight(task, 1);
-    let late = false;
+    let timedOut = false;
     const timer = clock.after(timeoutMs, () => {
-      late = true;
+      timedOut = true;
       attempt.cancel();
     });
-    const onGone = (): void => attempt.cancel();
-    res.on("close", onGone);
+    const onClose = (): void => attempt.cancel();
+    res.on("close", onClose);
     const startedAt = clock.monotonic();
     try {
       const answer = await attempt.response;
       timer.cancel();
-      res.off("close", onGone);
+      res.off("close", onClose);
       if (head.watch) this.addWatch(res);
       const end = await this.relay(answer, res);
       this.options.logger.debug("request.end", {
@@ -220,7 +220,7 @@
       metrics.count("side_answered", { end });
       metrics.latency("endpoint").record(clock.monotonic() - startedAt);
     } catch (err) {
-      this.refuse(req, res, head, failure(err, late));
+      this.refuse(req, res, head, failure(err, timedOut));
     } finally {
       timer.cancel();
       this.addInFlight(task, -1);
@@ -259,7 +259,7 @@
     request: RequestHead,
     permit: Permit,
   ): void {
-    const endpoint = this.leastBusy(request);
+    const endpoint = this.leastLoadedEndpoint(request);
     const started =
       endpoint && this.options.fences.tryStart(request) === "started";
     if (!endpoint || !started) {
@@ -299,7 +299,7 @@
     watch.on("close", () => this.watches.delete(watch));
   }
 
-  private leastBusy({ service }: RequestHead): HeldTask | undefined {
+  private leastLoadedEndpoint({ service }: RequestHead): HeldTask | undefined {
     let best: HeldTask | undefined;
     let bestLoad = Infinity;
     for (const task of this.options.tasks.endpointsOf(service)) {
@@ -311,8 +311,8 @@
     return best;
   }
 
-  private addInFlight(task: string, by: number): void {
-    const next = (this.inFlight.get(task) ?? 0) + by;
+  private addInFlight(task: string, delta: number): void {
+    const next = (this.inFlight.get(task) ?? 0) + delta;
     if (next > 0) this.inFlight.set(task, next);
     else this.inFlight.delete(task);
   }
@@ -353,9 +353,9 @@
   outcome: "unknown",
 });
 
-const failure = (err: unknown, late: boolean): Refusal => {
+const failure = (err: unknown, timedOut: boolean): Refusal => {
   const mayHaveRun = !(err instanceof AttemptFailedError) || err.mayHaveRun;
-  if (late) {
+  if (timedOut) {
     const detail = "the endpoint did not answer in time";
     const outcome = mayHaveRun ? "unknown" : "not-run";
     return { status: STATUS.TIMEOUT, reason: REASON.DEADLINE, detail, outcome };
--- a/packages/side/src/SideProcess.ts
+++ b/packages/side/src/SideProcess.ts
@@ -54,7 +54,7 @@
   readonly tasks: TaskSupervisor;
   readonly gate: AdmissionGate;
   private readonly handler: RequestHandler;
-  private readonly board: StatusPublisher;
+  private readonly statusPublisher: StatusPublisher;
   private readonly lifecycle: Lifecycle;
   private readonly server: Server;
   private readonly rpc: RpcServer<typeof SIDE_METHODS>;
@@ -86,7 +86,7 @@
     const { tasks, gate } = this;
     const fences = new RequestFences(clock, settings.limits.fencesKept);
     this.handler = new RequestHandler({ ...shared, tasks, gate, fences });
-    this.board = new StatusPublisher({
+    this.statusPublisher = new StatusPublisher({
       settings,
       incarnation,
       tasks,
@@ -102,7 +102,7 @@
         commitments,
         fences,
         settings,
-        statusPublisher: this.board,
+        statusPublisher: this.statusPublisher,
       }),
     );
     this.server = this.createServer();
@@ -209,7 +209,7 @@
   /** Notifies the entries, then refuses new requests, then waits for those in progress. */
   private async drain(): Promise<void> {
     const { noticeMs, limitMs } = this.options.settings.drain;
-    this.board.startLeaving();
+    this.statusPublisher.startLeaving();
     await sleep(this.clock, noticeMs);
     this.handler.isRefusing = true;
     const end = this.clock.monotonic() + limitMs;
@@ -223,7 +223,7 @@
   }
 
   private async close(): Promise<void> {
-    this.board.close();
+    this.statusPublisher.close();
     this.handler.closeWatches();
     this.handler.close();
     await closeServer(this.server);
--- a/packages/side/src/StatusPublisher.ts
+++ b/packages/side/src/StatusPublisher.ts
@@ -35,7 +35,7 @@
   private readonly changed = new ChangeSignal();
 
   constructor(private readonly options: StatusPublisherOptions) {
-    options.tasks.changed.on(() => this.bump());
+    options.tasks.changed.on(() => this.incrementRevision());
   }
 
   get leaving(): boolean {
@@ -45,7 +45,7 @@
   /** Publishes that the host is leaving, so that entries send nothing new. */
   startLeaving(): void {
     this.isLeaving = true;
-    this.bump();
+    this.incrementRevision();
   }
 
   /** Answers all waiting entries; later reads do not wait. */
@@ -56,15 +56,15 @@
 
   /** @returns the status, at once when it differs from `known`, else after a change or `waitMs` */
   async read(known: KnownStatus, waitMs: number): Promise<SideStatus> {
-    const same = (): boolean =>
+    const isUnchanged = (): boolean =>
       known.incarnation === this.options.incarnation &&
       known.revision === this.revision;
-    if (same() && !this.closed)
+    if (isUnchanged() && !this.closed)
       await this.changed.wait(this.options.clock, waitMs);
-    return this.snapshot(!same());
+    return this.snapshot(!isUnchanged());
   }
 
-  private bump(): void {
+  private incrementRevision(): void {
     this.revision += 1;
     this.changed.notify();
   }
--- a/packages/side/src/TaskSupervisor.ts
+++ b/packages/side/src/TaskSupervisor.ts
@@ -64,7 +64,7 @@
 }
 
 const ADOPT_RETRY_MS = 200;
-const FENCED_TASKS_KEPT = 10_000;
+const MAX_FENCED_TASKS = 10_000;
 
 export class TaskSupervisor {
   /** Emitted on each change of any task. */
@@ -73,13 +73,13 @@
   private readonly fenced = new Set<TaskId>();
   /** Stop orders that the worker has not confirmed yet, and whether to save a checkpoint. */
   private readonly stopOrders = new Map<TaskId, boolean>();
-  private adopted = false;
+  private isAdopted = false;
 
   constructor(private readonly options: TaskSupervisorOptions) {}
 
   /** Whether the worker has listed its tasks; nothing is admitted before. */
   get ready(): boolean {
-    return this.adopted;
+    return this.isAdopted;
   }
 
   list(): readonly HeldTask[] {
@@ -99,7 +99,7 @@
   /** Takes over the worker and adopts the tasks that it runs. Retries until it succeeds. */
   async adopt(signal: AbortSignal): Promise<void> {
     const { worker, incarnation, clock, logger } = this.options;
-    while (!this.adopted) {
+    while (!this.isAdopted) {
       try {
         this.adoptAll(await worker.takeOver(incarnation));
       } catch (err) {
@@ -135,7 +135,7 @@
     metrics.count("leases_renewed", {}, running.length);
     this.options.commitments.setCapacity(state.capacity);
     const known = new Map(state.tasks.map((task) => [task.task, task]));
-    for (const task of running) this.observe(task, known.get(task));
+    for (const task of running) this.applyWorkerState(task, known.get(task));
   }
 
   isFenced(task: TaskId): boolean {
@@ -151,7 +151,7 @@
       request.reservation,
       task,
     );
-    this.put({
+    this.update({
       identity,
       fencingToken: request.fencingToken,
       state: "starting",
@@ -164,7 +164,7 @@
     const held = this.tasks.get(task);
     if (!held) throw new UnknownTaskError(task);
     if (held.state === "ended") return;
-    this.put({ ...held, state: "stopping" });
+    this.update({ ...held, state: "stopping" });
     this.options.logger.info("task.stop", { task, checkpoint });
     this.stopOrders.set(task, checkpoint);
     await this.refresh();
@@ -182,7 +182,8 @@
       }
       this.stopOrders.delete(task);
       const held = this.tasks.get(task);
-      if (held?.state === "stopping") this.put({ ...held, state: "stopped" });
+      if (held?.state === "stopping")
+        this.update({ ...held, state: "stopped" });
     }
   }
 
@@ -214,7 +215,7 @@
     if (this.tasks.has(task)) return "held";
     this.options.commitments.releaseFor(task);
     this.fenced.add(task);
-    if (this.fenced.size > FENCED_TASKS_KEPT) {
+    if (this.fenced.size > MAX_FENCED_TASKS) {
       this.fenced.delete(this.fenced.values().next().value as TaskId);
     }
     return "never";
@@ -256,12 +257,12 @@
       });
       metrics.count("tasks_started", { kind: identity.kind });
       logger.info("task.started", { task, fencingToken });
-      this.observe(task, status);
+      this.applyWorkerState(task, status);
     } catch (err) {
       const detail = describeError(err);
       logger.warn("task.start-failed", { task, error: detail });
       if (err instanceof WorkerRefusedError)
-        this.finish(task, "failed", detail);
+        this.recordEnd(task, "failed", detail);
       else this.stopUncertain(task);
     }
   }
@@ -270,7 +271,7 @@
   private stopUncertain(task: TaskId): void {
     const held = this.tasks.get(task);
     if (!held) return;
-    this.put({ ...held, state: "stopping" });
+    this.update({ ...held, state: "stopping" });
     this.stopOrders.set(task, false);
   }
 
@@ -287,32 +288,32 @@
       const { fencingToken } = status;
       this.tasks.set(status.task, { identity, fencingToken, state: "running" });
       commitments.adopt(status.task, status.resources);
-      this.observe(status.task, status);
+      this.applyWorkerState(status.task, status);
       logger.info("task.adopted", { task: status.task, state: status.state });
     }
-    this.adopted = true;
+    this.isAdopted = true;
     this.changed.emit();
   }
 
   /** Applies the state that the worker reports; undefined means that the task does not run there. */
-  private observe(task: TaskId, status: WorkerTask | undefined): void {
+  private applyWorkerState(task: TaskId, status: WorkerTask | undefined): void {
     const held = this.tasks.get(task);
     if (!held || held.state === "ended") return;
     if (!status) {
-      this.finish(task, "lost", "the worker does not know it");
+      this.recordEnd(task, "lost", "the worker does not know it");
       return;
     }
     if (status.state === "running") {
       const state = held.state === "starting" ? "running" : held.state;
       if (state === held.state && status.address === held.address) return;
-      this.put({ ...held, state, address: status.address });
+      this.update({ ...held, state, address: status.address });
       return;
     }
     const end = status.state === "lapsed" ? "lost" : status.state;
-    this.finish(task, end, status.detail, status.checkpoint);
+    this.recordEnd(task, end, status.detail, status.checkpoint);
   }
 
-  private finish(
+  private recordEnd(
     task: TaskId,
     end: EndKind,
     detail?: string,
@@ -324,7 +325,7 @@
     this.options.metrics.count("tasks_ended", { end });
     this.options.logger.info("task.ended", { task, end, detail });
     const { identity, fencingToken } = held;
-    this.put({
+    this.update({
       identity,
       fencingToken,
       state: "ended",
@@ -334,7 +335,7 @@
     });
   }
 
-  private put(held: HeldTask): void {
+  private update(held: HeldTask): void {
     this.tasks.set(held.identity.task, held);
     this.changed.emit();
   }
--- a/packages/side/src/jobs/FencedTaskHost.ts
+++ b/packages/side/src/jobs/FencedTaskHost.ts
@@ -25,27 +25,27 @@
 } from "@rackspan/ports";
 import { BoundedMap } from "@rackspan/state";
 
-const PARTS = {
+const SUB_EPOCHS = {
   /** Sub-epochs per epoch. Sub-epochs derived from the clock wrap around after 13 years. */
-  ofEpoch: 2 ** 32,
+  perEpoch: 2 ** 32,
   /** Wall-clock time per sub-epoch, milliseconds. */
-  unitMs: 100,
+  durationMs: 100,
   /** Incarnations whose sub-epochs are kept; the oldest are dropped. */
-  maxLives: 64,
+  maxIncarnations: 64,
   /** Starts whose epochs are kept; the oldest are dropped. */
   maxStarts: 1_024,
 } as const;
 
 /** Lower than the first sub-epoch. */
-const NO_PART = -1;
+const NO_SUB_EPOCH = -1;
 
 /** Fencing state of one incarnation. */
-interface LifePart {
-  part: number;
+interface FencingState {
+  subEpoch: number;
   /** Increment for the next retry when the worker has received a higher sub-epoch. */
-  reach: number;
+  retryStep: number;
   /** The highest epoch under which it has answered a poll; undefined before the first answer. */
-  obeyed: Epoch | undefined;
+  acceptedEpoch: Epoch | undefined;
 }
 
 export interface FencedTaskHostOptions {
@@ -54,19 +54,21 @@
 }
 
 export class FencedTaskHost implements TaskHost {
-  private readonly lives = new BoundedMap<WorkerInstance, LifePart>(
-    PARTS.maxLives,
+  private readonly incarnations = new BoundedMap<WorkerInstance, FencingState>(
+    SUB_EPOCHS.maxIncarnations,
   );
   /** The epoch under which each start was last sent, by run. */
-  private readonly sentUnder = new BoundedMap<string, Epoch>(PARTS.maxStarts);
-  private highest = NO_PART;
+  private readonly sentEpochs = new BoundedMap<string, Epoch>(
+    SUB_EPOCHS.maxStarts,
+  );
+  private highestSubEpoch = NO_SUB_EPOCH;
   private epoch: Epoch | undefined;
 
   constructor(private readonly options: FencedTaskHostOptions) {}
 
   start(instance: WorkerInstance, order: RunStart): Promise<StartOutcome> {
-    const epoch = this.presentOf(instance, order.epoch);
-    this.sentUnder.set(runKeyOf(order), epoch);
+    const epoch = this.currentEpochOf(instance, order.epoch);
+    this.sentEpochs.set(runKeyOf(order), epoch);
     return this.options.host.start(instance, { ...order, epoch });
   }
 
@@ -76,11 +78,11 @@
     epoch: Epoch,
   ): Promise<WorkerTime> {
     const { host } = this.options;
-    return host.stop(instance, run, this.presentOf(instance, epoch));
+    return host.stop(instance, run, this.currentEpochOf(instance, epoch));
   }
 
   pace(instance: WorkerInstance, order: PaceOrder): Promise<void> {
-    const epoch = this.presentOf(instance, order.epoch);
+    const epoch = this.currentEpochOf(instance, order.epoch);
     return this.options.host.pace(instance, { ...order, epoch });
   }
 
@@ -91,63 +93,67 @@
    */
   async poll(
     instance: WorkerInstance,
-    order: PollRequest,
+    request: PollRequest,
   ): Promise<PollResponse> {
-    const life = this.lifeOf(instance, order.epoch);
+    const state = this.stateOf(instance, request.epoch);
     try {
-      return await this.look(instance, order, life.part);
+      return await this.pollUnder(instance, request, state.subEpoch);
     } catch (err) {
       if (!isFenced(err)) throw err;
-      const [byClock, byReach] = [this.partOfNow(), life.part + life.reach];
-      for (const part of [Math.max(life.part + 1, byClock), byReach]) {
-        const answer = await this.tryPart(instance, order, part);
+      const [byClock, byStep] = [
+        this.clockSubEpoch(),
+        state.subEpoch + state.retryStep,
+      ];
+      for (const subEpoch of [Math.max(state.subEpoch + 1, byClock), byStep]) {
+        const answer = await this.tryPollUnder(instance, request, subEpoch);
         if (answer) return answer;
       }
-      life.reach = Math.min(2 * life.reach, PARTS.ofEpoch);
+      state.retryStep = Math.min(2 * state.retryStep, SUB_EPOCHS.perEpoch);
       throw err;
     }
   }
 
   /** Whether that incarnation has accepted a higher epoch than the start was last sent under. */
   rejectsStart(instance: WorkerInstance, run: RunRef): boolean {
-    const sentUnder = this.sentUnder.get(runKeyOf(run));
-    const obeyed = this.lives.get(instance)?.obeyed;
-    if (sentUnder === undefined || obeyed === undefined) return false;
-    return sentUnder < obeyed;
+    const sentEpoch = this.sentEpochs.get(runKeyOf(run));
+    const acceptedEpoch = this.incarnations.get(instance)?.acceptedEpoch;
+    if (sentEpoch === undefined || acceptedEpoch === undefined) return false;
+    return sentEpoch < acceptedEpoch;
   }
 
-  private async look(
+  private async pollUnder(
     instance: WorkerInstance,
-    order: PollRequest,
-    part: number,
+    request: PollRequest,
+    subEpoch: number,
   ): Promise<PollResponse> {
-    const epoch = divide(order.epoch, part);
+    const epoch = withSubEpoch(request.epoch, subEpoch);
     try {
       const answer = await this.options.host.poll(instance, {
-        ...order,
+        ...request,
         epoch,
       });
-      const life = this.lives.get(instance);
-      if (life && epoch > (life.obeyed ?? 0)) life.obeyed = epoch;
+      const state = this.incarnations.get(instance);
+      if (state && epoch > (state.acceptedEpoch ?? 0))
+        state.acceptedEpoch = epoch;
       return answer;
     } catch (err) {
-      if (err instanceof WorkerSilentError) this.raise(instance);
+      if (err instanceof WorkerSilentError) this.advanceSubEpoch(instance);
       throw err;
     }
   }
 
   /** @returns undefined when the worker has received a higher sub-epoch */
-  private async tryPart(
+  private async tryPollUnder(
     instance: WorkerInstance,
-    order: PollRequest,
-    part: number,
+    request: PollRequest,
+    subEpoch: number,
   ): Promise<PollResponse | undefined> {
     try {
-      const answer = await this.look(instance, order, part);
-      const life = this.lifeOf(instance, order.epoch);
-      life.part = Math.max(life.part, part);
-      life.reach = 1;
-      this.highest = Math.max(this.highest, part);
+      const answer = await this.pollUnder(instance, request, subEpoch);
+      const state = this.stateOf(instance, request.epoch);
+      state.subEpoch = Math.max(state.subEpoch, subEpoch);
+      state.retryStep = 1;
+      this.highestSubEpoch = Math.max(this.highestSubEpoch, subEpoch);
       return answer;
     } catch (err) {
       if (!isFenced(err)) throw err;
@@ -156,8 +162,8 @@
   }
 
   /** The epoch and sub-epoch under which that incarnation is called now. */
-  private presentOf(instance: WorkerInstance, epoch: Epoch): Epoch {
-    return divide(epoch, this.lifeOf(instance, epoch).part);
+  private currentEpochOf(instance: WorkerInstance, epoch: Epoch): Epoch {
+    return withSubEpoch(epoch, this.stateOf(instance, epoch).subEpoch);
   }
 
   /**
@@ -165,44 +171,53 @@
    * are meant for this one, before its first heartbeat arrives. With a new sub-epoch, the
    * first of these calls fences everything that was sent until now.
    */
-  private raise(instance: WorkerInstance): void {
-    const life = this.lives.get(instance);
-    if (life) life.part = this.nextPart();
+  private advanceSubEpoch(instance: WorkerInstance): void {
+    const state = this.incarnations.get(instance);
+    if (state) state.subEpoch = this.nextSubEpoch();
   }
 
   /** A new incarnation gets a sub-epoch above all that were used under this epoch. */
-  private lifeOf(instance: WorkerInstance, epoch: Epoch): LifePart {
+  private stateOf(instance: WorkerInstance, epoch: Epoch): FencingState {
     if (this.epoch === undefined || epoch > this.epoch) this.beginEpoch(epoch);
-    const known = this.lives.get(instance);
+    const known = this.incarnations.get(instance);
     if (known) return known;
-    const life = { part: this.nextPart(), reach: 1, obeyed: undefined };
-    this.lives.set(instance, life);
-    return life;
+    const state = {
+      subEpoch: this.nextSubEpoch(),
+      retryStep: 1,
+      acceptedEpoch: undefined,
+    };
+    this.incarnations.set(instance, state);
+    return state;
   }
 
-  private nextPart(): number {
-    this.highest = Math.max(this.highest + 1, this.partOfNow());
-    return this.highest;
+  private nextSubEpoch(): number {
+    this.highestSubEpoch = Math.max(
+      this.highestSubEpoch + 1,
+      this.clockSubEpoch(),
+    );
+    return this.highestSubEpoch;
   }
 
   /** Everything sent under a previous epoch is lower than each sub-epoch of this one. */
   private beginEpoch(epoch: Epoch): void {
     this.epoch = epoch;
-    this.highest = NO_PART;
-    for (const [instance] of this.lives) this.lives.delete(instance);
+    this.highestSubEpoch = NO_SUB_EPOCH;
+    for (const [instance] of this.incarnations)
+      this.incarnations.delete(instance);
   }
 
   /** Follows the clock, so that a restarted process without state exceeds the previous one. */
-  private partOfNow(): number {
-    const units = Math.floor(this.options.clock.now() / PARTS.unitMs);
-    return units % PARTS.ofEpoch;
+  private clockSubEpoch(): number {
+    const units = Math.floor(this.options.clock.now() / SUB_EPOCHS.durationMs);
+    return units % SUB_EPOCHS.perEpoch;
   }
 }
 
-const divide = (epoch: Epoch, part: number): Epoch => {
-  const highest = PARTS.ofEpoch - 1;
-  const divided = epoch * PARTS.ofEpoch + Math.min(part, highest);
-  return divided as unknown as Epoch;
+const withSubEpoch = (epoch: Epoch, subEpoch: number): Epoch => {
+  const maxSubEpoch = SUB_EPOCHS.perEpoch - 1;
+  const combined =
+    epoch * SUB_EPOCHS.perEpoch + Math.min(subEpoch, maxSubEpoch);
+  return combined as unknown as Epoch;
 };
 
 const isFenced = (err: unknown): boolean =>
--- a/packages/side/src/jobs/JobSideProcess.ts
+++ b/packages/side/src/jobs/JobSideProcess.ts
@@ -34,7 +34,7 @@
   /** Time within which a replacement of this process has attached and renews the lease. */
   restartMs: 3_000,
   /** Share of the time for a planned stop within which a leader must record that the worker left. */
-  goodbyeShare: 0.6,
+  deregistrationShare: 0.6,
 } as const;
 
 const MS_PER_SECOND = 1_000;
@@ -48,7 +48,7 @@
 export class JobSideProcess {
   readonly logger: Logger;
   private readonly store: StoreClient;
-  private readonly watch: WorkerPoller;
+  private readonly poller: WorkerPoller;
   private readonly link: LeaderClient;
   private readonly inbox: WorkerInbox;
   private readonly metricsServer: MetricsServer;
@@ -68,7 +68,7 @@
     const { service } = settings.worker;
     const registry = new WorkerRegistry(clock, logger, service);
     const pacer = new Pacer({ host, ...base, ...settings.pacing });
-    const watch = new WorkerPoller({
+    const poller = new WorkerPoller({
       registry,
       host,
       pacer,
@@ -86,23 +86,23 @@
     const orders = new TaskOrderHandler({
       host,
       registry,
-      poller: watch,
+      poller,
       pacer,
       ...base,
     });
-    this.watch = watch;
+    this.poller = poller;
     this.link = new LeaderClient({
       host: settings.host,
       availabilityZone: settings.availabilityZone,
       finder: buildFinder(settings, this.store, base),
       registry,
-      poller: watch,
+      poller,
       orders,
       pacer,
       clock,
       logger,
       deregistrationTimeoutMs:
-        SIDE.goodbyeShare * settings.graceSeconds * MS_PER_SECOND,
+        SIDE.deregistrationShare * settings.graceSeconds * MS_PER_SECOND,
     });
     this.inbox = workerInboxes.create(client, {
       ...settings.inbox,
@@ -119,7 +119,7 @@
     const { settings } = this.options;
     await this.inbox.start();
     await this.metricsServer.start();
-    this.watch.start();
+    this.poller.start();
     this.link.start();
     this.logger.info("side.started", { host: settings.host, pid: process.pid });
   }
@@ -128,7 +128,7 @@
   async shutDown(): Promise<void> {
     this.logger.info("side.stopping", { host: this.options.settings.host });
     await this.link.stop();
-    await this.watch.stop();
+    await this.poller.stop();
     await this.inbox.stop();
     await this.metricsServer.stop();
     this.store.close();
--- a/packages/side/src/jobs/LeaderClient.ts
+++ b/packages/side/src/jobs/LeaderClient.ts
@@ -31,31 +31,31 @@
 import type { WorkerRegistry } from "./WorkerRegistry.js";
 import type { WorkerStatus, WorkerPoller } from "./WorkerPoller.js";
 
-const LINK = {
+const LEADER_CLIENT = {
   /** Interval between two attempts to find a leader. */
-  findEveryMs: 200,
+  findIntervalMs: 200,
   connectTimeoutMs: 600,
   callTimeoutMs: 1_200,
   /** Longest interval between two reports; each report renews the lease. */
-  reportEveryMs: 500,
+  reportIntervalMs: 500,
   /** The same while the worker drains, when little time is left. */
-  drainingReportEveryMs: 250,
+  drainingReportIntervalMs: 250,
   /** Longest wait for a status change before checking whether a report is due. */
-  newsWaitMs: 125,
+  statusWaitMs: 125,
   /** Interval of the pings that keep the connection open while there is nothing to report. */
-  pingEveryMs: 1_500,
+  pingIntervalMs: 1_500,
   /** Least time between two reports, so that ends are reported in batches. */
-  reportFloorMs: 12,
+  minReportIntervalMs: 12,
   /** A connection on which no byte arrives for this long is closed. */
   silenceMs: 4_000,
   /** A leader that grants no lease for this long may have been replaced. */
-  ungrantedMs: 700,
+  maxUngrantedMs: 700,
   /** Consecutive unanswered reports after which the side searches for another leader. */
   maxUnanswered: 2,
   /** Interval between two checks whether a leader has recorded the worker's end. */
-  goodbyeLookMs: 50,
+  deregistrationPollMs: 50,
   /** Delay until a leader that has not recorded it is notified again. */
-  goodbyeAgainMs: 400,
+  deregistrationRetryMs: 400,
 } as const;
 
 export interface LeaderClientOptions {
@@ -79,24 +79,24 @@
   /** When the leader last granted a lease, or when the store was last asked for the leader since. */
   private grantedAt: Monotonic = -Infinity;
   /** The incarnation whose end the leader of this connection has recorded. */
-  private toldGone: WorkerInstance | undefined;
-  private isTelling = false;
+  private recordedGone: WorkerInstance | undefined;
+  private isDeregistering = false;
   /** The newest status that was reported over this connection. */
-  private lastSent: WorkerStatus | undefined;
-  private task: Promise<void> | undefined;
+  private lastReported: WorkerStatus | undefined;
+  private loop: Promise<void> | undefined;
 
   constructor(private readonly options: LeaderClientOptions) {}
 
   start(): void {
-    this.task ??= this.run();
+    this.loop ??= this.run();
   }
 
   async stop(): Promise<void> {
-    await this.awaitGoodbye();
+    await this.awaitDeregistration();
     this.abort.abort();
     this.connection?.close("stopping");
     this.options.poller.statusChanged.notify();
-    await this.task;
+    await this.loop;
   }
 
   /**
@@ -104,49 +104,44 @@
    * worker has left. If no leader had recorded the end, the next leader would start no task
    * of previous terms until this host's lease has expired.
    */
-  private async awaitGoodbye(): Promise<void> {
-    const {
-      registry,
-      clock,
-      logger,
-      deregistrationTimeoutMs: goodbyeMs,
-    } = this.options;
+  private async awaitDeregistration(): Promise<void> {
+    const { registry, clock, logger, deregistrationTimeoutMs } = this.options;
     const { worker, lastGone } = registry;
     if (worker !== undefined || lastGone === undefined) return;
-    const giveUpAt = clock.monotonic() + goodbyeMs;
-    while (this.toldGone !== lastGone && clock.monotonic() < giveUpAt) {
-      await sleep(clock, LINK.goodbyeLookMs);
+    const deadline = clock.monotonic() + deregistrationTimeoutMs;
+    while (this.recordedGone !== lastGone && clock.monotonic() < deadline) {
+      await sleep(clock, LEADER_CLIENT.deregistrationPollMs);
     }
-    const wasTold = this.toldGone === lastGone;
-    logger.info("worker.goodbye", { instance: lastGone, wasTold });
+    const wasRecorded = this.recordedGone === lastGone;
+    logger.info("worker.goodbye", { instance: lastGone, wasTold: wasRecorded });
   }
 
   private async run(): Promise<void> {
     const { finder, clock } = this.options;
     while (!this.abort.signal.aborted) {
       const address = await finder.find();
-      if (address !== undefined) await this.serve(address);
-      await pause(clock, LINK.findEveryMs, this.abort.signal);
+      if (address !== undefined) await this.runSession(address);
+      await pause(clock, LEADER_CLIENT.findIntervalMs, this.abort.signal);
     }
   }
 
   /** Attaches to the entry and sends reports as long as it answers. */
-  private async serve(address: string): Promise<void> {
-    const { host, availabilityZone, poller: watch, logger } = this.options;
+  private async runSession(address: string): Promise<void> {
+    const { host, availabilityZone, poller, logger } = this.options;
     let reason: string;
     try {
-      const connection = await this.open(address);
+      const connection = await this.openConnection(address);
       const { epoch } = await connection.call(
         "attach",
         { host, availabilityZone },
-        LINK.callTimeoutMs,
+        LEADER_CLIENT.callTimeoutMs,
       );
-      if (epoch < (watch.currentEpoch ?? 0)) {
+      if (epoch < (poller.currentEpoch ?? 0)) {
         connection.close("an older leader");
         return;
       }
       logger.info("leader.attached", { leader: address, epoch });
-      watch.raiseEpoch(epoch);
+      poller.raiseEpoch(epoch);
       reason = await this.reportWhileOpen(connection, address);
     } catch (err) {
       reason = describeError(err);
@@ -156,15 +151,15 @@
     logger.info("leader.detached", { leader: address, reason });
   }
 
-  private async open(address: string): Promise<LeaderConnection> {
+  private async openConnection(address: string): Promise<LeaderConnection> {
     const { clock, logger } = this.options;
-    const socket = await openSocket(address, LINK.connectTimeoutMs);
+    const socket = await openSocket(address, LEADER_CLIENT.connectTimeoutMs);
     this.connection = new JsonRpcConnection({
       socket,
       servedMethods: hostMethods,
       calledMethods: leaderMethods,
       handlers: this.handlers(),
-      idleTimeoutMs: LINK.silenceMs,
+      idleTimeoutMs: LEADER_CLIENT.silenceMs,
       clock,
       logger,
     });
@@ -174,12 +169,12 @@
   private handlers(): ConstructorParameters<
     typeof JsonRpcConnection<typeof hostMethods, typeof leaderMethods>
   >[0]["handlers"] {
-    const { orders, poller: watch, pacer } = this.options;
+    const { orders, poller, pacer } = this.options;
     return {
       startTask: (call) => orders.start(call),
       stopTask: (call) => orders.stop(call),
       acknowledge: ({ instance, acknowledged }) => {
-        watch.acknowledge(instance, acknowledged);
+        poller.acknowledge(instance, acknowledged);
         return {};
       },
       describe: ({ tasks }) => {
@@ -194,38 +189,39 @@
     connection: LeaderConnection,
     address: string,
   ): Promise<string> {
-    const { clock, poller: watch, registry, logger } = this.options;
+    const { clock, poller, registry, logger } = this.options;
     const attachedAt = clock.monotonic();
     this.grantedAt = attachedAt;
-    this.toldGone = undefined;
-    this.lastSent = undefined;
-    const silence = new SilenceReporter({
+    this.recordedGone = undefined;
+    this.lastReported = undefined;
+    const silenceReporter = new SilenceReporter({
       connection,
       attachedAt,
       registry,
-      poller: watch,
+      poller,
       clock,
       logger,
-      callTimeoutMs: LINK.callTimeoutMs,
+      callTimeoutMs: LEADER_CLIENT.callTimeoutMs,
     });
     let unanswered = 0;
     while (connection.isOpen && !this.abort.signal.aborted) {
-      const sighting = this.sightingSince(attachedAt);
-      const answer = this.tellDue(connection, silence, sighting);
+      const status = this.statusSince(attachedAt);
+      const answer = this.reportIfDue(connection, silenceReporter, status);
       if (answer) {
         unanswered = (await answer) ? 0 : unanswered + 1;
-        if (unanswered >= LINK.maxUnanswered) return "reports unanswered";
+        if (unanswered >= LEADER_CLIENT.maxUnanswered)
+          return "reports unanswered";
         if (await this.isReplaced(address)) return "another entry leads";
-        await sleep(clock, LINK.reportFloorMs);
+        await sleep(clock, LEADER_CLIENT.minReportIntervalMs);
         continue;
       }
-      this.tellGone(connection);
-      if (clock.monotonic() - this.reportedAt > LINK.pingEveryMs) {
+      this.startDeregistration(connection);
+      if (clock.monotonic() - this.reportedAt > LEADER_CLIENT.pingIntervalMs) {
         this.reportedAt = clock.monotonic();
         connection.notify("ping", {});
       }
       await Promise.race([
-        watch.statusChanged.wait(clock, LINK.newsWaitMs),
+        poller.statusChanged.wait(clock, LEADER_CLIENT.statusWaitMs),
         connection.closed,
       ]);
     }
@@ -236,38 +232,40 @@
    * Reports the worker's status, or that the worker is silent.
    * @returns whether the leader answered; undefined when no report is due
    */
-  private tellDue(
+  private reportIfDue(
     connection: LeaderConnection,
-    silence: SilenceReporter,
-    sighting: WorkerStatus | undefined,
+    silenceReporter: SilenceReporter,
+    status: WorkerStatus | undefined,
   ): Promise<boolean> | undefined {
-    if (sighting && this.isDue(sighting)) {
-      this.lastSent = sighting;
-      return this.report(connection, sighting);
+    if (status && this.isDue(status)) {
+      this.lastReported = status;
+      return this.report(connection, status);
     }
-    if (!silence.isDue(sighting)) return undefined;
-    this.tellGone(connection);
-    return this.tellSilent(silence);
+    if (!silenceReporter.isDue(status)) return undefined;
+    this.startDeregistration(connection);
+    return this.reportSilent(silenceReporter);
   }
 
   /** @returns whether the leader answered */
-  private async tellSilent(silence: SilenceReporter): Promise<boolean> {
-    const { isAnswered, grants } = await silence.report();
+  private async reportSilent(
+    silenceReporter: SilenceReporter,
+  ): Promise<boolean> {
+    const { isAnswered, grants } = await silenceReporter.report();
     if (grants) this.grantedAt = this.options.clock.monotonic();
     return isAnswered;
   }
 
-  private tellGone(connection: LeaderConnection): void {
+  private startDeregistration(connection: LeaderConnection): void {
     const { lastGone: instance } = this.options.registry;
-    if (instance === undefined || instance === this.toldGone) return;
-    if (this.isTelling) return;
-    this.isTelling = true;
-    void this.sayGoodbye(connection, instance).finally(
-      () => (this.isTelling = false),
+    if (instance === undefined || instance === this.recordedGone) return;
+    if (this.isDeregistering) return;
+    this.isDeregistering = true;
+    void this.deregister(connection, instance).finally(
+      () => (this.isDeregistering = false),
     );
   }
 
-  private async sayGoodbye(
+  private async deregister(
     connection: LeaderConnection,
     instance: WorkerInstance,
   ): Promise<void> {
@@ -276,48 +274,50 @@
     const unheardEnds = [...registry.runs.unreportedEnds];
     const params = { instance, lostRuns, unheardEnds };
     try {
-      await connection.call("workerGone", params, LINK.callTimeoutMs);
-      if (this.connection === connection) this.toldGone = instance;
+      await connection.call("workerGone", params, LEADER_CLIENT.callTimeoutMs);
+      if (this.connection === connection) this.recordedGone = instance;
     } catch (err) {
       const error = describeError(err);
       logger.warn("worker.goodbye-unanswered", { instance, error });
       // Without a worker no reports are sent, so an unresponsive leader is detected only here.
       const isSilent = err instanceof LostAnswerError;
-      if (isSilent && !registry.worker) connection.close("goodbye unanswered");
-      await sleep(clock, LINK.goodbyeAgainMs);
+      if (isSilent && !registry.worker)
+        connection.close("deregistration unanswered");
+      await sleep(clock, LEADER_CLIENT.deregistrationRetryMs);
     }
   }
 
   /** Whether the store names another leader, checked when this one has granted no lease for a while. */
   private async isReplaced(address: string): Promise<boolean> {
     const { clock, finder } = this.options;
-    if (clock.monotonic() - this.grantedAt < LINK.ungrantedMs) return false;
+    if (clock.monotonic() - this.grantedAt < LEADER_CLIENT.maxUngrantedMs)
+      return false;
     this.grantedAt = clock.monotonic();
     const leader = await finder.findInStore();
     return leader !== undefined && leader !== address;
   }
 
   /** An older status may list a worker that has ended, or runs that have ended since. */
-  private sightingSince(attachedAt: Monotonic): WorkerStatus | undefined {
-    const { currentStatus: sighting } = this.options.poller;
-    return sighting && sighting.polledAt >= attachedAt ? sighting : undefined;
+  private statusSince(attachedAt: Monotonic): WorkerStatus | undefined {
+    const { currentStatus: status } = this.options.poller;
+    return status && status.polledAt >= attachedAt ? status : undefined;
   }
 
-  private isDue(sighting: WorkerStatus): boolean {
-    const { lastSent } = this;
-    if (sighting === lastSent) return false;
-    if (!lastSent) return true;
-    const { clock, poller: watch, registry } = this.options;
-    const lastEnd = lastSent.answer.ended.at(-1)?.number ?? 0;
-    const hasNewEnds = watch.unacknowledgedEnds.some(
+  private isDue(status: WorkerStatus): boolean {
+    const { lastReported } = this;
+    if (status === lastReported) return false;
+    if (!lastReported) return true;
+    const { clock, poller, registry } = this.options;
+    const lastEnd = lastReported.answer.ended.at(-1)?.number ?? 0;
+    const hasNewEnds = poller.unacknowledgedEnds.some(
       ({ number }) => number > lastEnd,
     );
     const worker = registry.worker;
-    if (hasNewEnds || sighting.instance !== lastSent.instance) return true;
-    const everyMs = worker?.draining
-      ? LINK.drainingReportEveryMs
-      : LINK.reportEveryMs;
-    return clock.monotonic() - this.reportedAt >= everyMs;
+    if (hasNewEnds || status.instance !== lastReported.instance) return true;
+    const intervalMs = worker?.draining
+      ? LEADER_CLIENT.drainingReportIntervalMs
+      : LEADER_CLIENT.reportIntervalMs;
+    return clock.monotonic() - this.reportedAt >= intervalMs;
   }
 
   /** @returns whether the leader answered */
@@ -325,7 +325,7 @@
     connection: LeaderConnection,
     { instance, answer }: WorkerStatus,
   ): Promise<boolean> {
-    const { registry, poller: watch, clock, logger } = this.options;
+    const { registry, poller, clock, logger } = this.options;
     const { worker } = registry;
     if (worker?.instance !== instance) return true;
     this.reportedAt = clock.monotonic();
@@ -336,19 +336,23 @@
       worker,
       at: answer.at,
       running: [...answer.running],
-      ended: [...watch.unacknowledgedEnds],
+      ended: [...poller.unacknowledgedEnds],
       hasMoreEnds: answer.hasMoreEnds,
       lostRuns,
       neverBegun,
-      formerStartsForMs: watch.previousStartsForMs(instance),
+      formerStartsForMs: poller.previousStartsForMs(instance),
       unheardEnds,
     };
     try {
-      const grant = await connection.call("report", params, LINK.callTimeoutMs);
+      const grant = await connection.call(
+        "report",
+        params,
+        LEADER_CLIENT.callTimeoutMs,
+      );
       registry.runs.markLostRunsReported(lostRuns);
       registry.runs.markNeverBegunReported(neverBegun);
       registry.runs.markEndsReported(unheardEnds);
-      this.take(instance, grant);
+      this.applyGrant(instance, grant);
       return true;
     } catch (err) {
       logger.warn("report.unanswered", { error: describeError(err) });
@@ -356,14 +360,14 @@
     }
   }
 
-  private take(instance: WorkerStatus["instance"], grant: Grant): void {
-    const { poller: watch, pacer } = this.options;
+  private applyGrant(instance: WorkerStatus["instance"], grant: Grant): void {
+    const { poller, pacer } = this.options;
     pacer.updateDisturbances(grant.disturbances ?? []);
     if (grant.leaseUntil !== undefined) {
       this.grantedAt = this.options.clock.monotonic();
-      watch.grant(instance, grant.leaseUntil);
+      poller.grant(instance, grant.leaseUntil);
     }
-    watch.acknowledge(instance, grant.acknowledged);
+    poller.acknowledge(instance, grant.acknowledged);
   }
 }
 
--- a/packages/side/src/jobs/LeaderFinder.ts
+++ b/packages/side/src/jobs/LeaderFinder.ts
@@ -18,8 +18,8 @@
 }
 
 export class LeaderFinder {
-  private nextKnown = 0;
-  private storeAnswers = true;
+  private nextEntryIndex = 0;
+  private isStoreAvailable = true;
 
   constructor(private readonly options: LeaderFinderOptions) {}
 
@@ -28,14 +28,14 @@
     const { membership, topic, logger } = this.options;
     try {
       const owner = await membership.owner(ELECTION.group, topic);
-      if (!this.storeAnswers) logger.info("store.regained", {});
-      this.storeAnswers = true;
+      if (!this.isStoreAvailable) logger.info("store.regained", {});
+      this.isStoreAvailable = true;
       return owner === undefined ? undefined : parseMember(owner)?.address;
     } catch (err) {
-      if (this.storeAnswers) {
+      if (this.isStoreAvailable) {
         logger.warn("store.lost", { error: describeError(err) });
       }
-      this.storeAnswers = false;
+      this.isStoreAvailable = false;
       return this.nextKnownEntry();
     }
   }
@@ -43,13 +43,13 @@
   /** The leader according to the store; undefined when there is none or no answer. */
   async findInStore(): Promise<string | undefined> {
     const address = await this.find();
-    return this.storeAnswers ? address : undefined;
+    return this.isStoreAvailable ? address : undefined;
   }
 
   private nextKnownEntry(): string | undefined {
     const { knownEntries } = this.options;
     if (knownEntries.length === 0) return undefined;
-    this.nextKnown = (this.nextKnown + 1) % knownEntries.length;
-    return knownEntries[this.nextKnown];
+    this.nextEntryIndex = (this.nextEntryIndex + 1) % knownEntries.length;
+    return knownEntries[this.nextEntryIndex];
   }
 }
--- a/packages/side/src/jobs/PacePlanner.ts
+++ b/packages/side/src/jobs/PacePlanner.ts
@@ -51,7 +51,7 @@
 const HALTED = 0;
 
 /** Escalation level that follows from the longest time of a tail over its target. */
-type Trouble = "none" | "blame-all" | "halt";
+type Escalation = "none" | "blame-all" | "halt";
 
 export interface PacePlannerOptions {
   /** Longest time that a tail may stay over its target without a break, milliseconds. */
@@ -70,14 +70,14 @@
 
 export class PacePlanner {
   private readonly tasks = new TaskDescriptions();
-  private readonly longTails = new TailOverrunTracker();
+  private readonly tailOverruns = new TailOverrunTracker();
   /** Latest target pace of each run, percent. */
-  private readonly wanted = new Map<string, number>();
+  private readonly targetPaces = new Map<string, number>();
 
   constructor(private readonly options: PacePlannerOptions) {}
 
-  describe(task: JobTaskId, nature: InterferenceProfile): void {
-    this.tasks.describe(task, nature);
+  describe(task: JobTaskId, profile: InterferenceProfile): void {
+    this.tasks.describe(task, profile);
   }
 
   /** Replaces the interference weights by those that the leader sent for the images on this host. */
@@ -91,9 +91,9 @@
    */
   adoptRun(row: RunningTask): void {
     const key = runKeyOf(row);
-    if (!this.tasks.isFilling(row) || this.wanted.has(key)) return;
+    if (!this.tasks.isFilling(row) || this.targetPaces.has(key)) return;
     const pace = Math.round(this.usedPercent(row));
-    this.wanted.set(
+    this.targetPaces.set(
       key,
       Math.min(FULL_PACE, Math.max(PACING.minPercent, pace)),
     );
@@ -101,15 +101,17 @@
 
   /** Records the pace at which the run was started, percent. */
   recordFirstPace(row: RunningTask, percent: number): void {
-    this.wanted.set(runKeyOf(row), percent);
+    this.targetPaces.set(runKeyOf(row), percent);
   }
 
   /** @param running the worker's running tasks with their latest readings */
   plan(running: readonly RunningTask[], now: Monotonic): PacePlan {
-    this.forgetEnded(running);
+    this.removeEnded(running);
     const filling = running.filter((row) => this.tasks.isFilling(row));
     const serving = this.tasks.servingTails(running);
-    const trouble = this.troubleAfter(this.longTails.update(serving, now));
+    const escalation = this.escalationAfter(
+      this.tailOverruns.update(serving, now),
+    );
     const factors = paceFactors({
       aim: this.options.tailAim,
       serving,
@@ -120,21 +122,22 @@
     const slowed = new Set<RunningTask>();
     for (const row of filling) {
       const before =
-        this.wanted.get(runKeyOf(row)) ?? this.firstPace(row, serving, filling);
-      const factor = boundFactor(factors.get(row) ?? 1, trouble);
+        this.targetPaces.get(runKeyOf(row)) ??
+        this.firstPace(row, serving, filling);
+      const factor = boundFactor(factors.get(row) ?? 1, escalation);
       // A halted task resumes at its least pace as soon as the halt is over.
-      const going = Math.max(before, PACING.minPercent);
+      const base = Math.max(before, PACING.minPercent);
       const pace =
-        trouble === "halt" ? HALTED : this.nextPace(row, going, factor);
+        escalation === "halt" ? HALTED : this.nextPace(row, base, factor);
       if (pace < before) slowed.add(row);
-      this.wanted.set(runKeyOf(row), pace);
+      this.targetPaces.set(runKeyOf(row), pace);
       paces.set(row, pace);
     }
     return { paces, slowed, serving };
   }
 
   /** @param longestMs the longest time of any tail over its target */
-  private troubleAfter(longestMs: number): Trouble {
+  private escalationAfter(longestMs: number): Escalation {
     const share = longestMs / this.options.tailGraceMs;
     if (share >= PACING.haltAfter) return "halt";
     return share >= PACING.slowAllAfter ? "blame-all" : "none";
@@ -146,15 +149,15 @@
   }
 
   private nextPace(row: RunningTask, before: number, factor: number): number {
-    const wanted = this.usedPercent(row) * factor;
+    const target = this.usedPercent(row) * factor;
     if (factor < 1) {
-      const slower = Math.min(before, Math.round(wanted));
+      const slower = Math.min(before, Math.round(target));
       return Math.max(Math.min(before, PACING.minPercent), slower);
     }
     if (factor === 1) return before;
     const faster = Math.max(
       before + PACING.minSpeedUpPoints,
-      Math.min(wanted, before * PACE_FACTORS.maxFactor),
+      Math.min(target, before * PACE_FACTORS.maxFactor),
     );
     return Math.min(FULL_PACE, Math.round(faster));
   }
@@ -166,7 +169,8 @@
     filling: readonly RunningTask[],
   ): number {
     const pace =
-      this.paceOfSiblings(row, filling) ?? this.paceFor(row, serving);
+      this.paceOfSiblings(row, filling) ??
+      this.paceWithinHeadroom(row, serving);
     return Math.max(PACING.minFirstPercent, pace);
   }
 
@@ -178,13 +182,16 @@
     const image = this.tasks.imageOf(row);
     const paces = filling
       .filter((other) => this.tasks.imageOf(other) === image)
-      .map((other) => this.wanted.get(runKeyOf(other)))
+      .map((other) => this.targetPaces.get(runKeyOf(other)))
       .filter((pace) => pace !== undefined);
     return paces.length > 0 ? Math.min(...paces) : undefined;
   }
 
   /** The pace at which the task alone would use up the smallest headroom of any tail. */
-  private paceFor(row: RunningTask, serving: readonly ServingTail[]): number {
+  private paceWithinHeadroom(
+    row: RunningTask,
+    serving: readonly ServingTail[],
+  ): number {
     const cores = this.tasks.demandOf(row) / MILLI_CORES_PER_CORE;
     let pace = FULL_PACE;
     for (const server of serving) {
@@ -198,14 +205,14 @@
     return pace;
   }
 
-  private forgetEnded(running: readonly RunningTask[]): void {
-    retainListedRuns(this.wanted, running);
+  private removeEnded(running: readonly RunningTask[]): void {
+    retainListedRuns(this.targetPaces, running);
     const tasks = new Set(running.map(({ task }) => task));
-    this.longTails.retainOnly(tasks);
+    this.tailOverruns.retainOnly(tasks);
     this.tasks.retainOnly(tasks);
   }
 }
 
 /** A tail that stays over its target for too long shows that its cause is not known. */
-const boundFactor = (factor: number, trouble: Trouble): number =>
-  trouble === "none" ? factor : Math.min(factor, PACE_FACTORS.minFactor);
+const boundFactor = (factor: number, escalation: Escalation): number =>
+  escalation === "none" ? factor : Math.min(factor, PACE_FACTORS.minFactor);
--- a/packages/side/src/jobs/Pacer.ts
+++ b/packages/side/src/jobs/Pacer.ts
@@ -37,7 +37,7 @@
  * A worker may carry out an unanswered order up to this long after it was sent, and then
  * override a newer one, milliseconds. The worker's interface only states "seconds".
  */
-const OPEN_ORDER_MS = 5_000;
+const MAX_ORDER_DELAY_MS = 5_000;
 
 export interface PacerOptions {
   readonly host: TaskHost;
@@ -61,18 +61,18 @@
 export class Pacer {
   private readonly planner: PacePlanner;
   /** The pace last ordered for each run, percent; absent when the pace in force is unknown. */
-  private readonly given = new Map<string, number>();
+  private readonly orderedPaces = new Map<string, number>();
   /** First pace of runs that this process ordered and that no poll has listed yet, percent. */
   private readonly unlisted = new BoundedMap<string, number>(MAX_UNLISTED);
   /** Until when an unanswered order may still be carried out, by run. */
-  private readonly openUntil = new Map<string, Monotonic>();
+  private readonly uncertainUntil = new Map<string, Monotonic>();
 
   constructor(private readonly options: PacerOptions) {
     this.planner = new PacePlanner(options);
   }
 
-  describe(task: JobTaskId, nature: InterferenceProfile): void {
-    this.planner.describe(task, nature);
+  describe(task: JobTaskId, profile: InterferenceProfile): void {
+    this.planner.describe(task, profile);
   }
 
   /** Records that this process starts the run; the worker starts it at full pace. */
@@ -108,36 +108,37 @@
     epoch: Epoch,
     running: readonly RunningTask[],
   ): void {
-    this.closeOrders();
-    for (const row of running) this.noteListed(row);
-    retainListedRuns(this.given, running);
+    this.dropExpiredOrders();
+    for (const row of running) this.recordListed(row);
+    retainListedRuns(this.orderedPaces, running);
     const plan = this.planner.plan(running, this.options.clock.monotonic());
-    for (const [row, pace] of plan.paces) this.give(instance, epoch, row, pace);
+    for (const [row, pace] of plan.paces)
+      this.orderIfChanged(instance, epoch, row, pace);
     if (plan.slowed.size > 0) this.logSlowed(plan);
   }
 
-  private noteListed(row: RunningTask): void {
+  private recordListed(row: RunningTask): void {
     const key = runKeyOf(row);
     const first = this.unlisted.get(key);
     if (first !== undefined) {
       this.unlisted.delete(key);
-      this.given.set(key, first);
+      this.orderedPaces.set(key, first);
       if (first < FULL_PACE) this.planner.recordFirstPace(row, first);
-    } else if (!this.given.has(key)) this.planner.adoptRun(row);
+    } else if (!this.orderedPaces.has(key)) this.planner.adoptRun(row);
   }
 
-  private give(
+  private orderIfChanged(
     instance: WorkerInstance,
     epoch: Epoch,
     row: RunningTask,
     percent: number,
   ): void {
     const key = runKeyOf(row);
-    const before = this.given.get(key);
-    if (before === percent && !this.openUntil.has(key)) return;
-    this.given.set(key, percent);
+    const before = this.orderedPaces.get(key);
+    if (before === percent && !this.uncertainUntil.has(key)) return;
+    this.orderedPaces.set(key, percent);
     const { task, run } = row;
-    const way = wayOf(before, percent);
+    const way = directionOf(before, percent);
     this.options.metrics.count("pace_orders", { way });
     this.send(instance, { task, run, percent, epoch });
   }
@@ -151,18 +152,18 @@
     const { task, run } = order;
     const key = runKeyOf(order);
     host.pace(instance, order).catch((err: unknown) => {
-      this.given.delete(key);
-      this.openUntil.set(key, clock.monotonic() + OPEN_ORDER_MS);
+      this.orderedPaces.delete(key);
+      this.uncertainUntil.set(key, clock.monotonic() + MAX_ORDER_DELAY_MS);
       metrics.count("pace_orders_failed");
       logger.debug("pace.failed", { task, run, error: describeError(err) });
     });
   }
 
   /** Drops unanswered orders that can no longer be carried out. */
-  private closeOrders(): void {
+  private dropExpiredOrders(): void {
     const now = this.options.clock.monotonic();
-    for (const [key, until] of this.openUntil) {
-      if (now >= until) this.openUntil.delete(key);
+    for (const [key, until] of this.uncertainUntil) {
+      if (now >= until) this.uncertainUntil.delete(key);
     }
   }
 
@@ -178,7 +179,7 @@
 }
 
 /** Direction of the change from the pace ordered before, for the metrics. */
-const wayOf = (before: number | undefined, percent: number): string => {
+const directionOf = (before: number | undefined, percent: number): string => {
   if (before === undefined) return "found";
   if (before === percent) return "again";
   return percent < before ? "down" : "up";
--- a/packages/side/src/jobs/PreviousStartFencer.ts
+++ b/packages/side/src/jobs/PreviousStartFencer.ts
@@ -13,13 +13,13 @@
 import type { RunRef, TaskHost } from "@rackspan/ports";
 import type { UnansweredStarts } from "./UnansweredStarts.js";
 
-const BARS = {
+const FENCING = {
   /** Starts that are fenced concurrently, so that a call without an answer delays few others. */
-  atOnce: 4,
+  concurrency: 4,
   /** Calls per start. Each call in flight needs its own connection. */
   tries: 3,
   /** Delay until a call without an answer is sent once more, milliseconds. */
-  againMs: 50,
+  retryAfterMs: 50,
 } as const;
 
 export interface PreviousStartFencerOptions {
@@ -37,20 +37,20 @@
     instance: WorkerInstance,
     epoch: Epoch,
   ): Promise<readonly unknown[]> {
-    const { unansweredStarts: unanswered, logger } = this.options;
-    const open = unanswered.unfencedAt(instance);
+    const { unansweredStarts, logger } = this.options;
+    const open = unansweredStarts.unfencedAt(instance);
     if (open.length === 0) return [];
-    const left = [...open];
+    const remaining = [...open];
     const errors: unknown[] = [];
-    const barInTurn = async (): Promise<void> => {
-      for (let ref = left.shift(); ref; ref = left.shift()) {
-        await this.bar(instance, ref, epoch);
+    const fenceNext = async (): Promise<void> => {
+      for (let ref = remaining.shift(); ref; ref = remaining.shift()) {
+        await this.fence(instance, ref, epoch);
       }
     };
-    const lanes = Array.from({ length: BARS.atOnce }, () =>
-      barInTurn().catch((err: unknown) => errors.push(err)),
+    const runners = Array.from({ length: FENCING.concurrency }, () =>
+      fenceNext().catch((err: unknown) => errors.push(err)),
     );
-    await Promise.all(lanes);
+    await Promise.all(runners);
     if (errors.length === 0) {
       const runs = open.length;
       logger.info("worker.former-starts-barred", { instance, runs });
@@ -62,23 +62,23 @@
    * Sends the next call before the previous one has timed out, since the run may start
    * meanwhile.
    */
-  private async bar(
+  private async fence(
     instance: WorkerInstance,
     ref: RunRef,
     epoch: Epoch,
   ): Promise<void> {
-    const { host, unansweredStarts: unanswered, clock } = this.options;
-    let isBarred = false;
+    const { host, unansweredStarts, clock } = this.options;
+    let isFenced = false;
     const tryAfter = async (afterMs: number): Promise<void> => {
       if (afterMs > 0) await sleep(clock, afterMs);
-      if (isBarred) return;
+      if (isFenced) return;
       await host.stop(instance, ref, epoch);
-      isBarred = true;
+      isFenced = true;
     };
-    const tries = Array.from({ length: BARS.tries }, (_, index) =>
-      tryAfter(index * BARS.againMs),
+    const tries = Array.from({ length: FENCING.tries }, (_, index) =>
+      tryAfter(index * FENCING.retryAfterMs),
     );
     await Promise.any(tries).catch(() => tries[0]);
-    unanswered.recordFenced(instance, ref);
+    unansweredStarts.recordFenced(instance, ref);
   }
 }
--- a/packages/side/src/jobs/SentLeaseTracker.ts
+++ b/packages/side/src/jobs/SentLeaseTracker.ts
@@ -29,14 +29,14 @@
 
 export class SentLeaseTracker {
   /** Infinity (unknown) until `start`. */
-  private overBy: Monotonic = Infinity;
+  private latestExpiry: Monotonic = Infinity;
   private reading: ClockReading | undefined;
 
   constructor(private readonly options: SentLeaseTrackerOptions) {}
 
   /** A previous process of this side may have sent a lease until now, but not later. */
   start(): void {
-    this.overBy = this.longestFromNow();
+    this.latestExpiry = this.longestFromNow();
   }
 
   /** Records the clock reading in an answer of that incarnation. */
@@ -53,17 +53,17 @@
       return;
     }
     const leaseMs = Math.max(0, leaseUntil - reading.at);
-    this.raise(latestLeaseExpiry(reading.receivedAt, leaseMs));
+    this.extend(latestLeaseExpiry(reading.receivedAt, leaseMs));
   }
 
   /** Assumes the longest lease from now: one with an unknown end was sent, by this process or another. */
   assumeLongest(): void {
-    this.raise(this.longestFromNow());
+    this.extend(this.longestFromNow());
   }
 
   /** Milliseconds until every lease is guaranteed to be over; undefined when that is unknown. */
   get overInMs(): number | undefined {
-    const leftMs = this.overBy - this.options.clock.monotonic();
+    const leftMs = this.latestExpiry - this.options.clock.monotonic();
     return Number.isFinite(leftMs) ? Math.max(0, Math.ceil(leftMs)) : undefined;
   }
 
@@ -72,7 +72,7 @@
     return latestLeaseExpiry(clock.monotonic(), longestLeaseMs);
   }
 
-  private raise(overBy: Monotonic): void {
-    this.overBy = Math.max(this.overBy, overBy);
+  private extend(latestExpiry: Monotonic): void {
+    this.latestExpiry = Math.max(this.latestExpiry, latestExpiry);
   }
 }
--- a/packages/side/src/jobs/SilenceReporter.ts
+++ b/packages/side/src/jobs/SilenceReporter.ts
@@ -19,11 +19,11 @@
   /** A worker without a status for this long after the side attached counts as silent, milliseconds. */
   unseenMs: 500,
   /** Least time between two calls to the leader, milliseconds. */
-  tellEveryMs: 500,
+  reportIntervalMs: 500,
 } as const;
 
 /** A call to a leader about a silent worker, and its outcome. */
-interface SilenceTold {
+interface SilenceReport {
   /** Absent when the side does not know when the worker's lease is over. */
   readonly overInMs: number | undefined;
   readonly grants?: boolean;
@@ -44,19 +44,19 @@
 }
 
 export class SilenceReporter {
-  private toldAt: Monotonic = -Infinity;
+  private reportedAt: Monotonic = -Infinity;
   /** The outcome that was logged last. */
   private loggedOutcome: string | undefined;
 
   constructor(private readonly options: SilenceReporterOptions) {}
 
   /** @param status the newest status since the side attached */
-  isDue(sighting: WorkerStatus | undefined): boolean {
-    const { poller: watch, clock, attachedAt } = this.options;
+  isDue(status: WorkerStatus | undefined): boolean {
+    const { poller, clock, attachedAt } = this.options;
     const now = clock.monotonic();
-    const mayComeYet = sighting || now - attachedAt < SILENCE.unseenMs;
-    if (watch.isResponding && mayComeYet) return false;
-    return now - this.toldAt >= SILENCE.tellEveryMs;
+    const mayStillArrive = status || now - attachedAt < SILENCE.unseenMs;
+    if (poller.isResponding && mayStillArrive) return false;
+    return now - this.reportedAt >= SILENCE.reportIntervalMs;
   }
 
   /** @returns whether the leader answered, and whether it grants leases */
@@ -70,7 +70,7 @@
     } = this.options;
     const overInMs = watch.stopRenewingLease();
     const neverBegun = [...registry.runs.unreportedNeverBegun];
-    this.toldAt = clock.monotonic();
+    this.reportedAt = clock.monotonic();
     try {
       const { grants } = await connection.call(
         "workerSilent",
@@ -90,13 +90,13 @@
   }
 
   /** Logs the first outcome on a connection, and each change of it. */
-  private logOutcome({ overInMs, grants, error }: SilenceTold): void {
-    const { poller: watch, registry, logger } = this.options;
+  private logOutcome({ overInMs, grants, error }: SilenceReport): void {
+    const { poller, registry, logger } = this.options;
     const outcome = error ?? `grants ${grants}`;
     if (outcome === this.loggedOutcome) return;
     this.loggedOutcome = outcome;
     const instance = registry.worker?.instance ?? registry.lastGone;
-    const epoch = watch.currentEpoch;
+    const epoch = poller.currentEpoch;
     const fields = { epoch, instance, overInMs, grants, error };
     logger.info("worker.silence-told", fields);
   }
--- a/packages/side/src/jobs/TaskOrderHandler.ts
+++ b/packages/side/src/jobs/TaskOrderHandler.ts
@@ -33,7 +33,7 @@
 } as const;
 
 /** Tries and duration of an order, for logs; empty when the worker was not called. */
-interface CallEffort {
+interface CallStats {
   readonly tries?: number;
   /** Milliseconds from the first try to the last answer. */
   readonly tookMs?: number;
@@ -54,10 +54,10 @@
 
   async start(call: StartTaskCall): Promise<HostCallResult> {
     const refusal = this.refusal(call.epoch, call.instance);
-    if (refusal) return this.note("start", call, refusal);
+    if (refusal) return this.recordResult("start", call, refusal);
     const { registry, pacer } = this.options;
     if (registry.worker?.draining) {
-      return this.note("start", call, { kind: "draining" });
+      return this.recordResult("start", call, { kind: "draining" });
     }
     pacer.describe(call.task, call.nature);
     pacer.recordStarting(call);
@@ -70,14 +70,14 @@
   }
 
   private async orderStart(call: StartTaskCall): Promise<HostCallResult> {
-    const { registry, host, pacer, clock, poller: watch } = this.options;
+    const { registry, host, pacer, clock, poller } = this.options;
     const { instance, ...order } = call;
-    const beganAt = clock.monotonic();
+    const startedAt = clock.monotonic();
     registry.runs.recordOrdered(instance, order);
-    watch.recordLeaseSent(instance, order.leaseUntil);
+    poller.recordLeaseSent(instance, order.leaseUntil);
     let tries = 0;
     let mayHaveArrived = false;
-    const result = await this.repeat(instance, async () => {
+    const result = await this.repeatUntilAnswered(instance, async () => {
       tries += 1;
       registry.unansweredStarts.recordSent(instance, order);
       try {
@@ -98,49 +98,50 @@
     // A refusal only covers the last try: an earlier try without an answer may have been
     // carried out, with the run over by now, or may be carried out later. The same holds
     // for an answer of another incarnation: the run may have crashed the one before it.
-    const isNo = result.kind === "refused" || result.kind === "replaced";
-    const isUnsure = mayHaveArrived && isNo;
-    if (isNo && !isUnsure) registry.runs.recordRefused(instance, order);
-    const tookMs = Math.round(clock.monotonic() - beganAt);
-    const answer: HostCallResult = isUnsure ? { kind: "silent" } : result;
-    return this.note("start", call, answer, { tries, tookMs });
+    const isNegative = result.kind === "refused" || result.kind === "replaced";
+    const isUncertain = mayHaveArrived && isNegative;
+    if (isNegative && !isUncertain)
+      registry.runs.recordRefused(instance, order);
+    const tookMs = Math.round(clock.monotonic() - startedAt);
+    const answer: HostCallResult = isUncertain ? { kind: "silent" } : result;
+    return this.recordResult("start", call, answer, { tries, tookMs });
   }
 
   async stop(call: StopTaskCall): Promise<HostCallResult> {
     const refusal = this.refusal(call.epoch, call.instance);
-    if (refusal) return this.note("stop", call, refusal);
+    if (refusal) return this.recordResult("stop", call, refusal);
     const { host } = this.options;
-    const result = await this.repeat(call.instance, async () => {
+    const result = await this.repeatUntilAnswered(call.instance, async () => {
       const at = await host.stop(call.instance, call, call.epoch);
       return { kind: "ok", at };
     });
-    return this.note("stop", call, result);
+    return this.recordResult("stop", call, result);
   }
 
   private refusal(
     epoch: Epoch,
     instance: WorkerInstance,
   ): HostCallResult | undefined {
-    const { poller: watch, registry } = this.options;
-    if (epoch < (watch.currentEpoch ?? 0)) {
+    const { poller, registry } = this.options;
+    if (epoch < (poller.currentEpoch ?? 0)) {
       return { kind: "refused", reason: "fenced" };
     }
     // While it is unknown which incarnation is current, the worker's own answer decides.
     return registry.mayBeCurrent(instance) ? undefined : { kind: "replaced" };
   }
 
-  private async repeat(
+  private async repeatUntilAnswered(
     instance: WorkerInstance,
     call: () => Promise<HostCallResult>,
   ): Promise<HostCallResult> {
     const { clock, registry } = this.options;
-    const giveUpAt = clock.monotonic() + ORDERS.repeatForMs;
+    const deadline = clock.monotonic() + ORDERS.repeatForMs;
     for (;;) {
       try {
         return await call();
       } catch (err) {
         if (err instanceof WorkerReplacedError) {
-          registry.recordGone(instance, "another life answers");
+          registry.recordGone(instance, "another incarnation answers");
           return { kind: "replaced" };
         }
         if (err instanceof TaskRefusedError) {
@@ -150,7 +151,7 @@
           };
         }
         if (!(err instanceof WorkerSilentError)) throw err;
-        if (clock.monotonic() >= giveUpAt) {
+        if (clock.monotonic() >= deadline) {
           this.options.logger.warn("worker.silent", {
             error: describeError(err),
           });
@@ -161,11 +162,11 @@
     }
   }
 
-  private note(
+  private recordResult(
     order: "start" | "stop",
     { task, run, epoch }: StopTaskCall,
     result: HostCallResult,
-    effort: CallEffort = {},
+    stats: CallStats = {},
   ): HostCallResult {
     const { logger, metrics } = this.options;
     metrics.count("worker_orders", { order, result: result.kind });
@@ -175,7 +176,7 @@
       epoch,
       result: result.kind,
       reason: result.kind === "refused" ? result.reason : undefined,
-      ...effort,
+      ...stats,
     });
     return result;
   }
--- a/packages/side/src/jobs/UnansweredStarts.ts
+++ b/packages/side/src/jobs/UnansweredStarts.ts
@@ -8,37 +8,37 @@
 import { runKeyOf, type RunRef } from "@rackspan/ports";
 import { BoundedMap } from "@rackspan/state";
 
-const UNANSWERED = {
+const LIMITS = {
   /** No order is carried out later than this, milliseconds; the worker's interface states "seconds". */
-  keptMs: 15_000,
+  maxDelayMs: 15_000,
   /** Limit of starts; the oldest are dropped. */
-  maxKept: 1_024,
+  maxStarts: 1_024,
 } as const;
 
 interface UnansweredStart {
   readonly ref: RunRef;
   readonly instance: WorkerInstance;
-  readonly triedAt: Monotonic;
+  readonly sentAt: Monotonic;
   /** The other incarnation that last confirmed that the run never starts there. */
-  barredAt: WorkerInstance | undefined;
+  fencedBy: WorkerInstance | undefined;
 }
 
 export class UnansweredStarts {
   /** By run. */
   private readonly starts = new BoundedMap<string, UnansweredStart>(
-    UNANSWERED.maxKept,
+    LIMITS.maxStarts,
   );
 
   constructor(private readonly clock: Clock) {}
 
   /** Records that a start order is about to be sent to that incarnation. */
   recordSent(instance: WorkerInstance, { task, run }: RunRef): void {
-    const triedAt = this.clock.monotonic();
+    const sentAt = this.clock.monotonic();
     this.starts.set(runKeyOf({ task, run }), {
       ref: { task, run },
       instance,
-      triedAt,
-      barredAt: undefined,
+      sentAt,
+      fencedBy: undefined,
     });
   }
 
@@ -50,13 +50,13 @@
   /** Records that the run never starts at that incarnation. */
   recordFenced(instance: WorkerInstance, ref: RunRef): void {
     const start = this.starts.get(runKeyOf(ref));
-    if (start) start.barredAt = instance;
+    if (start) start.fencedBy = instance;
   }
 
   /** Runs that were ordered from other incarnations and that may still start at this one. */
   unfencedAt(instance: WorkerInstance): readonly RunRef[] {
-    return this.ofOthers(instance)
-      .filter(({ barredAt }) => barredAt !== instance)
+    return this.sentToOthers(instance)
+      .filter(({ fencedBy }) => fencedBy !== instance)
       .map(({ ref }) => ref);
   }
 
@@ -68,21 +68,21 @@
    */
   mayArriveForMs(
     instance: WorkerInstance | undefined,
-    isBarred: (run: RunRef) => boolean = () => false,
+    isRejected: (run: RunRef) => boolean = () => false,
   ): number {
     const now = this.clock.monotonic();
-    const leftMs = this.ofOthers(instance)
-      .filter(({ ref }) => !isBarred(ref))
-      .map(({ triedAt }) => triedAt + UNANSWERED.keptMs - now);
+    const leftMs = this.sentToOthers(instance)
+      .filter(({ ref }) => !isRejected(ref))
+      .map(({ sentAt }) => sentAt + LIMITS.maxDelayMs - now);
     return Math.max(0, ...leftMs);
   }
 
-  private ofOthers(
+  private sentToOthers(
     instance: WorkerInstance | undefined,
   ): readonly UnansweredStart[] {
-    const oldest = this.clock.monotonic() - UNANSWERED.keptMs;
-    for (const [key, { triedAt }] of this.starts) {
-      if (triedAt < oldest) this.starts.delete(key);
+    const oldest = this.clock.monotonic() - LIMITS.maxDelayMs;
+    for (const [key, { sentAt }] of this.starts) {
+      if (sentAt < oldest) this.starts.delete(key);
     }
     return [...this.starts]
       .map(([, start]) => start)
--- a/packages/side/src/jobs/WorkerPoller.ts
+++ b/packages/side/src/jobs/WorkerPoller.ts
@@ -28,7 +28,7 @@
 import { SentLeaseTracker } from "./SentLeaseTracker.js";
 import type { WorkerRegistry } from "./WorkerRegistry.js";
 
-const WATCH = {
+const POLLING = {
   /** Pause while there is no worker or no leader, and after a failed poll. */
   idleMs: 100,
   /** Pause while some listed ends are not acknowledged by the leader. */
@@ -37,7 +37,7 @@
    * A worker that has held a poll for this long has reported every end it had recorded:
    * longer than a call takes on one machine.
    */
-  heldMs: 15,
+  minHeldMs: 15,
 } as const;
 
 /** Result of one poll of the worker. */
@@ -68,46 +68,46 @@
   private readonly abort = new AbortController();
   private readonly wake = new ChangeSignal();
   private epoch: Epoch | undefined;
-  private lastSighting: WorkerStatus | undefined;
+  private lastStatus: WorkerStatus | undefined;
   /** When the last status arrived, on the side's clock. */
-  private seenAt: Monotonic = -Infinity;
+  private statusReceivedAt: Monotonic = -Infinity;
   private leaseUntil: WorkerTime | undefined;
   private acknowledged = 0;
-  private highestEnd = 0;
+  private highestEndNumber = 0;
   private pacedAt: Monotonic = -Infinity;
-  private answering = true;
-  private task: Promise<void> | undefined;
-  private readonly sent: SentLeaseTracker;
-  private readonly formerStarts: PreviousStartFencer;
+  private isAnswering = true;
+  private loop: Promise<void> | undefined;
+  private readonly sentLeases: SentLeaseTracker;
+  private readonly previousStartFencer: PreviousStartFencer;
 
   constructor(private readonly options: WorkerPollerOptions) {
     const { clock, longestLeaseMs, registry } = options;
-    this.sent = new SentLeaseTracker({ clock, longestLeaseMs });
-    const { unansweredStarts: unanswered } = registry;
-    this.formerStarts = new PreviousStartFencer({
+    this.sentLeases = new SentLeaseTracker({ clock, longestLeaseMs });
+    const { unansweredStarts } = registry;
+    this.previousStartFencer = new PreviousStartFencer({
       ...options,
-      unansweredStarts: unanswered,
+      unansweredStarts,
     });
   }
 
   start(): void {
-    if (this.task) return;
-    this.sent.start();
-    this.task = this.run();
+    if (this.loop) return;
+    this.sentLeases.start();
+    this.loop = this.run();
   }
 
   async stop(): Promise<void> {
     this.abort.abort();
     this.wake.notify();
-    await this.task;
+    await this.loop;
   }
 
   /** The newest status of the current incarnation under the current epoch. */
   get currentStatus(): WorkerStatus | undefined {
-    const seen = this.lastSighting;
+    const status = this.lastStatus;
     const { worker } = this.options.registry;
-    if (!seen || seen.epoch !== this.epoch) return undefined;
-    return seen.instance === worker?.instance ? seen : undefined;
+    if (!status || status.epoch !== this.epoch) return undefined;
+    return status.instance === worker?.instance ? status : undefined;
   }
 
   get currentEpoch(): Epoch | undefined {
@@ -116,12 +116,12 @@
 
   /** Records that an order with this lease is about to be sent to that incarnation. */
   recordLeaseSent(instance: WorkerInstance, leaseUntil: WorkerTime): void {
-    this.sent.recordSent(instance, leaseUntil);
+    this.sentLeases.recordSent(instance, leaseUntil);
   }
 
   /** Whether the worker answered the last poll. */
   get isResponding(): boolean {
-    return this.answering;
+    return this.isAnswering;
   }
 
   /** Switches to this epoch unless the current one is higher. */
@@ -133,7 +133,7 @@
 
   /** Records that the leader lets the worker's tasks run until then. */
   grant(instance: WorkerInstance, leaseUntil: WorkerTime): void {
-    if (this.lastSighting?.instance !== instance) return;
+    if (this.lastStatus?.instance !== instance) return;
     this.leaseUntil = leaseUntil;
   }
 
@@ -150,8 +150,8 @@
     this.leaseUntil = undefined;
     // The lease of such a start is measured by the clock of another incarnation.
     if (this.previousStartsForMs(worker?.instance) > 0)
-      this.sent.assumeLongest();
-    return this.sent.overInMs;
+      this.sentLeases.assumeLongest();
+    return this.sentLeases.overInMs;
   }
 
   /**
@@ -173,7 +173,7 @@
 
   /** All ends up to this number are persisted in the store. */
   acknowledge(instance: WorkerInstance, acknowledged: number): void {
-    if (this.lastSighting?.instance !== instance) return;
+    if (this.lastStatus?.instance !== instance) return;
     if (acknowledged <= this.acknowledged) return;
     this.acknowledged = acknowledged;
     this.wake.notify();
@@ -190,31 +190,38 @@
     while (!this.abort.signal.aborted) {
       const { worker } = registry;
       if (!worker || this.epoch === undefined) {
-        await this.wake.wait(clock, WATCH.idleMs);
+        await this.wake.wait(clock, POLLING.idleMs);
         continue;
       }
-      const seen = await this.look(worker.instance, this.epoch);
-      if (!seen) {
-        await pause(clock, WATCH.idleMs, this.abort.signal);
+      const answered = await this.pollOnce(worker.instance, this.epoch);
+      if (!answered) {
+        await pause(clock, POLLING.idleMs, this.abort.signal);
       } else if (this.unacknowledgedEnds.length > 0) {
-        await this.wake.wait(clock, WATCH.unacknowledgedMs);
+        await this.wake.wait(clock, POLLING.unacknowledgedMs);
       }
     }
   }
 
-  private async look(instance: WorkerInstance, epoch: Epoch): Promise<boolean> {
+  private async pollOnce(
+    instance: WorkerInstance,
+    epoch: Epoch,
+  ): Promise<boolean> {
     const { host, registry } = this.options;
-    if (this.lastSighting && this.lastSighting.instance !== instance) {
-      this.forget();
+    if (this.lastStatus && this.lastStatus.instance !== instance) {
+      this.resetIncarnation();
     }
-    if (!this.lastSighting && !(await this.barFormerStarts(instance, epoch))) {
+    if (
+      !this.lastStatus &&
+      !(await this.fencePreviousStarts(instance, epoch))
+    ) {
       return false;
     }
     const isFirst = this.currentStatus === undefined;
-    const askedAt = this.options.clock.monotonic();
+    const polledAt = this.options.clock.monotonic();
     const waitMs = isFirst ? 0 : PACING.intervalMs;
     const leaseUntil = this.renewedLease();
-    if (leaseUntil !== undefined) this.sent.recordSent(instance, leaseUntil);
+    if (leaseUntil !== undefined)
+      this.sentLeases.recordSent(instance, leaseUntil);
     try {
       const answer = await host.poll(instance, {
         epoch,
@@ -223,16 +230,16 @@
         waitMs,
       });
       registry.confirmCurrent(instance);
-      registry.runs.recordListed(instance, answer, askedAt);
-      this.take({ instance, epoch, answer, polledAt: askedAt }, isFirst);
+      registry.runs.recordListed(instance, answer, polledAt);
+      this.applyStatus({ instance, epoch, answer, polledAt }, isFirst);
       return true;
     } catch (err) {
-      if (this.hasBrokenOff(err, { askedAt, waitMs })) {
+      if (this.wasInterrupted(err, { polledAt, waitMs })) {
         registry.runs.recordPollInterrupted(instance);
       }
       if (err instanceof WorkerSilentError)
         registry.runs.recordSilent(instance);
-      this.noteFailure(instance, err);
+      this.handleFailure(instance, err);
       return false;
     }
   }
@@ -241,12 +248,12 @@
    * Runs before the first report of this incarnation to the leader.
    * @returns whether no start of a previous incarnation can begin here any more
    */
-  private async barFormerStarts(
+  private async fencePreviousStarts(
     instance: WorkerInstance,
     epoch: Epoch,
   ): Promise<boolean> {
-    const errors = await this.formerStarts.fenceAll(instance, epoch);
-    for (const err of errors) this.noteFailure(instance, err);
+    const errors = await this.previousStartFencer.fenceAll(instance, epoch);
+    for (const err of errors) this.handleFailure(instance, err);
     return errors.length === 0;
   }
 
@@ -255,15 +262,15 @@
    * after a failed one does not count, since it may never have reached the worker: another
    * process at its address may have accepted and dropped the connection.
    */
-  private hasBrokenOff(
+  private wasInterrupted(
     err: unknown,
-    { askedAt, waitMs }: { askedAt: Monotonic; waitMs: number },
+    { polledAt, waitMs }: { polledAt: Monotonic; waitMs: number },
   ): boolean {
-    if (!this.answering) return false;
+    if (!this.isAnswering) return false;
     if (!(err instanceof WorkerSilentError) || !err.mayHaveArrived)
       return false;
-    const heldMs = this.options.clock.monotonic() - askedAt;
-    return heldMs >= WATCH.heldMs && heldMs <= waitMs;
+    const heldMs = this.options.clock.monotonic() - polledAt;
+    return heldMs >= POLLING.minHeldMs && heldMs <= waitMs;
   }
 
   /**
@@ -272,38 +279,39 @@
    */
   private renewedLease(): WorkerTime | undefined {
     const { clock, unattendedLeaseMs } = this.options;
-    if (this.leaseUntil === undefined || !this.lastSighting) return undefined;
-    if (!this.answering) return undefined;
+    if (this.leaseUntil === undefined || !this.lastStatus) return undefined;
+    if (!this.isAnswering) return undefined;
     // A lower bound for the worker's clock, since its answer took time to arrive.
-    const at = this.lastSighting.answer.at + clock.monotonic() - this.seenAt;
+    const at =
+      this.lastStatus.answer.at + clock.monotonic() - this.statusReceivedAt;
     const until = Math.min(this.leaseUntil, Math.floor(at + unattendedLeaseMs));
     return until as WorkerTime;
   }
 
-  private take(seen: WorkerStatus, isFirst: boolean): void {
+  private applyStatus(status: WorkerStatus, isFirst: boolean): void {
     const { pacer, clock, logger } = this.options;
-    if (!this.answering) {
-      this.answering = true;
-      logger.info("worker.regained", { instance: seen.instance });
+    if (!this.isAnswering) {
+      this.isAnswering = true;
+      logger.info("worker.regained", { instance: status.instance });
     }
-    this.lastSighting = seen;
+    this.lastStatus = status;
     const now = clock.monotonic();
-    this.seenAt = now;
-    this.sent.recordClockReading(seen.instance, seen.answer.at);
-    const last = seen.answer.ended.at(-1)?.number ?? 0;
-    const hasNewEnds = last > this.highestEnd;
-    this.highestEnd = Math.max(this.highestEnd, last);
+    this.statusReceivedAt = now;
+    this.sentLeases.recordClockReading(status.instance, status.answer.at);
+    const last = status.answer.ended.at(-1)?.number ?? 0;
+    const hasNewEnds = last > this.highestEndNumber;
+    this.highestEndNumber = Math.max(this.highestEndNumber, last);
     if (now - this.pacedAt >= PACING.intervalMs) {
       this.pacedAt = now;
-      pacer.adjust(seen.instance, seen.epoch, seen.answer.running);
+      pacer.adjust(status.instance, status.epoch, status.answer.running);
     }
     if (isFirst || hasNewEnds) this.statusChanged.notify();
   }
 
-  private noteFailure(instance: WorkerInstance, err: unknown): void {
+  private handleFailure(instance: WorkerInstance, err: unknown): void {
     const { logger, registry } = this.options;
     if (err instanceof WorkerReplacedError) {
-      registry.recordGone(instance, "another life answers");
+      registry.recordGone(instance, "another incarnation answers");
     }
     if (err instanceof WorkerSilentError && !err.mayHaveArrived) {
       registry.recordUnreachable(instance);
@@ -311,18 +319,18 @@
     if (err instanceof TaskRefusedError && err.fenced) {
       logger.info("worker.fenced-us", { epoch: this.epoch });
       // Another process calls this worker and may renew its lease.
-      this.sent.assumeLongest();
+      this.sentLeases.assumeLongest();
     }
-    if (!this.answering) return;
-    this.answering = false;
+    if (!this.isAnswering) return;
+    this.isAnswering = false;
     logger.warn("worker.lost", { error: describeError(err) });
   }
 
   /** For another incarnation of the worker, whose end numbers and clock start anew. */
-  private forget(): void {
-    this.lastSighting = undefined;
+  private resetIncarnation(): void {
+    this.lastStatus = undefined;
     this.leaseUntil = undefined;
     this.acknowledged = 0;
-    this.highestEnd = 0;
+    this.highestEndNumber = 0;
   }
 }
--- a/packages/side/src/jobs/WorkerRegistry.ts
+++ b/packages/side/src/jobs/WorkerRegistry.ts
@@ -22,7 +22,7 @@
    * Whether the heartbeat may be from another registered incarnation. Only set when the
    * worker does not specify which of the incarnations with its id it is.
    */
-  readonly mayBeFrom?: ((life: WorkerInstance) => boolean) | undefined;
+  readonly mayBeFrom?: ((instance: WorkerInstance) => boolean) | undefined;
 }
 
 const REGISTRY = {
@@ -37,7 +37,7 @@
   /** The incarnation that the message names. */
   readonly instance: WorkerInstance;
   /** Whether the message may be from that incarnation, when it names none that is registered. */
-  readonly mayBeFrom: (life: WorkerInstance) => boolean;
+  readonly mayBeFrom: (instance: WorkerInstance) => boolean;
 }
 
 /** Thrown for a heartbeat of a worker that does not belong to this host. */
@@ -49,8 +49,9 @@
     expected: ServiceName,
   ) {
     super({
-      what: `worker ${instance} reports service ${service}, and this host runs ${expected}`,
-      remedy: "see who else reports to this host; the worker here goes on",
+      what: `worker ${instance} reports service ${service}, but this host runs ${expected}`,
+      remedy:
+        "check which other worker reports to this host; the registered worker is unaffected",
     });
   }
 }
@@ -60,8 +61,9 @@
   readonly kind = "open-life";
   constructor(instance: WorkerInstance) {
     super({
-      what: `the heartbeat under ${instance} does not say which life it is from`,
-      remedy: "see who else reports to this host; the worker here goes on",
+      what: `the heartbeat under ${instance} does not specify its incarnation`,
+      remedy:
+        "check which other worker reports to this host; the registered worker is unaffected",
     });
   }
 }
@@ -76,7 +78,7 @@
   /** The incarnation that ended last. */
   lastGone: WorkerInstance | undefined;
   private heartbeat: WorkerHeartbeat | undefined;
-  private heardAt: Monotonic = -Infinity;
+  private receivedAt: Monotonic = -Infinity;
   /**
    * Incarnations registered before, the latest at the end, until the current one has answered
    * a call. A heartbeat may arrive after its sender has crashed and the next incarnation has
@@ -103,7 +105,7 @@
     if (!this.heartbeat) return undefined;
     const { worker } = this.heartbeat;
     if (worker.leavesInMs === undefined) return worker;
-    const elapsed = this.clock.monotonic() - this.heardAt;
+    const elapsed = this.clock.monotonic() - this.receivedAt;
     const leavesInMs = Math.max(0, worker.leavesInMs - elapsed);
     return { ...worker, leavesInMs };
   }
@@ -112,29 +114,31 @@
    * @throws OtherServiceError when the heartbeat is not from the worker on this host
    * @throws AmbiguousIncarnationError when it may be from another incarnation than it names
    */
-  recordHeartbeat(beat: WorkerHeartbeat): void {
-    const { instance, service } = beat.worker;
+  recordHeartbeat(heartbeat: WorkerHeartbeat): void {
+    const { instance, service } = heartbeat.worker;
     if (this.service !== undefined && service !== this.service) {
       throw new OtherServiceError(instance, service, this.service);
     }
     const isOther = ({ worker }: WorkerHeartbeat): boolean =>
       worker.instance !== instance &&
-      beat.mayBeFrom?.(worker.instance) === true;
-    if (this.lives.some(isOther)) throw new AmbiguousIncarnationError(instance);
+      heartbeat.mayBeFrom?.(worker.instance) === true;
+    if (this.candidates.some(isOther))
+      throw new AmbiguousIncarnationError(instance);
     const current = this.heartbeat;
     if (this.gone.has(instance)) return;
     if (this.isDisplaced(instance)) return;
     const isSame = current?.worker.instance === instance;
     if (current && !isSame) this.displace(current);
-    if (isSame && beat.sequence <= current.sequence) return;
-    this.heartbeat = beat;
-    this.heardAt = this.clock.monotonic();
-    const began = isSame && current.worker.draining !== beat.worker.draining;
-    if (isSame && !began) return;
+    if (isSame && heartbeat.sequence <= current.sequence) return;
+    this.heartbeat = heartbeat;
+    this.receivedAt = this.clock.monotonic();
+    const drainingChanged =
+      isSame && current.worker.draining !== heartbeat.worker.draining;
+    if (isSame && !drainingChanged) return;
     this.logger.info(isSame ? "worker.draining" : "worker.registered", {
       instance,
-      service: beat.worker.service,
-      leavesInMs: beat.worker.leavesInMs,
+      service: heartbeat.worker.service,
+      leavesInMs: heartbeat.worker.leavesInMs,
       before: isSame ? undefined : current?.worker.instance,
     });
     this.changed.notify();
@@ -150,7 +154,7 @@
   /** That incarnation has answered a call, so all previous ones have ended. */
   confirmCurrent(instance: WorkerInstance): void {
     if (this.heartbeat?.worker.instance !== instance) return;
-    for (const { worker } of this.displaced) this.ban(worker);
+    for (const { worker } of this.displaced) this.endIncarnation(worker);
     this.displaced = [];
   }
 
@@ -159,31 +163,32 @@
    * message, and a delayed message may be from a previous one. Only a draining incarnation can
    * have sent it, and that incarnation has ended once it is unreachable.
    */
-  recordDeregistration({
-    instance: life,
-    mayBeFrom: mayMean,
-  }: WorkerDeregistration): void {
-    const meant = this.lives.filter(({ worker }) => mayMean(worker.instance));
-    if (meant.length === 0 || this.heard(life)) {
-      this.recordGone(life, "it said that it leaves");
+  recordDeregistration({ instance, mayBeFrom }: WorkerDeregistration): void {
+    const senders = this.candidates.filter(({ worker }) =>
+      mayBeFrom(worker.instance),
+    );
+    if (senders.length === 0 || this.descriptionOf(instance)) {
+      this.recordGone(instance, "deregistered");
       return;
     }
-    const draining = meant.filter(({ worker }) => worker.draining);
+    const draining = senders.filter(({ worker }) => worker.draining);
     for (const { worker } of draining) this.leaving.add(worker.instance);
     if (draining.length > 0) return;
-    this.logger.info("worker.goodbye-passed-over", { instance: life });
+    this.logger.info("worker.goodbye-passed-over", { instance });
   }
 
   /** Records that no connection to that incarnation of the worker can be made. */
   recordUnreachable(instance: WorkerInstance): void {
     if (!this.leaving.has(instance)) return;
-    this.recordGone(instance, "it said that it leaves, and cannot be reached");
+    this.recordGone(instance, "deregistered and unreachable");
   }
 
   /** Records that that incarnation of the worker has ended. */
   recordGone(instance: WorkerInstance, reason: string): void {
     if (this.gone.has(instance)) return;
-    this.ban(this.heard(instance) ?? { instance, draining: false });
+    this.endIncarnation(
+      this.descriptionOf(instance) ?? { instance, draining: false },
+    );
     this.lastGone = instance;
     this.logger.info("worker.gone", { instance, reason });
     this.displaced = this.displaced.filter(
@@ -207,19 +212,21 @@
   }
 
   /** The latest description that was received from that incarnation. */
-  private heard(instance: WorkerInstance): WorkerDescription | undefined {
-    return this.lives.find(({ worker }) => worker.instance === instance)
+  private descriptionOf(
+    instance: WorkerInstance,
+  ): WorkerDescription | undefined {
+    return this.candidates.find(({ worker }) => worker.instance === instance)
       ?.worker;
   }
 
   /** Incarnations that may be the current one. */
-  private get lives(): readonly WorkerHeartbeat[] {
+  private get candidates(): readonly WorkerHeartbeat[] {
     const { heartbeat, displaced } = this;
     return heartbeat ? [heartbeat, ...displaced] : displaced;
   }
 
   /** Ends that incarnation; its heartbeats are ignored from now on. */
-  private ban({
+  private endIncarnation({
     instance,
     draining,
   }: Pick<WorkerDescription, "instance" | "draining">): void {
--- a/packages/side/src/jobs/WorkerRunTracker.ts
+++ b/packages/side/src/jobs/WorkerRunTracker.ts
@@ -15,52 +15,53 @@
 import type { LostRun } from "@rackspan/protocol";
 import { BoundedMap } from "@rackspan/state";
 
-const MEMORY = {
+const LIMITS = {
   /** Incarnations that may be the current one; see WorkerRegistry. */
-  maxLives: 9,
+  maxIncarnations: 9,
   /** Lost runs that no leader has recorded; the oldest are dropped. */
   maxLost: 512,
   /** An ordered run that the worker does not list within this time has lapsed, milliseconds. */
-  unshownMs: 4_000,
+  unlistedMs: 4_000,
 } as const;
 
 /** Reported for a run that this process did not order: it may have started at any time. */
 const UNKNOWN_MS = Number.MAX_SAFE_INTEGER;
 
-interface BegunRun {
+interface TrackedRun {
   readonly ref: RunRef;
   /** When the run was ordered or first listed, on the side's clock. */
   readonly orderedAt: Monotonic;
   /** Whether this process ordered the run. */
   readonly isOwn: boolean;
-  shownFirstAt: WorkerTime | undefined;
-  shownLastAt: WorkerTime | undefined;
+  firstSeenAt: WorkerTime | undefined;
+  lastSeenAt: WorkerTime | undefined;
 }
 
-interface WorkerLife {
+interface IncarnationState {
   /** By run. */
-  readonly runs: Map<string, BegunRun>;
+  readonly runs: Map<string, TrackedRun>;
   /** Ends in the newest list. The worker lists each end until it is acknowledged. */
   ended: readonly RunRef[];
   /**
    * When the poll was interrupted in which the worker would have reported an end, on the
    * side's clock; undefined while polls are answered.
    */
-  lookBrokenAt: Monotonic | undefined;
+  pollInterruptedAt: Monotonic | undefined;
   /** When polls stopped being answered, on the side's clock; undefined while they are answered. */
   silentSince: Monotonic | undefined;
 }
 
 export class WorkerRunTracker {
-  private readonly lives = new BoundedMap<WorkerInstance, WorkerLife>(
-    MEMORY.maxLives,
-  );
+  private readonly incarnations = new BoundedMap<
+    WorkerInstance,
+    IncarnationState
+  >(LIMITS.maxIncarnations);
   /** By run. */
-  private readonly lost = new BoundedMap<string, LostRun>(MEMORY.maxLost);
+  private readonly lost = new BoundedMap<string, LostRun>(LIMITS.maxLost);
   /** Lost runs that never began and that no leader has recorded as such, by run. */
-  private readonly notBegun = new BoundedMap<string, RunRef>(MEMORY.maxLost);
+  private readonly neverBegun = new BoundedMap<string, RunRef>(LIMITS.maxLost);
   /** Runs that ended before their incarnations did and that no leader has recorded, by run. */
-  private readonly ended = new BoundedMap<string, RunRef>(MEMORY.maxLost);
+  private readonly ended = new BoundedMap<string, RunRef>(LIMITS.maxLost);
   /** Runs whose start orders are being repeated. */
   private readonly openOrders = new Set<string>();
 
@@ -70,7 +71,7 @@
   recordOrdered(instance: WorkerInstance, ref: RunRef): void {
     const runs = this.runsOf(instance);
     const key = runKeyOf(ref);
-    if (!runs.has(key)) runs.set(key, this.begun(ref, true));
+    if (!runs.has(key)) runs.set(key, this.newTrackedRun(ref, true));
   }
 
   /** Records that the start order is repeated until it is answered or times out. */
@@ -84,48 +85,49 @@
 
   /** Records that the worker has confirmed the start of the run. */
   recordStarted(instance: WorkerInstance, ref: RunRef, at: WorkerTime): void {
-    const life = this.lifeOf(instance);
-    life.silentSince = undefined;
-    const run = life.runs.get(runKeyOf(ref));
+    const state = this.stateOf(instance);
+    state.silentSince = undefined;
+    const run = state.runs.get(runKeyOf(ref));
     if (!run) return;
-    run.shownFirstAt ??= at;
-    run.shownLastAt = at;
+    run.firstSeenAt ??= at;
+    run.lastSeenAt = at;
   }
 
   /** Records that the run has not begun and never will; its incarnation may have ended meanwhile. */
   recordRefused(instance: WorkerInstance, ref: RunRef): void {
     const key = runKeyOf(ref);
-    this.lives.get(instance)?.runs.delete(key);
+    this.incarnations.get(instance)?.runs.delete(key);
     if (!this.lost.get(key)) return;
     this.lost.delete(key);
-    this.notBegun.set(key, { task: ref.task, run: ref.run });
+    this.neverBegun.set(key, { task: ref.task, run: ref.run });
   }
 
   /** @param polledAt when the poll that returned these lists was sent, on the side's clock */
   recordListed(
     instance: WorkerInstance,
     { at, running, ended }: PollResponse,
-    askedAt: Monotonic,
+    polledAt: Monotonic,
   ): void {
-    const life = this.lifeOf(instance);
-    life.lookBrokenAt = undefined;
-    life.silentSince = undefined;
-    const { runs } = life;
+    const state = this.stateOf(instance);
+    state.pollInterruptedAt = undefined;
+    state.silentSince = undefined;
+    const { runs } = state;
     const listed = new Set(running.map(runKeyOf));
     for (const row of running) {
       const { task, run } = row;
-      const known = runs.get(runKeyOf(row)) ?? this.begun({ task, run }, false);
-      known.shownFirstAt ??= at;
-      known.shownLastAt = at;
+      const known =
+        runs.get(runKeyOf(row)) ?? this.newTrackedRun({ task, run }, false);
+      known.firstSeenAt ??= at;
+      known.lastSeenAt = at;
       runs.set(runKeyOf(row), known);
     }
     for (const row of ended) runs.delete(runKeyOf(row));
-    life.ended = ended.map(({ task, run }) => ({ task, run }));
-    for (const [key, { shownLastAt, orderedAt }] of runs) {
+    state.ended = ended.map(({ task, run }) => ({ task, run }));
+    for (const [key, { lastSeenAt, orderedAt }] of runs) {
       if (listed.has(key)) continue;
-      const hasLapsed = askedAt - orderedAt > MEMORY.unshownMs;
+      const hasLapsed = polledAt - orderedAt > LIMITS.unlistedMs;
       // A list that was in flight when the run started does not contain it.
-      const hasEnded = shownLastAt !== undefined && at > shownLastAt;
+      const hasEnded = lastSeenAt !== undefined && at > lastSeenAt;
       if (hasEnded || hasLapsed) runs.delete(key);
     }
   }
@@ -136,23 +138,23 @@
    * those that ended while the poll or its response was delayed on the network.
    */
   recordPollInterrupted(instance: WorkerInstance): void {
-    this.lifeOf(instance).lookBrokenAt = this.clock.monotonic();
+    this.stateOf(instance).pollInterruptedAt = this.clock.monotonic();
   }
 
   /** Records that the worker has not answered a poll. */
   recordSilent(instance: WorkerInstance): void {
-    this.lifeOf(instance).silentSince ??= this.clock.monotonic();
+    this.stateOf(instance).silentSince ??= this.clock.monotonic();
   }
 
   /** @param wasPlanned whether the worker had announced that it would leave */
   endIncarnation(instance: WorkerInstance, wasPlanned: boolean): void {
-    const life = this.lives.get(instance);
-    if (!life) return;
-    this.lives.delete(instance);
+    const state = this.incarnations.get(instance);
+    if (!state) return;
+    this.incarnations.delete(instance);
     if (wasPlanned) return;
-    for (const ref of life.ended) this.ended.set(runKeyOf(ref), ref);
-    for (const [key, run] of life.runs) {
-      this.lost.set(key, toLost(run, life));
+    for (const ref of state.ended) this.ended.set(runKeyOf(ref), ref);
+    for (const [key, run] of state.runs) {
+      this.lost.set(key, toLostRun(run, state));
     }
   }
 
@@ -170,67 +172,68 @@
 
   /** Lost runs that never began and that no leader has recorded as such yet. */
   get unreportedNeverBegun(): readonly RunRef[] {
-    return [...this.notBegun].map(([, ref]) => ref);
+    return [...this.neverBegun].map(([, ref]) => ref);
   }
 
   /** A leader has recorded them. Runs with an open order stay, since their outcome is not final. */
-  markLostRunsReported(told: readonly LostRun[]): void {
-    for (const run of told) {
+  markLostRunsReported(reported: readonly LostRun[]): void {
+    for (const run of reported) {
       if (!run.isOrderOpen) this.lost.delete(runKeyOf(run));
     }
   }
 
   /** A leader has recorded these ends. */
-  markEndsReported(told: readonly RunRef[]): void {
-    for (const ref of told) this.ended.delete(runKeyOf(ref));
+  markEndsReported(reported: readonly RunRef[]): void {
+    for (const ref of reported) this.ended.delete(runKeyOf(ref));
   }
 
   /** A leader has recorded that these runs never began. */
-  markNeverBegunReported(told: readonly RunRef[]): void {
-    for (const ref of told) this.notBegun.delete(runKeyOf(ref));
+  markNeverBegunReported(reported: readonly RunRef[]): void {
+    for (const ref of reported) this.neverBegun.delete(runKeyOf(ref));
   }
 
-  private begun(ref: RunRef, isOwn: boolean): BegunRun {
+  private newTrackedRun(ref: RunRef, isOwn: boolean): TrackedRun {
     return {
       ref: { task: ref.task, run: ref.run },
       orderedAt: this.clock.monotonic(),
       isOwn,
-      shownFirstAt: undefined,
-      shownLastAt: undefined,
+      firstSeenAt: undefined,
+      lastSeenAt: undefined,
     };
   }
 
-  private runsOf(instance: WorkerInstance): Map<string, BegunRun> {
-    return this.lifeOf(instance).runs;
+  private runsOf(instance: WorkerInstance): Map<string, TrackedRun> {
+    return this.stateOf(instance).runs;
   }
 
-  private lifeOf(instance: WorkerInstance): WorkerLife {
-    const known = this.lives.get(instance);
+  private stateOf(instance: WorkerInstance): IncarnationState {
+    const known = this.incarnations.get(instance);
     if (known) return known;
-    const life: WorkerLife = {
+    const state: IncarnationState = {
       runs: new Map(),
       ended: [],
-      lookBrokenAt: undefined,
+      pollInterruptedAt: undefined,
       silentSince: undefined,
     };
-    this.lives.set(instance, life);
-    return life;
+    this.incarnations.set(instance, state);
+    return state;
   }
 }
 
-const toLost = (
-  run: BegunRun,
-  { lookBrokenAt, silentSince = Infinity }: WorkerLife,
+const toLostRun = (
+  run: TrackedRun,
+  { pollInterruptedAt, silentSince = Infinity }: IncarnationState,
 ): LostRun => {
-  const { ref, orderedAt, shownFirstAt, shownLastAt } = run;
-  if (shownFirstAt === undefined && orderedAt > silentSince) {
+  const { ref, orderedAt, firstSeenAt, lastSeenAt } = run;
+  if (firstSeenAt === undefined && orderedAt > silentSince) {
     return { ...ref, wasAtWork: false, orderedMs: silentSince - orderedAt };
   }
   const workedMs =
-    shownFirstAt === undefined || shownLastAt === undefined
+    firstSeenAt === undefined || lastSeenAt === undefined
       ? undefined
-      : shownLastAt - shownFirstAt;
-  if (lookBrokenAt === undefined) return { ...ref, workedMs, wasAtWork: false };
-  const orderedMs = run.isOwn ? lookBrokenAt - orderedAt : UNKNOWN_MS;
+      : lastSeenAt - firstSeenAt;
+  if (pollInterruptedAt === undefined)
+    return { ...ref, workedMs, wasAtWork: false };
+  const orderedMs = run.isOwn ? pollInterruptedAt - orderedAt : UNKNOWN_MS;
   return { ...ref, workedMs, wasAtWork: true, orderedMs };
 };
--- a/packages/side/src/requestHead.ts
+++ b/packages/side/src/requestHead.ts
@@ -21,31 +21,35 @@
 
 const MAX_TIMEOUT_MS = 3_600_000;
 
-const text = (req: IncomingMessage, name: string): string => {
+const headerText = (req: IncomingMessage, name: string): string => {
   const value = req.headers[name];
   return typeof value === "string" ? value : "";
 };
 
-const wholeNumber = (
+const parseInteger = (
   value: string,
   min: number,
   max: number,
 ): number | undefined => {
   const number = Number(value);
-  const fits =
+  const isValid =
     value !== "" && Number.isInteger(number) && number >= min && number <= max;
-  return fits ? number : undefined;
+  return isValid ? number : undefined;
 };
 
 /** @returns undefined when a header is missing or invalid */
 export const readRequestHead = (
   req: IncomingMessage,
 ): RequestHead | undefined => {
-  const service = text(req, HEADER.SERVICE);
-  const request = text(req, HEADER.REQUEST_ID);
-  const incarnation = text(req, HEADER.INCARNATION);
-  const attempt = wholeNumber(text(req, HEADER.ATTEMPT), 1, 1_000);
-  const timeoutMs = wholeNumber(text(req, HEADER.TIMEOUT), 0, MAX_TIMEOUT_MS);
+  const service = headerText(req, HEADER.SERVICE);
+  const request = headerText(req, HEADER.REQUEST_ID);
+  const incarnation = headerText(req, HEADER.INCARNATION);
+  const attempt = parseInteger(headerText(req, HEADER.ATTEMPT), 1, 1_000);
+  const timeoutMs = parseInteger(
+    headerText(req, HEADER.TIMEOUT),
+    0,
+    MAX_TIMEOUT_MS,
+  );
   if (!service || !request || !incarnation) return undefined;
   if (attempt === undefined || timeoutMs === undefined) return undefined;
   return {
@@ -54,6 +58,6 @@
     incarnation,
     attempt,
     timeoutMs,
-    watch: text(req, HEADER.CLASS) === "watch",
+    watch: headerText(req, HEADER.CLASS) === "watch",
   };
 };
--- a/packages/side/src/sideHandlers.ts
+++ b/packages/side/src/sideHandlers.ts
@@ -26,18 +26,18 @@
   tasks,
   commitments,
   fences,
-  statusPublisher: board,
+  statusPublisher,
   logger,
 }: SideHandlersOptions): Handlers<SideMethods> => ({
   sync: ({ knownIncarnation, knownRevision, waitMs }) =>
-    board.read(
+    statusPublisher.read(
       { incarnation: knownIncarnation, revision: knownRevision },
       waitMs,
     ),
 
   reserve: ({ task, unit, attempt, kind, service, resources }) => {
     if (!tasks.ready) throw new NotReadyError();
-    if (board.leaving) throw new LeavingError();
+    if (statusPublisher.leaving) throw new LeavingError();
     if (tasks.isFenced(task)) throw new ReservationGoneError(task);
     const identity = { task, unit, attempt, kind, service };
     const { id } = commitments.reserve(identity, resources);
@@ -75,18 +75,23 @@
     return {};
   },
 
-  fenceRequest: ({ request, attempt, incarnation: meant, ageMs }) => ({
+  fenceRequest: ({
+    request,
+    attempt,
+    incarnation: expectedIncarnation,
+    ageMs,
+  }) => ({
     // An earlier incarnation of this process has ended with its requests; which of them had
     // started is unknown here.
     started:
-      meant === incarnation
+      expectedIncarnation === incarnation
         ? fences.fence({ request, attempt }, ageMs)
         : "unknown",
   }),
 
   drain: async () => {
     logger.info("host.drain");
-    board.startLeaving();
+    statusPublisher.startLeaving();
     await tasks.stopAll();
     return {};
   },
--- a/packages/side/tests/taskOrderHandler.test.ts
+++ b/packages/side/tests/taskOrderHandler.test.ts
@@ -52,7 +52,7 @@
   const { instance } = START_CALL;
   const result = orders.start(START_CALL);
   await clock.advance(500);
-  registry.recordGone(instance, "another life answers");
+  registry.recordGone(instance, "another incarnation answers");
   const isOpen = () =>
     registry.runs.unreportedLostRuns.map(({ isOrderOpen }) => isOrderOpen);
   expect(isOpen()).toEqual([true]);
--- a/packages/side/tests/workerRegistry.test.ts
+++ b/packages/side/tests/workerRegistry.test.ts
@@ -30,7 +30,10 @@
   registry.recordHeartbeat(createHeartbeat("present", 3));
   // This side was started after that incarnation had ended.
   registry.recordHeartbeat(createHeartbeat("former", 9));
-  registry.recordGone(brand<WorkerInstance>("former"), "another life answers");
+  registry.recordGone(
+    brand<WorkerInstance>("former"),
+    "another incarnation answers",
+  );
   expect(registry.worker?.instance).toEqual(brand<WorkerInstance>("present"));
   registry.recordHeartbeat(createHeartbeat("former", 10));
   registry.recordHeartbeat(createHeartbeat("present", 4));
@@ -55,7 +58,10 @@
     registry.recordHeartbeat(createHeartbeat(former, 9));
   }
   for (const former of ["former-2", "former-1"]) {
-    registry.recordGone(brand<WorkerInstance>(former), "another life answers");
+    registry.recordGone(
+      brand<WorkerInstance>(former),
+      "another incarnation answers",
+    );
   }
   expect(registry.worker?.instance).toEqual(brand<WorkerInstance>("present"));
   registry.recordHeartbeat(createHeartbeat("present", 4));
--- a/packages/side/tests/workerRunTracker.test.ts
+++ b/packages/side/tests/workerRunTracker.test.ts
@@ -135,7 +135,7 @@
     ...leaving,
     worker: { ...leaving.worker, draining: true },
   });
-  registry.recordGone(FIRST, "it said that it leaves");
+  registry.recordGone(FIRST, "deregistered");
   expect(registry.runs.unreportedLostRuns).toEqual([]);
 });
 
