--- a/packages/side/tests/buildPacer.ts
+++ b/packages/side/tests/buildPacer.ts
@@ -18,7 +18,7 @@
 export const TARGET_MS = 10;
 export const GRACE_MS = 4_000;
 /** Interval between two polls of the worker, milliseconds. */
-export const LOOK_MS = 250;
+export const POLL_INTERVAL_MS = 250;
 
 /** The only run of the task. */
 export const runOf = (task: string): RunRef => ({
@@ -34,14 +34,14 @@
   reading,
 });
 
-export interface PacerSite {
+export interface PacerSetup {
   /** The fake worker. */
   readonly host: Pick<TaskHost, "pace">;
   /** Image of each filling task; tests start these tasks themselves. */
   readonly fillingImages: Readonly<Record<string, string>>;
 }
 
-export const buildPacer = ({ host, fillingImages }: PacerSite) => {
+export const buildPacer = ({ host, fillingImages }: PacerSetup) => {
   const clock = new ManualClock();
   const pacer = new Pacer({
     host: host as TaskHost,
--- a/packages/side/tests/buildSide.ts
+++ b/packages/side/tests/buildSide.ts
@@ -15,17 +15,17 @@
   readonly host: TaskHost;
   readonly clock?: ManualClock;
   /** Incarnations whose heartbeats arrived before, in order. */
-  readonly heard?: readonly (string | WorkerInstance)[];
-  /** Milliseconds; see WorkerWatchOptions. */
+  readonly registered?: readonly (string | WorkerInstance)[];
+  /** Milliseconds; see WorkerPollerOptions. */
   readonly unattendedLeaseMs?: number;
-  /** Milliseconds; see WorkerWatchOptions. */
+  /** Milliseconds; see WorkerPollerOptions. */
   readonly longestLeaseMs?: number;
 }
 
 export const buildSide = ({
   host,
   clock = new ManualClock(),
-  heard = [],
+  registered = [],
   unattendedLeaseMs = Infinity,
   longestLeaseMs = 10_000,
 }: SideOptions) => {
@@ -37,20 +37,21 @@
   };
   const pacer = new Pacer({ ...base, tailGraceMs: 4_000, tailAim: 0.9 });
   const registry = new WorkerRegistry(clock, silentLogger);
-  for (const life of heard) registry.recordHeartbeat(createHeartbeat(life));
-  const watch = new WorkerWatch({
+  for (const instance of registered)
+    registry.recordHeartbeat(createHeartbeat(instance));
+  const poller = new WorkerWatch({
     ...base,
     registry,
     pacer,
     unattendedLeaseMs,
     longestLeaseMs,
   });
-  const orders = new TaskOrders({ ...base, registry, poller: watch, pacer });
+  const orders = new TaskOrders({ ...base, registry, poller, pacer });
   /** Stops the poller once its current poll is over. */
   const stop = async (): Promise<void> => {
-    const stopped = watch.stop();
+    const stopped = poller.stop();
     await clock.advance(2_000);
     await stopped;
   };
-  return { clock, registry, watch, orders, stop };
+  return { clock, registry, poller, orders, stop };
 };
--- a/packages/side/tests/createHeartbeat.ts
+++ b/packages/side/tests/createHeartbeat.ts
@@ -4,11 +4,11 @@
 import type { WorkerHeartbeat } from "@rackspan/side";
 
 export const createHeartbeat = (
-  life: string,
+  instance: string,
   sequence = 1,
 ): WorkerHeartbeat => ({
   worker: {
-    instance: brand<WorkerInstance>(life),
+    instance: brand<WorkerInstance>(instance),
     service: brand<ServiceName>("kaigi"),
     labels: [],
     rack: "r1",
--- a/packages/side/tests/fencedLease.test.ts
+++ b/packages/side/tests/fencedLease.test.ts
@@ -35,34 +35,39 @@
 const EPOCH = 1 as unknown as Epoch;
 
 /** A worker that answers no start, and rejects calls below the highest epoch it has received. */
-const watchWorker = async () => {
+const startPoller = async () => {
   const clock = new ManualClock();
-  const worker = { heard: 0, isSilent: false, starts: [] as RunStart[] };
+  const worker = {
+    receivedEpoch: 0,
+    isSilent: false,
+    starts: [] as RunStart[],
+  };
   const at = (): WorkerTime => clock.monotonic() as unknown as WorkerTime;
-  const fallSilent = async (): Promise<never> => {
+  const timeOut = async (): Promise<never> => {
     await sleep(clock, CALL_TIMEOUT_MS);
     throw new WorkerSilentError("no answer");
   };
-  const obey = (epoch: Epoch): void => {
-    if (epoch < worker.heard) throw new TaskRefusedError("a higher one", true);
-    worker.heard = epoch;
+  const accept = (epoch: Epoch): void => {
+    if (epoch < worker.receivedEpoch)
+      throw new TaskRefusedError("a higher one", true);
+    worker.receivedEpoch = epoch;
   };
   const inner = {
     poll: async (
       _: WorkerInstance,
       { epoch, waitMs }: PollRequest,
     ): Promise<PollResponse> => {
-      if (worker.isSilent) return fallSilent();
-      obey(epoch);
+      if (worker.isSilent) return timeOut();
+      accept(epoch);
       await sleep(clock, waitMs);
-      return worker.isSilent ? fallSilent() : pollResponseOf(at());
+      return worker.isSilent ? timeOut() : pollResponseOf(at());
     },
     start: (_: WorkerInstance, order: RunStart) => {
       worker.starts.push(order);
-      return fallSilent();
+      return timeOut();
     },
     stop: async (_: WorkerInstance, __: unknown, epoch: Epoch) => {
-      obey(epoch);
+      accept(epoch);
       return at();
     },
   } as unknown as TaskHost;
@@ -70,33 +75,33 @@
   const side = buildSide({
     host,
     clock,
-    heard: [FIRST],
+    registered: [FIRST],
     unattendedLeaseMs: UNATTENDED_MS,
   });
-  side.watch.raiseEpoch(EPOCH);
-  side.watch.start();
+  side.poller.raiseEpoch(EPOCH);
+  side.poller.start();
   await clock.advance(500);
   return { ...side, clock, worker, at };
 };
 
 // A rejected start gives no lease, so nothing outlasts the lease that the side has renewed.
 test("the lease bound of a silent worker that rejects starts of its previous incarnation is its renewed lease", async () => {
-  const { clock, worker, watch, registry, orders, at, stop } =
-    await watchWorker();
+  const { clock, worker, poller, registry, orders, at, stop } =
+    await startPoller();
   void orders.start({ ...START_CALL, instance: FIRST, epoch: EPOCH });
   await clock.advance(CALL_TIMEOUT_MS);
-  worker.heard = 0;
+  worker.receivedEpoch = 0;
   registry.recordHeartbeat(createHeartbeat("w2"));
   await clock.advance(11_000);
-  expect(worker.starts.every(({ epoch }) => epoch < worker.heard)).toEqual(
-    true,
-  );
-  watch.grant(NEXT, (at() + 10_000) as unknown as WorkerTime);
+  expect(
+    worker.starts.every(({ epoch }) => epoch < worker.receivedEpoch),
+  ).toEqual(true);
+  poller.grant(NEXT, (at() + 10_000) as unknown as WorkerTime);
   await clock.advance(1_000);
   worker.isSilent = true;
   await clock.advance(2 * CALL_TIMEOUT_MS);
-  const overInMs = watch.stopRenewingLease() ?? Infinity;
-  const mostMs = latestLeaseExpiry(0, UNATTENDED_MS);
-  expect(Math.max(overInMs, mostMs)).toEqual(mostMs);
+  const overInMs = poller.stopRenewingLease() ?? Infinity;
+  const maxMs = latestLeaseExpiry(0, UNATTENDED_MS);
+  expect(Math.max(overInMs, maxMs)).toEqual(maxMs);
   await stop();
 });
--- a/packages/side/tests/interruptedPoll.test.ts
+++ b/packages/side/tests/interruptedPoll.test.ts
@@ -27,7 +27,7 @@
 const INSTANCE = brand<WorkerInstance>("w1");
 const RUN = { task: "j.0.0.0", run: 3 } as unknown as RunRef;
 /** Polls start at most this long after each multiple of 250 ms on the test's clock. */
-const BETWEEN_LOOKS_MS = 1;
+const POLL_OFFSET_MS = 1;
 /** A side pauses for this long after a failed poll. */
 const IDLE_MS = 100;
 /** No poll waits longer than this for an end. */
@@ -39,7 +39,7 @@
   /** Time from its death until the poll is interrupted, milliseconds. */
   readonly silentMs?: number;
   /** Whether the poll before was interrupted too, while the worker kept running. */
-  readonly isSecond?: boolean;
+  readonly isSecondInterruption?: boolean;
 }
 
 /**
@@ -50,11 +50,11 @@
 const loseWorker = async ({
   afterMs,
   silentMs = 0,
-  isSecond = false,
+  isSecondInterruption = false,
 }: Death): Promise<boolean | undefined> => {
   const clock = new ManualClock();
   let isDead = false;
-  let breakOff: (err: Error) => void = () => undefined;
+  let interrupt: (err: Error) => void = () => undefined;
   const host = {
     poll: (
       _: WorkerInstance,
@@ -62,36 +62,36 @@
     ): Promise<PollResponse> => {
       if (isDead) throw new WorkerReplacedError(INSTANCE);
       return new Promise((resolve, reject) => {
-        breakOff = reject;
+        interrupt = reject;
         clock.after(waitMs, () => {
           if (!isDead) resolve(pollResponseOf(clock.monotonic(), [RUN]));
         });
       });
     },
   } as unknown as TaskHost;
-  const { registry, watch, stop } = buildSide({
+  const { registry, poller, stop } = buildSide({
     host,
     clock,
-    heard: [INSTANCE],
+    registered: [INSTANCE],
     unattendedLeaseMs: 3_000,
   });
-  watch.raiseEpoch(1 as unknown as Epoch);
-  watch.start();
-  await clock.advance(500 + BETWEEN_LOOKS_MS);
-  if (isSecond) {
-    breakOff(new WorkerSilentError("the call broke off"));
+  poller.raiseEpoch(1 as unknown as Epoch);
+  poller.start();
+  await clock.advance(500 + POLL_OFFSET_MS);
+  if (isSecondInterruption) {
+    interrupt(new WorkerSilentError("the call broke off"));
     await clock.advance(IDLE_MS);
   }
   await clock.advance(afterMs);
   isDead = true;
   await clock.advance(silentMs);
-  breakOff(new WorkerSilentError("the call broke off"));
+  interrupt(new WorkerSilentError("the call broke off"));
   await clock.advance(1_000);
   await stop();
-  const told = registry.runs.unreportedLostRuns.find(
+  const lostRun = registry.runs.unreportedLostRuns.find(
     (run) => runKeyOf(run) === runKeyOf(RUN),
   );
-  return told?.wasAtWork;
+  return lostRun?.wasAtWork;
 };
 
 test("a run was at work when a poll of its worker is interrupted before the answer was due", async () => {
@@ -109,5 +109,7 @@
 
 // Another process that has taken the address may drop the next poll at once.
 test("a run may have ended when the previous poll had failed too", async () => {
-  expect(await loseWorker({ afterMs: 100, isSecond: true })).toEqual(false);
+  expect(
+    await loseWorker({ afterMs: 100, isSecondInterruption: true }),
+  ).toEqual(false);
 });
--- a/packages/side/tests/lostPaceOrders.test.ts
+++ b/packages/side/tests/lostPaceOrders.test.ts
@@ -8,7 +8,7 @@
   buildPacer,
   EPOCH,
   INSTANCE,
-  LOOK_MS,
+  POLL_INTERVAL_MS,
   row,
   runOf,
 } from "./buildPacer.js";
@@ -16,28 +16,28 @@
 const RUN = runOf("heavy");
 
 /** A worker that can leave orders unanswered and carry them out later. */
-class ForgetfulWorker {
+class LateWorker {
   percent = 100;
   answers = true;
-  /** Orders that timed out at the side; `catchUp` carries them out. */
-  private late: PaceOrder[] = [];
+  /** Orders that timed out at the side; `carryOutLate` carries them out. */
+  private lateOrders: PaceOrder[] = [];
 
   async pace(_: WorkerInstance, order: PaceOrder): Promise<void> {
     if (!this.answers) {
-      this.late.push(order);
+      this.lateOrders.push(order);
       throw new WorkerSilentError("no answer");
     }
     this.percent = order.percent;
   }
 
-  catchUp(): void {
-    for (const { percent } of this.late) this.percent = percent;
-    this.late = [];
+  carryOutLate(): void {
+    for (const { percent } of this.lateOrders) this.percent = percent;
+    this.lateOrders = [];
   }
 }
 
 const setUp = () => {
-  const worker = new ForgetfulWorker();
+  const worker = new LateWorker();
   const { clock, pacer } = buildPacer({
     host: worker,
     fillingImages: { heavy: "render" },
@@ -46,63 +46,63 @@
     { serving: "web", filling: "render", weight: 0.2 },
   ]);
   pacer.recordStarting(RUN);
-  const look = async (tailMs: number) => {
+  const poll = async (tailMs: number) => {
     pacer.adjust(INSTANCE, EPOCH, [row("server", tailMs), row("heavy", 2_000)]);
-    await clock.advance(LOOK_MS);
+    await clock.advance(POLL_INTERVAL_MS);
   };
-  return { clock, worker, pacer, look };
+  return { clock, worker, pacer, poll };
 };
 
 // An order without an answer may be carried out after the next one.
 test("a pace that is carried out after a newer one does not stay in force", async () => {
-  const { worker, look } = setUp();
-  await look(2);
-  await look(10.5);
+  const { worker, poll } = setUp();
+  await poll(2);
+  await poll(10.5);
   expect(worker.percent).toEqual(31);
   worker.answers = false;
-  await look(5);
+  await poll(5);
   worker.answers = true;
-  await look(10.5);
+  await poll(10.5);
   expect(worker.percent).toEqual(31);
-  worker.catchUp();
+  worker.carryOutLate();
   expect(worker.percent).toEqual(62);
-  await look(9);
+  await poll(9);
   expect(worker.percent).toEqual(31);
 });
 
 // An order may be lost before the worker lists its task.
 test("a first pace whose order was lost is ordered again at the first poll", async () => {
-  const { clock, worker, pacer, look } = setUp();
+  const { clock, worker, pacer, poll } = setUp();
   worker.answers = false;
   const first = { instance: INSTANCE, epoch: EPOCH, firstPercent: 30 };
   pacer.orderFirstPace({ ...RUN, ...first });
   await clock.advance(10);
   worker.answers = true;
-  await look(9);
+  await poll(9);
   expect(worker.percent).toEqual(30);
 });
 
 test("a pace whose order is answered is ordered once", async () => {
-  const { worker, look } = setUp();
-  await look(2);
-  await look(10.5);
+  const { worker, poll } = setUp();
+  await poll(2);
+  await poll(10.5);
   worker.percent = 50;
-  await look(9);
-  await look(9);
+  await poll(9);
+  await poll(9);
   expect(worker.percent).toEqual(50);
 });
 
 test("an order without an answer is not repeated forever", async () => {
-  const { clock, worker, look } = setUp();
-  await look(2);
+  const { clock, worker, poll } = setUp();
+  await poll(2);
   worker.answers = false;
-  await look(10.5);
+  await poll(10.5);
   worker.answers = true;
-  await look(9);
+  await poll(9);
   expect(worker.percent).toEqual(31);
   await clock.advance(10_000);
-  await look(9);
+  await poll(9);
   worker.percent = 50;
-  await look(9);
+  await poll(9);
   expect(worker.percent).toEqual(50);
 });
--- a/packages/side/tests/orderedFromSilentWorker.test.ts
+++ b/packages/side/tests/orderedFromSilentWorker.test.ts
@@ -20,20 +20,20 @@
   const host = {
     poll: () => Promise.reject(new WorkerSilentError("no answer")),
   } as unknown as TaskHost;
-  const { clock, registry, watch, stop } = buildSide({
+  const { clock, registry, poller, stop } = buildSide({
     host,
-    heard: [INSTANCE],
+    registered: [INSTANCE],
   });
   registry.runs.recordOrdered(INSTANCE, BEFORE);
-  watch.raiseEpoch(1 as unknown as Epoch);
-  watch.start();
+  poller.raiseEpoch(1 as unknown as Epoch);
+  poller.start();
   await clock.advance(350);
   registry.runs.recordOrdered(INSTANCE, AFTER);
   registry.recordHeartbeat(createHeartbeat("w2"));
   registry.confirmCurrent(brand<WorkerInstance>("w2"));
-  const told = registry.runs.unreportedLostRuns.map(
+  const isOrderedLate = registry.runs.unreportedLostRuns.map(
     ({ orderedMs = 0 }) => orderedMs < 0,
   );
-  expect(told).toEqual([false, true]);
+  expect(isOrderedLate).toEqual([false, true]);
   await stop();
 });
--- a/packages/side/tests/pacer.test.ts
+++ b/packages/side/tests/pacer.test.ts
@@ -12,13 +12,13 @@
   EPOCH,
   GRACE_MS,
   INSTANCE,
-  LOOK_MS,
+  POLL_INTERVAL_MS,
   row,
   runOf,
 } from "./buildPacer.js";
 
 /** Tail latency just over the target. */
-const HOT_MS = 10.5;
+const ABOVE_TARGET_MS = 10.5;
 
 const setUp = () => {
   const orders: PaceOrder[] = [];
@@ -34,88 +34,88 @@
   const startOf = (task: string) => pacer.recordStarting(runOf(task));
   startOf("heavy");
   startOf("light");
-  const lookAt = (tailMs: number, used: number) =>
+  const pollAt = (tailMs: number, used: number) =>
     pacer.adjust(INSTANCE, EPOCH, [
       row("server", tailMs),
       row("heavy", used),
       row("light", used),
     ]);
-  const look = (tailMs: number) => lookAt(tailMs, 2_000);
+  const poll = (tailMs: number) => pollAt(tailMs, 2_000);
   const paceOf = (task: string) =>
     orders.findLast((order) => order.task === brand<JobTaskId>(task))?.percent;
   /** Polls a constant tail latency for some time. */
-  const lookFor = async (tailMs: number, ms: number) => {
-    for (let at = 0; at < ms; at += LOOK_MS) {
-      look(tailMs);
-      await clock.advance(LOOK_MS);
+  const pollFor = async (tailMs: number, ms: number) => {
+    for (let at = 0; at < ms; at += POLL_INTERVAL_MS) {
+      poll(tailMs);
+      await clock.advance(POLL_INTERVAL_MS);
     }
   };
-  return { pacer, look, lookAt, lookFor, paceOf, startOf, orders };
+  return { pacer, poll, pollAt, pollFor, paceOf, startOf, orders };
 };
 
 test("all filling tasks slow down while no interference weight is known", () => {
-  const { look, paceOf } = setUp();
-  look(HOT_MS);
+  const { poll, paceOf } = setUp();
+  poll(ABOVE_TARGET_MS);
   // Tasks use half of what they request; the aim is 0.9 of the target.
   expect([paceOf("heavy"), paceOf("light")]).toEqual([43, 43]);
 });
 
 test("only the image that is known to disturb is slowed down", () => {
-  const { pacer, look, paceOf } = setUp();
+  const { pacer, poll, paceOf } = setUp();
   pacer.updateDisturbances([
     { serving: "web", filling: "render", weight: 0.2 },
   ]);
-  look(2);
-  look(HOT_MS);
+  poll(2);
+  poll(ABOVE_TARGET_MS);
   // Two cores add 0.4 to the logarithm, which must shrink by 0.15.
   expect([paceOf("heavy"), paceOf("light")]).toEqual([31, undefined]);
 });
 
 test("polling the same reading again does not slow a task down twice", () => {
-  const { pacer, look, paceOf, orders } = setUp();
+  const { pacer, poll, paceOf, orders } = setUp();
   pacer.updateDisturbances([
     { serving: "web", filling: "render", weight: 0.2 },
   ]);
-  look(2);
-  look(HOT_MS);
-  look(HOT_MS);
+  poll(2);
+  poll(ABOVE_TARGET_MS);
+  poll(ABOVE_TARGET_MS);
   expect([paceOf("heavy"), orders.length]).toEqual([31, 1]);
 });
 
 test("a slowed task speeds up again only while the tail has headroom", () => {
-  const { pacer, look, paceOf } = setUp();
+  const { pacer, poll, paceOf } = setUp();
   pacer.updateDisturbances([
     { serving: "web", filling: "render", weight: 0.2 },
   ]);
-  look(2);
-  look(HOT_MS);
-  look(9);
+  poll(2);
+  poll(ABOVE_TARGET_MS);
+  poll(9);
   expect(paceOf("heavy")).toEqual(31);
-  look(5);
+  poll(5);
   expect(paceOf("heavy")).toEqual(62);
 });
 
 test("a task speeds up by the headroom left to the aim, then by a few points per poll", () => {
-  const { pacer, look, paceOf } = setUp();
+  const { pacer, poll, paceOf } = setUp();
   pacer.updateDisturbances([
     { serving: "web", filling: "render", weight: 0.4 },
   ]);
-  look(2);
-  look(HOT_MS);
+  poll(2);
+  poll(ABOVE_TARGET_MS);
   expect(paceOf("heavy")).toEqual(40);
   // A tail of 0.7 may grow by 0.25 (logarithm); two cores add 0.8.
-  look(7);
+  poll(7);
   expect(paceOf("heavy")).toEqual(66);
-  look(7);
+  poll(7);
   expect(paceOf("heavy")).toEqual(74);
 });
 
 test("a task is not slowed below the least pace, and that pace is not ordered again", () => {
-  const { look, lookAt, paceOf, orders } = setUp();
-  for (const used of [2_000, 500, 160, 160, 160]) lookAt(30, used);
+  const { poll, pollAt, paceOf, orders } = setUp();
+  for (const used of [2_000, 500, 160, 160, 160]) pollAt(30, used);
   expect(paceOf("heavy")).toEqual(4);
   const settled = orders.length;
-  look(30);
+  poll(30);
   expect(orders.length).toEqual(settled);
 });
 
@@ -132,8 +132,8 @@
 });
 
 test("a new task starts at the pace of other tasks of its image", () => {
-  const { pacer, look, paceOf, startOf, orders } = setUp();
-  look(30);
+  const { pacer, poll, paceOf, startOf, orders } = setUp();
+  poll(30);
   expect(paceOf("heavy")).toEqual(20);
   pacer.describe(brand<JobTaskId>("heavy2"), {
     kind: "filling",
@@ -155,32 +155,32 @@
 });
 
 test("every filling task is slowed down, then halted, while a tail stays over its target", async () => {
-  const { pacer, look, lookFor, paceOf } = setUp();
+  const { pacer, poll, pollFor, paceOf } = setUp();
   pacer.updateDisturbances([
     { serving: "web", filling: "render", weight: 0.2 },
   ]);
-  look(2);
-  await lookFor(11, 1_000);
+  poll(2);
+  await pollFor(11, 1_000);
   expect(paceOf("light")).toEqual(undefined);
-  look(11);
+  poll(11);
   expect(paceOf("light")).toEqual(20);
-  await lookFor(11, GRACE_MS * 0.6);
+  await pollFor(11, GRACE_MS * 0.6);
   expect([paceOf("heavy"), paceOf("light")]).toEqual([0, 0]);
   // The tail is back at its aim without headroom: the tasks resume at their least pace.
-  look(9);
+  poll(9);
   expect([paceOf("heavy"), paceOf("light")]).toEqual([4, 12]);
-  look(5);
+  poll(5);
   expect([paceOf("heavy"), paceOf("light")]).toEqual([12, 24]);
 });
 
 test("a tail that is over its target for a short time does not invalidate the learned weights", async () => {
-  const { pacer, lookFor, paceOf } = setUp();
+  const { pacer, pollFor, paceOf } = setUp();
   pacer.updateDisturbances([
     { serving: "web", filling: "render", weight: 0.2 },
   ]);
   for (let turn = 0; turn < 5; turn += 1) {
-    await lookFor(11, 750);
-    await lookFor(9.5, 250);
+    await pollFor(11, 750);
+    await pollFor(9.5, 250);
   }
   expect(paceOf("light")).toEqual(undefined);
 });
@@ -211,7 +211,7 @@
 });
 
 test("a task's first pace is ordered at once and raised while the tail has headroom", () => {
-  const { pacer, look, paceOf, orders } = setUp();
+  const { pacer, poll, paceOf, orders } = setUp();
   const ref = runOf("heavy");
   pacer.updateDisturbances([
     { serving: "web", filling: "render", weight: 0.2 },
@@ -219,15 +219,15 @@
   const first = { instance: INSTANCE, epoch: EPOCH, firstPercent: 30 };
   pacer.orderFirstPace({ ...ref, ...first });
   expect([paceOf("heavy"), orders.length]).toEqual([30, 1]);
-  look(9);
+  poll(9);
   expect(paceOf("heavy")).toEqual(30);
-  look(3);
+  poll(3);
   expect((paceOf("heavy") ?? 0) > 30).toEqual(true);
 });
 
 test("a first pace that comes after a poll listed the run changes nothing", () => {
-  const { pacer, look, paceOf, orders } = setUp();
-  look(2);
+  const { pacer, poll, paceOf, orders } = setUp();
+  poll(2);
   const ref = runOf("heavy");
   const first = { instance: INSTANCE, epoch: EPOCH, firstPercent: 30 };
   pacer.orderFirstPace({ ...ref, ...first });
--- a/packages/side/tests/previousStarts.test.ts
+++ b/packages/side/tests/previousStarts.test.ts
@@ -31,9 +31,9 @@
 const CALL_TIMEOUT_MS = 400;
 const LONGEST_LEASE_MS = 10_000;
 /** Longer than a start can be delayed. */
-const LATEST_MS = 16_000;
+const MAX_DELAY_MS = 16_000;
 /** Longer than a poll of the previous incarnation and the pause after it take. */
-const SOON_MS = 390;
+const ONE_POLL_MS = 390;
 
 const orderOf = (instance: string, run: number): StartTaskCall => ({
   ...START_CALL,
@@ -42,22 +42,22 @@
 });
 
 /** A side with a worker that leaves starts unanswered and records which runs it was ordered to fence. */
-const watchWorker = async () => {
+const startPoller = async () => {
   const clock = new ManualClock();
   const worker = {
-    life: "w1",
+    instance: "w1",
     answersStarts: false,
     /** Runs whose fencing calls get no answer. */
-    silentBars: new Set<number>(),
-    bars: [] as number[],
+    unansweredFences: new Set<number>(),
+    fencedRuns: [] as number[],
   };
-  const reach = (instance: WorkerInstance): void => {
-    if (instance !== brand<WorkerInstance>(worker.life)) {
+  const checkIncarnation = (instance: WorkerInstance): void => {
+    if (instance !== brand<WorkerInstance>(worker.instance)) {
       throw new WorkerReplacedError(instance);
     }
   };
   const at = (): WorkerTime => clock.monotonic() as unknown as WorkerTime;
-  const fallSilent = async (): Promise<never> => {
+  const timeOut = async (): Promise<never> => {
     await sleep(clock, CALL_TIMEOUT_MS);
     throw new WorkerSilentError("no answer");
   };
@@ -66,147 +66,147 @@
       instance: WorkerInstance,
       { waitMs }: PollRequest,
     ): Promise<PollResponse> => {
-      reach(instance);
+      checkIncarnation(instance);
       await sleep(clock, waitMs);
-      reach(instance);
+      checkIncarnation(instance);
       return pollResponseOf(at());
     },
     start: async (instance: WorkerInstance) => {
-      reach(instance);
-      if (!worker.answersStarts) return fallSilent();
+      checkIncarnation(instance);
+      if (!worker.answersStarts) return timeOut();
       return { kind: "started", at: at() };
     },
     stop: async (instance: WorkerInstance, { run }: RunRef) => {
-      reach(instance);
-      worker.bars.push(run);
-      return worker.silentBars.has(run) ? fallSilent() : at();
+      checkIncarnation(instance);
+      worker.fencedRuns.push(run);
+      return worker.unansweredFences.has(run) ? timeOut() : at();
     },
   } as unknown as TaskHost;
-  const { registry, watch, orders, stop } = buildSide({
+  const { registry, poller, orders, stop } = buildSide({
     host,
     clock,
-    heard: [worker.life],
+    registered: [worker.instance],
     longestLeaseMs: LONGEST_LEASE_MS,
   });
-  watch.raiseEpoch(1 as unknown as Epoch);
-  watch.start();
-  await clock.advance(SOON_MS);
+  poller.raiseEpoch(1 as unknown as Epoch);
+  poller.start();
+  await clock.advance(ONE_POLL_MS);
   const order = (run: number): void =>
-    void orders.start(orderOf(worker.life, run));
-  const replace = (life: string): void => {
-    worker.life = life;
-    registry.recordHeartbeat(createHeartbeat(life));
+    void orders.start(orderOf(worker.instance, run));
+  const replace = (next: string): void => {
+    worker.instance = next;
+    registry.recordHeartbeat(createHeartbeat(next));
   };
-  return { clock, watch, worker, registry, order, replace, stop };
+  return { clock, poller, worker, registry, order, replace, stop };
 };
 
 test("a start whose answer is still pending is fenced at the worker's next incarnation", async () => {
-  const { clock, watch, worker, order, replace, stop } = await watchWorker();
+  const { clock, poller, worker, order, replace, stop } = await startPoller();
   order(7);
   await clock.advance(1);
   replace("w2");
-  await clock.advance(SOON_MS);
-  expect(worker.bars).toEqual([7]);
-  expect(watch.currentStatus?.instance).toEqual(brand<WorkerInstance>("w2"));
+  await clock.advance(ONE_POLL_MS);
+  expect(worker.fencedRuns).toEqual([7]);
+  expect(poller.currentStatus?.instance).toEqual(brand<WorkerInstance>("w2"));
   await stop();
 });
 
 test("a start that was answered at once is not fenced", async () => {
-  const { clock, watch, worker, order, replace, stop } = await watchWorker();
+  const { clock, poller, worker, order, replace, stop } = await startPoller();
   worker.answersStarts = true;
   order(7);
   await clock.advance(1);
   replace("w2");
-  await clock.advance(SOON_MS);
-  expect(worker.bars).toEqual([]);
-  expect(watch.currentStatus?.instance).toEqual(brand<WorkerInstance>("w2"));
+  await clock.advance(ONE_POLL_MS);
+  expect(worker.fencedRuns).toEqual([]);
+  expect(poller.currentStatus?.instance).toEqual(brand<WorkerInstance>("w2"));
   await stop();
 });
 
 test("a fencing call without an answer does not delay the others", async () => {
-  const { clock, worker, order, replace, stop } = await watchWorker();
+  const { clock, worker, order, replace, stop } = await startPoller();
   for (const run of [7, 8, 9]) order(run);
   await clock.advance(CALL_TIMEOUT_MS);
-  worker.silentBars.add(7);
+  worker.unansweredFences.add(7);
   replace("w2");
-  await clock.advance(SOON_MS);
-  expect([...new Set(worker.bars)].sort()).toEqual([7, 8, 9]);
+  await clock.advance(ONE_POLL_MS);
+  expect([...new Set(worker.fencedRuns)].sort()).toEqual([7, 8, 9]);
   await stop();
 });
 
 test("an incarnation is not reported before all fencing calls are answered, and answered ones are not repeated", async () => {
-  const { clock, watch, worker, order, replace, stop } = await watchWorker();
+  const { clock, poller, worker, order, replace, stop } = await startPoller();
   for (const run of [7, 8, 9]) order(run);
   await clock.advance(CALL_TIMEOUT_MS);
-  worker.silentBars.add(8);
+  worker.unansweredFences.add(8);
   replace("w2");
-  await clock.advance(CALL_TIMEOUT_MS + SOON_MS);
-  expect(watch.currentStatus).toEqual(undefined);
-  worker.silentBars.clear();
-  await clock.advance(CALL_TIMEOUT_MS + SOON_MS);
-  expect(watch.currentStatus?.instance).toEqual(brand<WorkerInstance>("w2"));
-  expect(worker.bars.filter((run) => run !== 8).sort()).toEqual([7, 9]);
+  await clock.advance(CALL_TIMEOUT_MS + ONE_POLL_MS);
+  expect(poller.currentStatus).toEqual(undefined);
+  worker.unansweredFences.clear();
+  await clock.advance(CALL_TIMEOUT_MS + ONE_POLL_MS);
+  expect(poller.currentStatus?.instance).toEqual(brand<WorkerInstance>("w2"));
+  expect(worker.fencedRuns.filter((run) => run !== 8).sort()).toEqual([7, 9]);
   await stop();
 });
 
 test("a fencing call without an answer is sent again long before it times out", async () => {
-  const { clock, watch, worker, order, replace, stop } = await watchWorker();
+  const { clock, poller, worker, order, replace, stop } = await startPoller();
   order(7);
   await clock.advance(CALL_TIMEOUT_MS);
-  worker.silentBars.add(7);
+  worker.unansweredFences.add(7);
   replace("w2");
-  while (worker.bars.length === 0) await clock.advance(1);
-  worker.silentBars.clear();
+  while (worker.fencedRuns.length === 0) await clock.advance(1);
+  worker.unansweredFences.clear();
   await clock.advance(CALL_TIMEOUT_MS / 4);
-  expect(worker.bars).toEqual([7, 7]);
-  expect(watch.currentStatus?.instance).toEqual(brand<WorkerInstance>("w2"));
+  expect(worker.fencedRuns).toEqual([7, 7]);
+  expect(poller.currentStatus?.instance).toEqual(brand<WorkerInstance>("w2"));
   await stop();
 });
 
 test("a start that was fenced at one incarnation is fenced at the next one too", async () => {
-  const { clock, worker, order, replace, stop } = await watchWorker();
+  const { clock, worker, order, replace, stop } = await startPoller();
   order(7);
   await clock.advance(CALL_TIMEOUT_MS);
   replace("w2");
-  await clock.advance(SOON_MS);
+  await clock.advance(ONE_POLL_MS);
   replace("w3");
-  await clock.advance(SOON_MS);
-  expect(worker.bars).toEqual([7, 7]);
+  await clock.advance(ONE_POLL_MS);
+  expect(worker.fencedRuns).toEqual([7, 7]);
   await stop();
 });
 
 // The clock of the next incarnation may be behind, and a worker accepts the lease of a start
 // even if the run is fenced.
 test("the lease bound of a silent worker includes the lease of a start sent to its previous incarnation", async () => {
-  const { clock, watch, worker, order, replace, stop } = await watchWorker();
+  const { clock, poller, worker, order, replace, stop } = await startPoller();
   await clock.advance(2 * LONGEST_LEASE_MS);
   order(7);
   await clock.advance(CALL_TIMEOUT_MS);
   replace("w2");
-  await clock.advance(SOON_MS);
-  expect(watch.currentStatus?.instance).toEqual(brand<WorkerInstance>("w2"));
-  worker.life = "none";
-  expect((watch.stopRenewingLease() ?? 0) >= LONGEST_LEASE_MS).toEqual(true);
-  await clock.advance(LATEST_MS + 2 * LONGEST_LEASE_MS);
-  expect(watch.stopRenewingLease()).toEqual(0);
+  await clock.advance(ONE_POLL_MS);
+  expect(poller.currentStatus?.instance).toEqual(brand<WorkerInstance>("w2"));
+  worker.instance = "none";
+  expect((poller.stopRenewingLease() ?? 0) >= LONGEST_LEASE_MS).toEqual(true);
+  await clock.advance(MAX_DELAY_MS + 2 * LONGEST_LEASE_MS);
+  expect(poller.stopRenewingLease()).toEqual(0);
   await stop();
 });
 
 // A fenced start begins no run, but its lease still counts.
 test("the side tracks how long a start to the previous incarnation may still arrive, also once it is fenced", async () => {
-  const { clock, registry, order, replace, stop } = await watchWorker();
-  const [former, next] = [
+  const { clock, registry, order, replace, stop } = await startPoller();
+  const [previous, next] = [
     brand<WorkerInstance>("w1"),
     brand<WorkerInstance>("w2"),
   ];
   order(7);
   await clock.advance(CALL_TIMEOUT_MS);
-  expect(registry.unansweredStarts.mayArriveForMs(former)).toEqual(0);
+  expect(registry.unansweredStarts.mayArriveForMs(previous)).toEqual(0);
   replace("w2");
-  await clock.advance(SOON_MS);
+  await clock.advance(ONE_POLL_MS);
   expect(registry.unansweredStarts.unfencedAt(next)).toEqual([]);
   expect(registry.unansweredStarts.mayArriveForMs(next) > 12_000).toEqual(true);
-  await clock.advance(LATEST_MS);
+  await clock.advance(MAX_DELAY_MS);
   expect(registry.unansweredStarts.mayArriveForMs(next)).toEqual(0);
   await stop();
 });
--- a/packages/side/tests/taskOrderHandler.test.ts
+++ b/packages/side/tests/taskOrderHandler.test.ts
@@ -20,19 +20,19 @@
  */
 const startWith = async (
   answers: readonly (StartOutcome | Error | undefined)[],
-  heard: readonly string[] = [],
+  registered: readonly string[] = [],
 ): Promise<HostCallResult> => {
   const clock = new ManualClock();
-  const left = [...answers];
+  const remaining = [...answers];
   const host = {
     start: async () => {
-      const answer = left.shift();
+      const answer = remaining.shift();
       if (!answer) throw new WorkerSilentError("no answer");
       if (answer instanceof Error) throw answer;
       return answer;
     },
   } as unknown as TaskHost;
-  const { orders } = buildSide({ host, clock, heard });
+  const { orders } = buildSide({ host, clock, registered });
   const result = orders.start(START_CALL);
   await clock.advance(2_000);
   return result;
@@ -48,7 +48,7 @@
   const host = {
     start: () => Promise.reject(new WorkerSilentError("no answer")),
   } as unknown as TaskHost;
-  const { orders, registry } = buildSide({ host, clock, heard: ["w"] });
+  const { orders, registry } = buildSide({ host, clock, registered: ["w"] });
   const { instance } = START_CALL;
   const result = orders.start(START_CALL);
   await clock.advance(500);
--- a/packages/side/tests/unattendedLease.test.ts
+++ b/packages/side/tests/unattendedLease.test.ts
@@ -27,7 +27,7 @@
 }
 
 /** A side that polls a worker; records how far ahead the lease was renewed. */
-const watchWorker = async () => {
+const startPoller = async () => {
   const clock = new ManualClock();
   const renewals: Renewal[] = [];
   const workerTime = (): WorkerTime =>
@@ -42,25 +42,25 @@
       return pollResponseOf(workerTime());
     },
   } as unknown as TaskHost;
-  const { watch, stop } = buildSide({
+  const { poller, stop } = buildSide({
     host,
     clock,
-    heard: [INSTANCE],
+    registered: [INSTANCE],
     unattendedLeaseMs: UNATTENDED_MS,
   });
-  watch.raiseEpoch(1 as unknown as Epoch);
-  watch.start();
+  poller.raiseEpoch(1 as unknown as Epoch);
+  poller.start();
   await clock.advance(500);
-  return { clock, watch, renewals, workerTime, stop };
+  return { clock, poller, renewals, workerTime, stop };
 };
 
 const lastLease = (renewals: readonly Renewal[]): number =>
   renewals.at(-1)?.leaseUntil ?? 0;
 
 test("a worker's lease is renewed no further ahead than it may continue unattended", async () => {
-  const { clock, watch, renewals, workerTime, stop } = await watchWorker();
+  const { clock, poller, renewals, workerTime, stop } = await startPoller();
   const granted = workerTime() + 10_000;
-  watch.grant(INSTANCE, granted as unknown as WorkerTime);
+  poller.grant(INSTANCE, granted as unknown as WorkerTime);
   const from = renewals.length;
   await clock.advance(4_000);
   for (const { at, leaseUntil } of renewals.slice(from)) {
@@ -70,9 +70,9 @@
 });
 
 test("a worker keeps the whole granted lease as long as its side renews it", async () => {
-  const { clock, watch, renewals, workerTime, stop } = await watchWorker();
+  const { clock, poller, renewals, workerTime, stop } = await startPoller();
   const granted = workerTime() + 10_000;
-  watch.grant(INSTANCE, granted as unknown as WorkerTime);
+  poller.grant(INSTANCE, granted as unknown as WorkerTime);
   await clock.advance(6_000);
   expect(lastLease(renewals) > workerTime() + 2_000).toEqual(true);
   await clock.advance(6_000);
@@ -83,9 +83,9 @@
 // The worker's clock keeps running while the side's is stopped: the side's estimate of the
 // worker's time falls behind, so the lease ends earlier, and never later.
 test("a side whose machine was suspended renews the lease no further ahead", async () => {
-  const { clock, watch, renewals, workerTime, stop } = await watchWorker();
+  const { clock, poller, renewals, workerTime, stop } = await startPoller();
   const granted = workerTime() + 10_000;
-  watch.grant(INSTANCE, granted as unknown as WorkerTime);
+  poller.grant(INSTANCE, granted as unknown as WorkerTime);
   await clock.advance(1_000);
   clock.suspend(3_000);
   const from = renewals.length;
--- a/packages/side/tests/workerRegistry.test.ts
+++ b/packages/side/tests/workerRegistry.test.ts
@@ -54,12 +54,12 @@
 test("late heartbeats of two unregistered incarnations do not lock out the current one", () => {
   const registry = createRegistry();
   registry.recordHeartbeat(createHeartbeat("present", 3));
-  for (const former of ["former-1", "former-2"]) {
-    registry.recordHeartbeat(createHeartbeat(former, 9));
+  for (const previous of ["former-1", "former-2"]) {
+    registry.recordHeartbeat(createHeartbeat(previous, 9));
   }
-  for (const former of ["former-2", "former-1"]) {
+  for (const previous of ["former-2", "former-1"]) {
     registry.recordGone(
-      brand<WorkerInstance>(former),
+      brand<WorkerInstance>(previous),
       "another incarnation answers",
     );
   }
--- a/packages/side/tests/workerRunTracker.test.ts
+++ b/packages/side/tests/workerRunTracker.test.ts
@@ -95,9 +95,9 @@
 
 test("the report says that a run was ordered after its worker had stopped answering", async () => {
   const { clock, registry, crash } = setUp();
-  const shown: RunRef = { ...RUN, run: brand<RunNumber>(9) };
-  registry.runs.recordOrdered(FIRST, shown);
-  registry.runs.recordStarted(FIRST, shown, timeOf(1_000));
+  const listed: RunRef = { ...RUN, run: brand<RunNumber>(9) };
+  registry.runs.recordOrdered(FIRST, listed);
+  registry.runs.recordStarted(FIRST, listed, timeOf(1_000));
   registry.runs.recordSilent(FIRST);
   await clock.advance(40);
   registry.runs.recordSilent(FIRST);
@@ -106,7 +106,7 @@
   crash();
   expect(registry.runs.unreportedLostRuns).toEqual([
     { ...RUN, workedMs: undefined, wasAtWork: false },
-    { ...shown, workedMs: 0, wasAtWork: false },
+    { ...listed, workedMs: 0, wasAtWork: false },
     { ...late, wasAtWork: false, orderedMs: -40 },
   ]);
 });
@@ -155,10 +155,10 @@
   expect(runs.unreportedLostRuns).toEqual([{ ...lost, isOrderOpen: true }]);
   runs.markLostRunsReported(runs.unreportedLostRuns);
   expect(runs.unreportedLostRuns).toEqual([{ ...lost, isOrderOpen: true }]);
-  const told = runs.unreportedLostRuns;
+  const reported = runs.unreportedLostRuns;
   runs.recordOrderClosed(RUN);
   // The leader's answer refers to the report before.
-  runs.markLostRunsReported(told);
+  runs.markLostRunsReported(reported);
   expect(runs.unreportedLostRuns).toEqual([lost]);
   runs.markLostRunsReported(runs.unreportedLostRuns);
   expect(runs.unreportedLostRuns).toEqual([]);
@@ -185,7 +185,7 @@
   expect(registry.runs.unreportedNeverBegun).toEqual([]);
 });
 
-const listOfEnd = (at: number): PollResponse => ({
+const responseWithEnd = (at: number): PollResponse => ({
   ...pollResponseOf(at, []),
   ended: [{ ...RUN, number: 1, outcome: "done", checkpoint: "" }],
 });
@@ -194,7 +194,7 @@
   const { registry, crash } = setUp();
   const { runs } = registry;
   runs.recordStarted(FIRST, RUN, timeOf(1_000));
-  runs.recordListed(FIRST, listOfEnd(1_500), 0);
+  runs.recordListed(FIRST, responseWithEnd(1_500), 0);
   expect(runs.unreportedEnds).toEqual([]);
   crash();
   expect(runs.unreportedLostRuns).toEqual([]);
@@ -207,26 +207,26 @@
   const { registry, crash } = setUp();
   const { runs } = registry;
   runs.recordStarted(FIRST, RUN, timeOf(1_000));
-  runs.recordListed(FIRST, listOfEnd(1_500), 0);
+  runs.recordListed(FIRST, responseWithEnd(1_500), 0);
   runs.recordListed(FIRST, pollResponseOf(1_600, []), 0);
   crash();
   expect(runs.unreportedEnds).toEqual([]);
 });
 
 test("a run is reported as at work only if the last poll was interrupted while it would have reported an end", () => {
-  const broken = setUp();
-  broken.registry.runs.recordStarted(FIRST, RUN, timeOf(1_000));
-  broken.registry.runs.recordPollInterrupted(FIRST);
-  broken.crash();
-  expect(broken.registry.runs.unreportedLostRuns.map(wasAtWork)).toEqual([
+  const interrupted = setUp();
+  interrupted.registry.runs.recordStarted(FIRST, RUN, timeOf(1_000));
+  interrupted.registry.runs.recordPollInterrupted(FIRST);
+  interrupted.crash();
+  expect(interrupted.registry.runs.unreportedLostRuns.map(wasAtWork)).toEqual([
     true,
   ]);
-  const goesOn = setUp();
-  goesOn.registry.runs.recordPollInterrupted(FIRST);
+  const resumed = setUp();
+  resumed.registry.runs.recordPollInterrupted(FIRST);
   // Only the connection was reset: the run may end later without the side receiving the end.
-  goesOn.registry.runs.recordListed(FIRST, pollResponseOf(1_200, [RUN]), 0);
-  goesOn.crash();
-  expect(goesOn.registry.runs.unreportedLostRuns.map(wasAtWork)).toEqual([
+  resumed.registry.runs.recordListed(FIRST, pollResponseOf(1_200, [RUN]), 0);
+  resumed.crash();
+  expect(resumed.registry.runs.unreportedLostRuns.map(wasAtWork)).toEqual([
     false,
   ]);
 });
@@ -249,15 +249,15 @@
 
 test("a run that a previous process of the side ordered may have worked for any time", async () => {
   const { clock, registry, crash } = setUp();
-  const former: RunRef = { ...RUN, run: brand<RunNumber>(8) };
-  registry.runs.recordListed(FIRST, pollResponseOf(1_000, [former]), 0);
+  const previous: RunRef = { ...RUN, run: brand<RunNumber>(8) };
+  registry.runs.recordListed(FIRST, pollResponseOf(1_000, [previous]), 0);
   await clock.advance(20);
   registry.runs.recordPollInterrupted(FIRST);
   crash();
-  const told = registry.runs.unreportedLostRuns.find(
-    ({ run }) => run === former.run,
+  const lost = registry.runs.unreportedLostRuns.find(
+    ({ run }) => run === previous.run,
   );
-  expect(told?.orderedMs).toEqual(Number.MAX_SAFE_INTEGER);
+  expect(lost?.orderedMs).toEqual(Number.MAX_SAFE_INTEGER);
 });
 
 const wasAtWork = (run: LostRun): boolean => run.wasAtWork;
