--- a/packages/side/src/RequestFences.ts
+++ b/packages/side/src/RequestFences.ts
@@ -28,8 +28,8 @@
   ) {}
 
   /** Records that the attempt starts now, unless it is fenced or has started before. */
-  tryStart(name: AttemptKey): "started" | "fenced" | "repeated" {
-    const key = keyOf(name);
+  tryStart(attempt: AttemptKey): "started" | "fenced" | "repeated" {
+    const key = keyOf(attempt);
     const recorded = this.attempts.get(key);
     if (recorded) return recorded.state === "fenced" ? "fenced" : "repeated";
     this.record(key, "started");
@@ -41,8 +41,8 @@
    * @param ageMs milliseconds since the attempt was sent
    * @returns whether the attempt has started here
    */
-  fence(name: AttemptKey, ageMs: number): "yes" | "no" | "unknown" {
-    const key = keyOf(name);
+  fence(attempt: AttemptKey, ageMs: number): "yes" | "no" | "unknown" {
+    const key = keyOf(attempt);
     const recorded = this.attempts.get(key);
     if (recorded) return recorded.state === "started" ? "yes" : "no";
     this.record(key, "fenced");
--- a/packages/side/src/jobs/LeaderClient.ts
+++ b/packages/side/src/jobs/LeaderClient.ts
@@ -47,7 +47,7 @@
   /** Least time between two reports, so that ends are reported in batches. */
   minReportIntervalMs: 12,
   /** A connection on which no byte arrives for this long is closed. */
-  silenceMs: 4_000,
+  idleTimeoutMs: 4_000,
   /** A leader that grants no lease for this long may have been replaced. */
   maxUngrantedMs: 700,
   /** Consecutive unanswered reports after which the side searches for another leader. */
@@ -159,7 +159,7 @@
       servedMethods: hostMethods,
       calledMethods: leaderMethods,
       handlers: this.handlers(),
-      idleTimeoutMs: LEADER_CLIENT.silenceMs,
+      idleTimeoutMs: LEADER_CLIENT.idleTimeoutMs,
       clock,
       logger,
     });
--- a/packages/side/src/jobs/PacePlanner.ts
+++ b/packages/side/src/jobs/PacePlanner.ts
@@ -1,7 +1,8 @@
 /**
- * Decides the pace of the filling tasks on this host. While a serving task beside them
- * nears its tail latency target, the filling tasks that are known to disturb it are slowed
- * down first; while there is slack, they are sped up again. Sends no orders.
+ * Decides the pace of the filling tasks on this host: tasks that may be slowed down for the
+ * serving tasks beside them, which have a tail latency target. While a tail nears its
+ * target, the filling tasks that are known to disturb it are slowed down first; while there
+ * is slack, they are sped up again. Sends no orders.
  */
 
 import {
--- a/packages/side/src/jobs/SilenceReporter.ts
+++ b/packages/side/src/jobs/SilenceReporter.ts
@@ -61,14 +61,8 @@
 
   /** @returns whether the leader answered, and whether it grants leases */
   async report(): Promise<{ isAnswered: boolean; grants: boolean }> {
-    const {
-      connection,
-      registry,
-      poller: watch,
-      clock,
-      callTimeoutMs,
-    } = this.options;
-    const overInMs = watch.stopRenewingLease();
+    const { connection, registry, poller, clock, callTimeoutMs } = this.options;
+    const overInMs = poller.stopRenewingLease();
     const neverBegun = [...registry.runs.unreportedNeverBegun];
     this.reportedAt = clock.monotonic();
     try {
@@ -77,7 +71,7 @@
         { overInMs, neverBegun },
         callTimeoutMs,
       );
-      // A leader that no longer grants leases does not pass the runs on to the next leader.
+      // A leader that grants no leases decides nothing and passes nothing on to the next leader.
       if (grants) registry.runs.markNeverBegunReported(neverBegun);
       this.logOutcome({ overInMs, grants });
       return { isAnswered: true, grants };
--- a/packages/side/src/jobs/WorkerPoller.ts
+++ b/packages/side/src/jobs/WorkerPoller.ts
@@ -148,7 +148,7 @@
   stopRenewingLease(): number | undefined {
     const { worker } = this.options.registry;
     this.leaseUntil = undefined;
-    // The lease of such a start is measured by the clock of another incarnation.
+    // A start for another incarnation carries a lease measured by that incarnation's clock.
     if (this.previousStartsForMs(worker?.instance) > 0)
       this.sentLeases.assumeLongest();
     return this.sentLeases.overInMs;
