--- a/packages/kernel/src/Lifecycle.ts
+++ b/packages/kernel/src/Lifecycle.ts
@@ -1,12 +1,12 @@
-/** Start, drain and stop of the parts of one process, in order. */
+/** Starts, drains and stops the parts of one process in order. */
 
 import { describeError, type Logger } from "@rackspan/common";
 
-/** A part of a process. Each step is optional. */
+/** A part of a process with its own start, drain and stop; each is optional. */
 export interface LifecyclePart {
   readonly name: string;
   start?(): Promise<void>;
-  /** Takes no new work, and resolves once work in progress is done. */
+  /** Stops accepting new work, and resolves once work in progress is done. */
   drain?(): Promise<void>;
   stop?(): Promise<void>;
 }
@@ -14,7 +14,7 @@
 export type LifecycleState = "starting" | "running" | "draining" | "stopped";
 
 export class Lifecycle {
-  private current: LifecycleState = "starting";
+  private currentState: LifecycleState = "starting";
   private readonly started: LifecyclePart[] = [];
 
   constructor(
@@ -23,10 +23,10 @@
   ) {}
 
   get state(): LifecycleState {
-    return this.current;
+    return this.currentState;
   }
 
-  /** Starts the parts in order; a failure stops what had started and is thrown. */
+  /** Starts the parts in order. If one fails, stops those already started and rethrows the error. */
   async start(): Promise<void> {
     try {
       for (const part of this.parts) {
@@ -35,37 +35,37 @@
       }
     } catch (err) {
       await this.stopStarted();
-      this.current = "stopped";
+      this.currentState = "stopped";
       throw err;
     }
-    this.current = "running";
+    this.currentState = "running";
     this.logger.info("lifecycle.running");
   }
 
-  /** A planned stop: drains in order, then stops in reverse order. */
+  /** Planned stop: drains the parts in order, then stops them in reverse order. */
   async shutDown(): Promise<void> {
-    if (this.current !== "running") return;
-    this.current = "draining";
+    if (this.currentState !== "running") return;
+    this.currentState = "draining";
     this.logger.info("lifecycle.draining");
-    for (const part of this.started) await this.attempt("drain", part);
+    for (const part of this.started) await this.runStep("drain", part);
     await this.stopStarted();
-    this.current = "stopped";
+    this.currentState = "stopped";
     this.logger.info("lifecycle.stopped");
   }
 
-  /** Stops at once, as a kill would. */
+  /** Stops at once without draining, like a killed process. */
   async kill(): Promise<void> {
-    this.current = "stopped";
+    this.currentState = "stopped";
     await this.stopStarted();
   }
 
   private async stopStarted(): Promise<void> {
     while (this.started.length > 0) {
-      await this.attempt("stop", this.started.pop() as LifecyclePart);
+      await this.runStep("stop", this.started.pop() as LifecyclePart);
     }
   }
 
-  private async attempt(
+  private async runStep(
     step: "drain" | "stop",
     part: LifecyclePart,
   ): Promise<void> {
--- a/packages/side/src/RequestHandler.ts
+++ b/packages/side/src/RequestHandler.ts
@@ -1,4 +1,4 @@
-/** Admits the requests that entries send, and passes them on to local endpoints. */
+/** Admits requests from entries and forwards them to local endpoints. */
 
 import { Agent, type IncomingMessage, type ServerResponse } from "node:http";
 import type { Duplex } from "node:stream";
@@ -51,7 +51,7 @@
   TIMEOUT: 504,
 } as const;
 
-/** Headers from the entry that the endpoint does not need. */
+/** Headers from the entry that are not forwarded to the endpoint. */
 const DROPPED_REQUEST_HEADERS: ReadonlySet<string> = new Set([
   HEADER.SERVICE,
   HEADER.CLASS,
@@ -60,7 +60,7 @@
 ]);
 
 export class RequestHandler {
-  /** While set, requests are refused as not run. */
+  /** While set, requests are refused with the outcome `not-run`. */
   isRefusing = false;
   private readonly agent = new Agent({
     keepAlive: true,
@@ -71,7 +71,7 @@
 
   constructor(private readonly options: RequestHandlerOptions) {}
 
-  /** Serves one request; every way out of it gives back its slot. */
+  /** Serves one request. Its slot is released on every path. */
   async handle(req: IncomingMessage, res: ServerResponse): Promise<void> {
     const head = readRequestHead(req);
     if (!head) return this.refuse(req, res, undefined, badHead);
@@ -93,7 +93,7 @@
     }
   }
 
-  /** Serves one upgraded connection, which holds a connection but no slot. */
+  /** Serves one protocol upgrade, which holds a connection but no slot. */
   handleUpgrade(req: IncomingMessage, socket: Duplex, head: Buffer): void {
     socket.on("error", () => socket.destroy());
     const request = readRequestHead(req);
@@ -111,7 +111,7 @@
     this.tunnel(req, socket, head, request, admission.permit);
   }
 
-  /** Watches that are open, upgraded or not. */
+  /** Number of open watches, including upgraded connections. */
   get openWatches(): number {
     return this.watches.size;
   }
@@ -162,19 +162,19 @@
     });
     this.options.metrics.count("side_refused", { reason: refusal.reason });
     res.setHeader(HEADER.BUSY_SLOTS, String(this.options.gate.busySlots));
-    // An unread body would otherwise stand between this answer and the next request.
+    // Drains the body, which would otherwise precede the next request on the connection.
     req.resume();
     sendProblem(res, toProblem(refusal, head));
   }
 
-  /** From here on the endpoint may see the request. */
+  /** Forwards an admitted request; from here on the endpoint may receive it. */
   private async forward(
     req: IncomingMessage,
     res: ServerResponse,
     head: RequestHead,
     timeoutMs: number,
   ): Promise<void> {
-    const endpoint = this.leastBusy(head);
+    const endpoint = this.leastLoadedEndpoint(head);
     if (!endpoint) return this.refuse(req, res, head, endpointGone);
     if (res.destroyed) return;
     if (timeoutMs <= 0)
@@ -196,18 +196,18 @@
     const task = endpoint.identity.task;
     const attempt = this.send(req, head, endpoint, timeoutMs);
     this.addInFlight(task, 1);
-    let late = false;
+    let timedOut = false;
     const timer = clock.after(timeoutMs, () => {
-      late = true;
+      timedOut = true;
       attempt.cancel();
     });
-    const onGone = (): void => attempt.cancel();
-    res.on("close", onGone);
+    const onClose = (): void => attempt.cancel();
+    res.on("close", onClose);
     const startedAt = clock.monotonic();
     try {
       const answer = await attempt.response;
       timer.cancel();
-      res.off("close", onGone);
+      res.off("close", onClose);
       if (head.watch) this.addWatch(res);
       const end = await this.relay(answer, res);
       this.options.logger.debug("request.end", {
@@ -220,7 +220,7 @@
       metrics.count("side_answered", { end });
       metrics.latency("endpoint").record(clock.monotonic() - startedAt);
     } catch (err) {
-      this.refuse(req, res, head, failure(err, late));
+      this.refuse(req, res, head, failure(err, timedOut));
     } finally {
       timer.cancel();
       this.addInFlight(task, -1);
@@ -259,7 +259,7 @@
     request: RequestHead,
     permit: Permit,
   ): void {
-    const endpoint = this.leastBusy(request);
+    const endpoint = this.leastLoadedEndpoint(request);
     const started =
       endpoint && this.options.fences.tryStart(request) === "started";
     if (!endpoint || !started) {
@@ -299,7 +299,7 @@
     watch.on("close", () => this.watches.delete(watch));
   }
 
-  private leastBusy({ service }: RequestHead): HeldTask | undefined {
+  private leastLoadedEndpoint({ service }: RequestHead): HeldTask | undefined {
     let best: HeldTask | undefined;
     let bestLoad = Infinity;
     for (const task of this.options.tasks.endpointsOf(service)) {
@@ -311,8 +311,8 @@
     return best;
   }
 
-  private addInFlight(task: string, by: number): void {
-    const next = (this.inFlight.get(task) ?? 0) + by;
+  private addInFlight(task: string, delta: number): void {
+    const next = (this.inFlight.get(task) ?? 0) + delta;
     if (next > 0) this.inFlight.set(task, next);
     else this.inFlight.delete(task);
   }
@@ -353,9 +353,9 @@
   outcome: "unknown",
 });
 
-const failure = (err: unknown, late: boolean): Refusal => {
+const failure = (err: unknown, timedOut: boolean): Refusal => {
   const mayHaveRun = !(err instanceof AttemptFailedError) || err.mayHaveRun;
-  if (late) {
+  if (timedOut) {
     const detail = "the endpoint did not answer in time";
     const outcome = mayHaveRun ? "unknown" : "not-run";
     return { status: STATUS.TIMEOUT, reason: REASON.DEADLINE, detail, outcome };
--- a/packages/side/src/SideProcess.ts
+++ b/packages/side/src/SideProcess.ts
@@ -1,4 +1,4 @@
-/** The side process of one endpoint host: wires its parts and their life cycle. */
+/** Wires the parts of the side process of one endpoint host, and their lifecycle. */
 
 import {
   createServer,
@@ -54,7 +54,7 @@
   readonly tasks: TaskSupervisor;
   readonly gate: AdmissionGate;
   private readonly handler: RequestHandler;
-  private readonly board: StatusPublisher;
+  private readonly statusPublisher: StatusPublisher;
   private readonly lifecycle: Lifecycle;
   private readonly server: Server;
   private readonly rpc: RpcServer<typeof SIDE_METHODS>;
@@ -86,7 +86,7 @@
     const { tasks, gate } = this;
     const fences = new RequestFences(clock, settings.limits.fencesKept);
     this.handler = new RequestHandler({ ...shared, tasks, gate, fences });
-    this.board = new StatusPublisher({
+    this.statusPublisher = new StatusPublisher({
       settings,
       incarnation,
       tasks,
@@ -102,29 +102,29 @@
         commitments,
         fences,
         settings,
-        statusPublisher: this.board,
+        statusPublisher: this.statusPublisher,
       }),
     );
     this.server = this.createServer();
     this.lifecycle = this.createLifecycle(logger);
   }
 
-  /** Starts; admits work once the worker's list is known. */
+  /** Starts the process, which admits work once the worker has listed its tasks. */
   start(): Promise<void> {
     return this.lifecycle.start();
   }
 
-  /** A planned stop: requests in progress end, tasks go on under their leases. */
+  /** Planned stop: requests in progress are completed, tasks continue under their leases. */
   shutDown(): Promise<void> {
     return this.lifecycle.shutDown();
   }
 
-  /** Stops at once, as a kill would. */
+  /** Stops at once without draining, like a killed process. */
   kill(): Promise<void> {
     return this.lifecycle.kill();
   }
 
-  /** `IP:PORT` that entries call. */
+  /** `IP:PORT` at which entries call this side. */
   get address(): string {
     return addressOf(this.server);
   }
@@ -206,10 +206,10 @@
     );
   }
 
-  /** Tells the entries first, then refuses, then waits for what is in progress. */
+  /** Notifies the entries, then refuses new requests, then waits for those in progress. */
   private async drain(): Promise<void> {
     const { noticeMs, limitMs } = this.options.settings.drain;
-    this.board.startLeaving();
+    this.statusPublisher.startLeaving();
     await sleep(this.clock, noticeMs);
     this.handler.isRefusing = true;
     const end = this.clock.monotonic() + limitMs;
@@ -223,7 +223,7 @@
   }
 
   private async close(): Promise<void> {
-    this.board.close();
+    this.statusPublisher.close();
     this.handler.closeWatches();
     this.handler.close();
     await closeServer(this.server);
--- a/packages/side/src/TaskSupervisor.ts
+++ b/packages/side/src/TaskSupervisor.ts
@@ -1,6 +1,6 @@
 /**
- * The tasks of this host: starts, renews and stops them at the worker, and
- * reports each end until an entry says that it is on the log.
+ * Supervises the tasks of this host: starts, renews and stops them at the worker, and
+ * reports each end until an entry acknowledges that it is on the log.
  */
 
 import {
@@ -54,39 +54,39 @@
 export interface HeldTask {
   readonly identity: TaskIdentity;
   readonly fencingToken: Sequence;
-  /** `stopped`: the worker has confirmed the stop, the end is not seen yet. */
+  /** `stopped`: the worker has confirmed the stop, but has not reported the end yet. */
   readonly state: TaskStatus["state"] | "stopped";
   readonly end?: EndKind | undefined;
   readonly detail?: string | undefined;
   readonly checkpoint?: string | undefined;
-  /** Where it answers requests, once the worker has said so. */
+  /** The address at which it answers requests, once the worker has reported it. */
   readonly address?: string | undefined;
 }
 
 const ADOPT_RETRY_MS = 200;
-const FENCED_TASKS_KEPT = 10_000;
+const MAX_FENCED_TASKS = 10_000;
 
 export class TaskSupervisor {
-  /** Emits each change of any task. */
+  /** Emitted on each change of any task. */
   readonly changed = new Emitter<void>();
   private readonly tasks = new Map<TaskId, HeldTask>();
   private readonly fenced = new Set<TaskId>();
-  /** Stops that the worker has not confirmed yet, and whether to save the state. */
+  /** Stop orders that the worker has not confirmed yet, and whether to save a checkpoint. */
   private readonly stopOrders = new Map<TaskId, boolean>();
-  private adopted = false;
+  private isAdopted = false;
 
   constructor(private readonly options: TaskSupervisorOptions) {}
 
-  /** Whether the worker's own list is known; before that nothing is admitted. */
+  /** Whether the worker has listed its tasks; nothing is admitted before. */
   get ready(): boolean {
-    return this.adopted;
+    return this.isAdopted;
   }
 
   list(): readonly HeldTask[] {
     return [...this.tasks.values()];
   }
 
-  /** Running tasks that answer requests of the service. */
+  /** Running tasks that answer requests for the service. */
   endpointsOf(service: ServiceName): readonly HeldTask[] {
     return this.list().filter(
       ({ identity, state, address }) =>
@@ -96,10 +96,10 @@
     );
   }
 
-  /** Takes the worker over, and adopts what it runs. Repeats until it succeeds. */
+  /** Takes over the worker and adopts the tasks that it runs. Retries until it succeeds. */
   async adopt(signal: AbortSignal): Promise<void> {
     const { worker, incarnation, clock, logger } = this.options;
-    while (!this.adopted) {
+    while (!this.isAdopted) {
       try {
         this.adoptAll(await worker.takeOver(incarnation));
       } catch (err) {
@@ -109,7 +109,7 @@
     }
   }
 
-  /** Renews leases and notices ends, until the signal ends it. */
+  /** Renews leases and detects ended tasks until the signal aborts. */
   async renewLeases(signal: AbortSignal): Promise<void> {
     const { clock, renewEveryMs, logger } = this.options;
     try {
@@ -124,7 +124,7 @@
     }
   }
 
-  /** Renews every running task, and takes over what the worker says of them. */
+  /** Renews the leases of all running tasks and applies the states that the worker reports. */
   async refresh(): Promise<void> {
     const { worker, incarnation, leaseMs, metrics } = this.options;
     await this.repeatStops();
@@ -135,14 +135,14 @@
     metrics.count("leases_renewed", {}, running.length);
     this.options.commitments.setCapacity(state.capacity);
     const known = new Map(state.tasks.map((task) => [task.task, task]));
-    for (const task of running) this.observe(task, known.get(task));
+    for (const task of running) this.applyWorkerState(task, known.get(task));
   }
 
   isFenced(task: TaskId): boolean {
     return this.fenced.has(task);
   }
 
-  /** @throws ReservationGoneError; a worker's failure ends the attempt as failed */
+  /** @throws ReservationGoneError; a failure at the worker is not thrown, but ends the attempt */
   async start(request: StartRequest): Promise<void> {
     const { task } = request;
     if (this.tasks.has(task)) return;
@@ -151,7 +151,7 @@
       request.reservation,
       task,
     );
-    this.put({
+    this.update({
       identity,
       fencingToken: request.fencingToken,
       state: "starting",
@@ -164,13 +164,13 @@
     const held = this.tasks.get(task);
     if (!held) throw new UnknownTaskError(task);
     if (held.state === "ended") return;
-    this.put({ ...held, state: "stopping" });
+    this.update({ ...held, state: "stopping" });
     this.options.logger.info("task.stop", { task, checkpoint });
     this.stopOrders.set(task, checkpoint);
     await this.refresh();
   }
 
-  /** A stop is final at the worker: it also refuses a start that comes late. */
+  /** Repeats unconfirmed stops. A stop is final at the worker: it also refuses a late start. */
   private async repeatStops(): Promise<void> {
     const { worker, incarnation, logger } = this.options;
     for (const [task, checkpoint] of this.stopOrders) {
@@ -182,11 +182,12 @@
       }
       this.stopOrders.delete(task);
       const held = this.tasks.get(task);
-      if (held?.state === "stopping") this.put({ ...held, state: "stopped" });
+      if (held?.state === "stopping")
+        this.update({ ...held, state: "stopped" });
     }
   }
 
-  /** @throws UnknownTaskError when it does not run here */
+  /** @throws UnknownTaskError when the task does not run here */
   async throttle(task: TaskId, share: number): Promise<void> {
     if (this.tasks.get(task)?.state !== "running")
       throw new UnknownTaskError(task);
@@ -196,7 +197,7 @@
     logger.info("task.throttled", { task, share });
   }
 
-  /** Asks every running task to end, so that its unit goes on elsewhere. */
+  /** Stops every running task with a checkpoint, so that its unit can continue elsewhere. */
   async stopAll(): Promise<void> {
     for (const { identity, state } of this.list()) {
       if (state !== "running") continue;
@@ -214,13 +215,13 @@
     if (this.tasks.has(task)) return "held";
     this.options.commitments.releaseFor(task);
     this.fenced.add(task);
-    if (this.fenced.size > FENCED_TASKS_KEPT) {
+    if (this.fenced.size > MAX_FENCED_TASKS) {
       this.fenced.delete(this.fenced.values().next().value as TaskId);
     }
     return "never";
   }
 
-  /** The ends are on the log: forget them here and at the worker. */
+  /** Removes ended tasks, whose ends are on the log, here and at the worker. */
   async acknowledge(tasks: readonly TaskId[]): Promise<void> {
     const { worker, incarnation, logger } = this.options;
     for (const task of tasks) {
@@ -256,21 +257,21 @@
       });
       metrics.count("tasks_started", { kind: identity.kind });
       logger.info("task.started", { task, fencingToken });
-      this.observe(task, status);
+      this.applyWorkerState(task, status);
     } catch (err) {
       const detail = describeError(err);
       logger.warn("task.start-failed", { task, error: detail });
       if (err instanceof WorkerRefusedError)
-        this.finish(task, "failed", detail);
+        this.recordEnd(task, "failed", detail);
       else this.stopUncertain(task);
     }
   }
 
-  /** The start may still take effect: only a confirmed stop settles it. */
+  /** Stops a task whose start may still take effect: only a confirmed stop rules that out. */
   private stopUncertain(task: TaskId): void {
     const held = this.tasks.get(task);
     if (!held) return;
-    this.put({ ...held, state: "stopping" });
+    this.update({ ...held, state: "stopping" });
     this.stopOrders.set(task, false);
   }
 
@@ -287,32 +288,32 @@
       const { fencingToken } = status;
       this.tasks.set(status.task, { identity, fencingToken, state: "running" });
       commitments.adopt(status.task, status.resources);
-      this.observe(status.task, status);
+      this.applyWorkerState(status.task, status);
       logger.info("task.adopted", { task: status.task, state: status.state });
     }
-    this.adopted = true;
+    this.isAdopted = true;
     this.changed.emit();
   }
 
-  /** Takes over what the worker says; nothing means that it does not run there. */
-  private observe(task: TaskId, status: WorkerTask | undefined): void {
+  /** Applies the state that the worker reports; undefined means that the task does not run there. */
+  private applyWorkerState(task: TaskId, status: WorkerTask | undefined): void {
     const held = this.tasks.get(task);
     if (!held || held.state === "ended") return;
     if (!status) {
-      this.finish(task, "lost", "the worker does not know it");
+      this.recordEnd(task, "lost", "the worker does not know it");
       return;
     }
     if (status.state === "running") {
       const state = held.state === "starting" ? "running" : held.state;
       if (state === held.state && status.address === held.address) return;
-      this.put({ ...held, state, address: status.address });
+      this.update({ ...held, state, address: status.address });
       return;
     }
     const end = status.state === "lapsed" ? "lost" : status.state;
-    this.finish(task, end, status.detail, status.checkpoint);
+    this.recordEnd(task, end, status.detail, status.checkpoint);
   }
 
-  private finish(
+  private recordEnd(
     task: TaskId,
     end: EndKind,
     detail?: string,
@@ -324,7 +325,7 @@
     this.options.metrics.count("tasks_ended", { end });
     this.options.logger.info("task.ended", { task, end, detail });
     const { identity, fencingToken } = held;
-    this.put({
+    this.update({
       identity,
       fencingToken,
       state: "ended",
@@ -334,7 +335,7 @@
     });
   }
 
-  private put(held: HeldTask): void {
+  private update(held: HeldTask): void {
     this.tasks.set(held.identity.task, held);
     this.changed.emit();
   }
--- a/packages/side/src/jobs/PacePlanner.ts
+++ b/packages/side/src/jobs/PacePlanner.ts
@@ -1,7 +1,8 @@
 /**
- * Decides at what pace the filling tasks of this host go on: slower while a
- * serving task beside them nears its tail target, those first that are known to
- * disturb it, and faster again while there is slack. Gives no orders.
+ * Decides the pace of the filling tasks on this host: tasks that may be slowed down for the
+ * serving tasks beside them, which have a tail latency target. While a tail nears its
+ * target, the filling tasks that are known to disturb it are slowed down first; while there
+ * is slack, they are sped up again. Sends no orders.
  */
 
 import {
@@ -26,90 +27,92 @@
 } from "./paceFactors.js";
 
 /**
- * Shares of the allowed time leave two readings between slowing everything, halting
- * it, and the end of that time.
+ * The shares of the allowed time are chosen so that two readings fit between slowing all
+ * filling tasks, halting them, and the end of that time.
  */
 export const PACING = {
-  /** Their least pace, percent: some progress tells them from hung tasks. */
+  /** Least pace of a filling task, percent: some progress distinguishes it from a hung task. */
   minPercent: 4,
-  /** Least pace at which a new task begins, percent. */
+  /** Least pace at which a new task starts, percent. */
   minFirstPercent: 15,
-  /** Points of percent by which they speed up at least. */
+  /** Least increase of a pace, percentage points. */
   minSpeedUpPoints: 8,
-  /** Time between two adjustments, milliseconds; a reading spans 500. */
+  /** Interval between two adjustments, milliseconds; a reading spans 500. */
   intervalMs: 250,
   /**
-   * Share of the time that a tail may stay over its target after which every
-   * filling task is slowed: what was learnt of the images is then wrong.
+   * Share of the time that a tail may stay over its target after which every filling task is
+   * slowed down: the learned weights of the images are then assumed to be wrong.
    */
   slowAllAfter: 0.25,
-  /** Share of it after which they stand still; a reading is half a second old. */
+  /** Share of it after which all filling tasks are halted; a reading is half a second old. */
   haltAfter: 0.6,
 } as const;
 
-/** Percent; the pace of a task that must not disturb at all for now. */
+/** Pace of a task that must not disturb at all for now, percent. */
 const HALTED = 0;
 
-/** What the longest time of a tail over its target asks for. */
-type Trouble = "none" | "blame-all" | "halt";
+/** Escalation level that follows from the longest time of a tail over its target. */
+type Escalation = "none" | "blame-all" | "halt";
 
 export interface PacePlannerOptions {
-  /** Milliseconds for which a tail may stay over its target on end. */
+  /** Longest time that a tail may stay over its target without a break, milliseconds. */
   readonly tailGraceMs: number;
-  /** Share of its target at which a tail is held while filling tasks want more. */
+  /** Share of its target at which a tail is held while filling tasks could use more. */
   readonly tailAim: number;
 }
 
 export interface PacePlan {
-  /** The pace wanted for each filling task, percent. */
+  /** Target pace of each filling task, percent. */
   readonly paces: ReadonlyMap<RunningTask, number>;
-  /** Those of them that must slow down. */
+  /** Tasks whose pace is lowered. */
   readonly slowed: ReadonlySet<RunningTask>;
   readonly serving: readonly ServingTail[];
 }
 
 export class PacePlanner {
   private readonly tasks = new TaskDescriptions();
-  private readonly longTails = new TailOverrunTracker();
-  /** The pace last wanted for each run, percent. */
-  private readonly wanted = new Map<string, number>();
+  private readonly tailOverruns = new TailOverrunTracker();
+  /** Latest target pace of each run, percent. */
+  private readonly targetPaces = new Map<string, number>();
 
   constructor(private readonly options: PacePlannerOptions) {}
 
-  describe(task: JobTaskId, nature: InterferenceProfile): void {
-    this.tasks.describe(task, nature);
+  describe(task: JobTaskId, profile: InterferenceProfile): void {
+    this.tasks.describe(task, profile);
   }
 
-  /** Takes what the leader knows of the images on this host. */
+  /** Replaces the interference weights by those that the leader sent for the images on this host. */
   updateDisturbances(disturbances: readonly InterferenceWeight[]): void {
     this.tasks.updateDisturbances(disturbances);
   }
 
   /**
-   * Takes a run that this process did not start: its pace is told by the
-   * processor time that it gets.
+   * Adopts a run that this process did not start. Its pace is derived from the processor
+   * time that it gets.
    */
   adoptRun(row: RunningTask): void {
     const key = runKeyOf(row);
-    if (!this.tasks.isFilling(row) || this.wanted.has(key)) return;
+    if (!this.tasks.isFilling(row) || this.targetPaces.has(key)) return;
     const pace = Math.round(this.usedPercent(row));
-    this.wanted.set(
+    this.targetPaces.set(
       key,
       Math.min(FULL_PACE, Math.max(PACING.minPercent, pace)),
     );
   }
 
-  /** The run was begun at this pace, percent. */
+  /** Records the pace at which the run was started, percent. */
   recordFirstPace(row: RunningTask, percent: number): void {
-    this.wanted.set(runKeyOf(row), percent);
+    this.targetPaces.set(runKeyOf(row), percent);
   }
 
   /** @param running the worker's running tasks with their latest readings */
   plan(running: readonly RunningTask[], now: Monotonic): PacePlan {
-    this.forgetEnded(running);
+    this.removeEnded(running);
     const filling = running.filter((row) => this.tasks.isFilling(row));
     const serving = this.tasks.servingTails(running);
-    const trouble = this.troubleAfter(this.longTails.update(serving, now));
+    const escalation = this.escalationAfter(
+      this.tailOverruns.update(serving, now),
+    );
     const factors = paceFactors({
       aim: this.options.tailAim,
       serving,
@@ -120,57 +123,59 @@
     const slowed = new Set<RunningTask>();
     for (const row of filling) {
       const before =
-        this.wanted.get(runKeyOf(row)) ?? this.firstPace(row, serving, filling);
-      const factor = boundFactor(factors.get(row) ?? 1, trouble);
-      // Nobody stands still any longer than the trouble does.
-      const going = Math.max(before, PACING.minPercent);
+        this.targetPaces.get(runKeyOf(row)) ??
+        this.firstPace(row, serving, filling);
+      const factor = boundFactor(factors.get(row) ?? 1, escalation);
+      // A halted task resumes at its least pace as soon as the halt is over.
+      const base = Math.max(before, PACING.minPercent);
       const pace =
-        trouble === "halt" ? HALTED : this.nextPace(row, going, factor);
+        escalation === "halt" ? HALTED : this.nextPace(row, base, factor);
       if (pace < before) slowed.add(row);
-      this.wanted.set(runKeyOf(row), pace);
+      this.targetPaces.set(runKeyOf(row), pace);
       paces.set(row, pace);
     }
     return { paces, slowed, serving };
   }
 
   /** @param longestMs the longest time of any tail over its target */
-  private troubleAfter(longestMs: number): Trouble {
+  private escalationAfter(longestMs: number): Escalation {
     const share = longestMs / this.options.tailGraceMs;
     if (share >= PACING.haltAfter) return "halt";
     return share >= PACING.slowAllAfter ? "blame-all" : "none";
   }
 
-  /** Processor time that the task got, percent of what it asked for. */
+  /** Processor time that the task got, percent of what it requested. */
   private usedPercent(row: RunningTask): number {
     return (FULL_PACE * row.reading) / this.tasks.demandOf(row);
   }
 
   private nextPace(row: RunningTask, before: number, factor: number): number {
-    const wanted = this.usedPercent(row) * factor;
+    const target = this.usedPercent(row) * factor;
     if (factor < 1) {
-      const slower = Math.min(before, Math.round(wanted));
+      const slower = Math.min(before, Math.round(target));
       return Math.max(Math.min(before, PACING.minPercent), slower);
     }
     if (factor === 1) return before;
     const faster = Math.max(
       before + PACING.minSpeedUpPoints,
-      Math.min(wanted, before * PACE_FACTORS.maxFactor),
+      Math.min(target, before * PACE_FACTORS.maxFactor),
     );
     return Math.min(FULL_PACE, Math.round(faster));
   }
 
-  /** A new task goes on as others of its image do here, or as the tails allow. */
+  /** A new task gets the pace of other tasks of its image here, or the pace that the tails allow. */
   private firstPace(
     row: RunningTask,
     serving: readonly ServingTail[],
     filling: readonly RunningTask[],
   ): number {
     const pace =
-      this.paceOfSiblings(row, filling) ?? this.paceFor(row, serving);
+      this.paceOfSiblings(row, filling) ??
+      this.paceWithinHeadroom(row, serving);
     return Math.max(PACING.minFirstPercent, pace);
   }
 
-  /** The least pace of other tasks of the image; undefined when there are none. */
+  /** The lowest pace of other tasks of the image; undefined when there are none. */
   private paceOfSiblings(
     row: RunningTask,
     filling: readonly RunningTask[],
@@ -178,13 +183,16 @@
     const image = this.tasks.imageOf(row);
     const paces = filling
       .filter((other) => this.tasks.imageOf(other) === image)
-      .map((other) => this.wanted.get(runKeyOf(other)))
+      .map((other) => this.targetPaces.get(runKeyOf(other)))
       .filter((pace) => pace !== undefined);
     return paces.length > 0 ? Math.min(...paces) : undefined;
   }
 
-  /** The pace at which the task alone would take up the headroom of a tail. */
-  private paceFor(row: RunningTask, serving: readonly ServingTail[]): number {
+  /** The pace at which the task alone would use up the smallest headroom of any tail. */
+  private paceWithinHeadroom(
+    row: RunningTask,
+    serving: readonly ServingTail[],
+  ): number {
     const cores = this.tasks.demandOf(row) / MILLI_CORES_PER_CORE;
     let pace = FULL_PACE;
     for (const server of serving) {
@@ -198,14 +206,14 @@
     return pace;
   }
 
-  private forgetEnded(running: readonly RunningTask[]): void {
-    retainListedRuns(this.wanted, running);
+  private removeEnded(running: readonly RunningTask[]): void {
+    retainListedRuns(this.targetPaces, running);
     const tasks = new Set(running.map(({ task }) => task));
-    this.longTails.retainOnly(tasks);
+    this.tailOverruns.retainOnly(tasks);
     this.tasks.retainOnly(tasks);
   }
 }
 
-/** A tail that stays too long shows that the tasks to blame are not known. */
-const boundFactor = (factor: number, trouble: Trouble): number =>
-  trouble === "none" ? factor : Math.min(factor, PACE_FACTORS.minFactor);
+/** A tail that stays over its target for too long shows that its cause is not known. */
+const boundFactor = (factor: number, escalation: Escalation): number =>
+  escalation === "none" ? factor : Math.min(factor, PACE_FACTORS.minFactor);
--- a/packages/side/src/jobs/UnansweredStarts.ts
+++ b/packages/side/src/jobs/UnansweredStarts.ts
@@ -1,88 +1,88 @@
 /**
- * Orders to start that have no answer, or none yet. A worker may carry one out seconds
- * later, and so may its next life where both stand under one id: the run would begin
- * there although the leader has taken it for lost with the life before.
+ * Tracks start orders that have no answer, or none yet. A worker may carry out such an order
+ * seconds later, and so may its next incarnation if both have the same id: the run would
+ * start there although the leader has recorded it as lost with the previous incarnation.
  */
 
 import type { Clock, Monotonic, WorkerInstance } from "@rackspan/common";
 import { runKeyOf, type RunRef } from "@rackspan/ports";
 import { BoundedMap } from "@rackspan/state";
 
-const UNANSWERED = {
-  /** An order is not carried out later than this, milliseconds: workers speak of seconds. */
-  keptMs: 15_000,
-  /** The oldest are forgotten. */
-  maxKept: 1_024,
+const LIMITS = {
+  /** No order is carried out later than this, milliseconds; the worker's interface states "seconds". */
+  maxDelayMs: 15_000,
+  /** Limit of starts; the oldest are dropped. */
+  maxStarts: 1_024,
 } as const;
 
 interface UnansweredStart {
   readonly ref: RunRef;
   readonly instance: WorkerInstance;
-  readonly triedAt: Monotonic;
-  /** The other life that has last confirmed that the run never begins there. */
-  barredAt: WorkerInstance | undefined;
+  readonly sentAt: Monotonic;
+  /** The other incarnation that last confirmed that the run never starts there. */
+  fencedBy: WorkerInstance | undefined;
 }
 
 export class UnansweredStarts {
   /** By run. */
   private readonly starts = new BoundedMap<string, UnansweredStart>(
-    UNANSWERED.maxKept,
+    LIMITS.maxStarts,
   );
 
   constructor(private readonly clock: Clock) {}
 
-  /** That life is about to be told to start it. */
+  /** Records that a start order is about to be sent to that incarnation. */
   recordSent(instance: WorkerInstance, { task, run }: RunRef): void {
-    const triedAt = this.clock.monotonic();
+    const sentAt = this.clock.monotonic();
     this.starts.set(runKeyOf({ task, run }), {
       ref: { task, run },
       instance,
-      triedAt,
-      barredAt: undefined,
+      sentAt,
+      fencedBy: undefined,
     });
   }
 
-  /** Every order to start it was answered. */
+  /** Records that every start order for the run was answered. */
   recordAnswered(ref: RunRef): void {
     this.starts.delete(runKeyOf(ref));
   }
 
-  /** The run never begins at that life. */
+  /** Records that the run never starts at that incarnation. */
   recordFenced(instance: WorkerInstance, ref: RunRef): void {
     const start = this.starts.get(runKeyOf(ref));
-    if (start) start.barredAt = instance;
+    if (start) start.fencedBy = instance;
   }
 
-  /** Runs that were ordered of other lives, and that may yet begin at this one. */
+  /** Runs that were ordered from other incarnations and that may still start at this one. */
   unfencedAt(instance: WorkerInstance): readonly RunRef[] {
-    return this.ofOthers(instance)
-      .filter(({ barredAt }) => barredAt !== instance)
+    return this.sentToOthers(instance)
+      .filter(({ fencedBy }) => fencedBy !== instance)
       .map(({ ref }) => ref);
   }
 
   /**
-   * For how long a start that was sent to another life may yet reach that one.
-   * @param instance undefined for a life that was not heard yet
-   * @param isBarred whether that life refuses the start, whenever it comes
-   * @returns milliseconds; 0 when none may
+   * How long a start that was sent to another incarnation may still arrive at this one.
+   * @param instance undefined for an incarnation whose heartbeat has not arrived yet
+   * @param isRejected whether that incarnation rejects the start, whenever it arrives
+   * @returns milliseconds; 0 when no start can arrive any more
    */
   mayArriveForMs(
     instance: WorkerInstance | undefined,
-    isBarred: (run: RunRef) => boolean = () => false,
+    isRejected: (run: RunRef) => boolean = () => false,
   ): number {
     const now = this.clock.monotonic();
-    const leftMs = this.ofOthers(instance)
-      .filter(({ ref }) => !isBarred(ref))
-      .map(({ triedAt }) => triedAt + UNANSWERED.keptMs - now);
+    const leftMs = this.sentToOthers(instance)
+      .filter(({ ref }) => !isRejected(ref))
+      .map(({ sentAt }) => sentAt + LIMITS.maxDelayMs - now);
     return Math.max(0, ...leftMs);
   }
 
-  private ofOthers(
+  private sentToOthers(
     instance: WorkerInstance | undefined,
   ): readonly UnansweredStart[] {
-    const oldest = this.clock.monotonic() - UNANSWERED.keptMs;
-    for (const [key, { triedAt }] of this.starts) {
-      if (triedAt < oldest) this.starts.delete(key);
+    const oldest = this.clock.monotonic() - LIMITS.maxDelayMs;
+    for (const [key, { sentAt }] of this.starts) {
+      if (sentAt < oldest) this.starts.delete(key);
     }
     return [...this.starts]
       .map(([, start]) => start)
--- a/packages/side/src/jobs/WorkerRunTracker.ts
+++ b/packages/side/src/jobs/WorkerRunTracker.ts
@@ -1,7 +1,8 @@
 /**
- * Which runs may be under way at the worker, and which were lost with its former
- * lives. The worker forgets them when it crashes, and a leader that ends with it
- * tells nobody; this process outlives both, so that the next leader can count them.
+ * Tracks which runs may be in progress at the worker, and which were lost with its previous
+ * incarnations. The worker loses this state when it crashes, and a leader that ends at the
+ * same time hands nothing on. This process survives both, so the next leader can count the
+ * lost runs.
  */
 
 import {
@@ -14,65 +15,66 @@
 import type { LostRun } from "@rackspan/protocol";
 import { BoundedMap } from "@rackspan/state";
 
-const MEMORY = {
-  /** Lives that may be the present one; see WorkerRegistry. */
-  maxLives: 9,
-  /** Runs that were lost and that no leader has heard of; the oldest are forgotten. */
+const LIMITS = {
+  /** Incarnations that may be the current one; see WorkerRegistry. */
+  maxIncarnations: 9,
+  /** Lost runs that no leader has recorded; the oldest are dropped. */
   maxLost: 512,
-  /** An order that the worker has not shown by then has lapsed, milliseconds. */
-  unshownMs: 4_000,
+  /** An ordered run that the worker does not list within this time has lapsed, milliseconds. */
+  unlistedMs: 4_000,
 } as const;
 
-/** Told of a run that this process did not order: it may have begun at any time. */
+/** Reported for a run that this process did not order: it may have started at any time. */
 const UNKNOWN_MS = Number.MAX_SAFE_INTEGER;
 
-interface BegunRun {
+interface TrackedRun {
   readonly ref: RunRef;
-  /** When it was ordered or first listed, on the side's clock. */
+  /** When the run was ordered or first listed, on the side's clock. */
   readonly orderedAt: Monotonic;
-  /** Whether this process ordered it. */
+  /** Whether this process ordered the run. */
   readonly isOwn: boolean;
-  shownFirstAt: WorkerTime | undefined;
-  shownLastAt: WorkerTime | undefined;
+  firstSeenAt: WorkerTime | undefined;
+  lastSeenAt: WorkerTime | undefined;
 }
 
-interface WorkerLife {
+interface IncarnationState {
   /** By run. */
-  readonly runs: Map<string, BegunRun>;
-  /** Ends in the newest list: the worker lists each until it is acknowledged. */
+  readonly runs: Map<string, TrackedRun>;
+  /** Ends in the newest list. The worker lists each end until it is acknowledged. */
   ended: readonly RunRef[];
   /**
-   * When the call broke off in which the worker would have told of an end, on the
-   * side's clock; undefined while calls are answered.
+   * When the poll was interrupted in which the worker would have reported an end, on the
+   * side's clock; undefined while polls are answered.
    */
-  lookBrokenAt: Monotonic | undefined;
-  /** Since when looks get no answer, on the side's clock; undefined while they do. */
+  pollInterruptedAt: Monotonic | undefined;
+  /** When polls stopped being answered, on the side's clock; undefined while they are answered. */
   silentSince: Monotonic | undefined;
 }
 
 export class WorkerRunTracker {
-  private readonly lives = new BoundedMap<WorkerInstance, WorkerLife>(
-    MEMORY.maxLives,
-  );
+  private readonly incarnations = new BoundedMap<
+    WorkerInstance,
+    IncarnationState
+  >(LIMITS.maxIncarnations);
   /** By run. */
-  private readonly lost = new BoundedMap<string, LostRun>(MEMORY.maxLost);
-  /** Of the lost runs those that never began, of which no leader has taken note; by run. */
-  private readonly notBegun = new BoundedMap<string, RunRef>(MEMORY.maxLost);
-  /** Runs that had ended before their lives did, of which no leader has taken note; by run. */
-  private readonly ended = new BoundedMap<string, RunRef>(MEMORY.maxLost);
-  /** Runs whose orders are being repeated. */
+  private readonly lost = new BoundedMap<string, LostRun>(LIMITS.maxLost);
+  /** Lost runs that never began and that no leader has recorded as such, by run. */
+  private readonly neverBegun = new BoundedMap<string, RunRef>(LIMITS.maxLost);
+  /** Runs that ended before their incarnations did and that no leader has recorded, by run. */
+  private readonly ended = new BoundedMap<string, RunRef>(LIMITS.maxLost);
+  /** Runs whose start orders are being repeated. */
   private readonly openOrders = new Set<string>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** The worker is about to be told to start it. */
+  /** Records that a start order for the run is about to be sent. */
   recordOrdered(instance: WorkerInstance, ref: RunRef): void {
     const runs = this.runsOf(instance);
     const key = runKeyOf(ref);
-    if (!runs.has(key)) runs.set(key, this.begun(ref, true));
+    if (!runs.has(key)) runs.set(key, this.newTrackedRun(ref, true));
   }
 
-  /** The order to start it is repeated until it is answered, or given up. */
+  /** Records that the start order is repeated until it is answered or times out. */
   recordOrderOpen(ref: RunRef): void {
     this.openOrders.add(runKeyOf(ref));
   }
@@ -81,155 +83,157 @@
     this.openOrders.delete(runKeyOf(ref));
   }
 
-  /** The worker has said that the run is there. */
+  /** Records that the worker has confirmed the start of the run. */
   recordStarted(instance: WorkerInstance, ref: RunRef, at: WorkerTime): void {
-    const life = this.lifeOf(instance);
-    life.silentSince = undefined;
-    const run = life.runs.get(runKeyOf(ref));
+    const state = this.stateOf(instance);
+    state.silentSince = undefined;
+    const run = state.runs.get(runKeyOf(ref));
     if (!run) return;
-    run.shownFirstAt ??= at;
-    run.shownLastAt = at;
+    run.firstSeenAt ??= at;
+    run.lastSeenAt = at;
   }
 
-  /** The run has not begun, and never will; its life may have ended meanwhile. */
+  /** Records that the run has not begun and never will; its incarnation may have ended meanwhile. */
   recordRefused(instance: WorkerInstance, ref: RunRef): void {
     const key = runKeyOf(ref);
-    this.lives.get(instance)?.runs.delete(key);
+    this.incarnations.get(instance)?.runs.delete(key);
     if (!this.lost.get(key)) return;
     this.lost.delete(key);
-    this.notBegun.set(key, { task: ref.task, run: ref.run });
+    this.neverBegun.set(key, { task: ref.task, run: ref.run });
   }
 
-  /** @param askedAt when the worker was asked for these lists, on the side's clock */
+  /** @param polledAt when the poll that returned these lists was sent, on the side's clock */
   recordListed(
     instance: WorkerInstance,
     { at, running, ended }: PollResponse,
-    askedAt: Monotonic,
+    polledAt: Monotonic,
   ): void {
-    const life = this.lifeOf(instance);
-    life.lookBrokenAt = undefined;
-    life.silentSince = undefined;
-    const { runs } = life;
+    const state = this.stateOf(instance);
+    state.pollInterruptedAt = undefined;
+    state.silentSince = undefined;
+    const { runs } = state;
     const listed = new Set(running.map(runKeyOf));
     for (const row of running) {
       const { task, run } = row;
-      const known = runs.get(runKeyOf(row)) ?? this.begun({ task, run }, false);
-      known.shownFirstAt ??= at;
-      known.shownLastAt = at;
+      const known =
+        runs.get(runKeyOf(row)) ?? this.newTrackedRun({ task, run }, false);
+      known.firstSeenAt ??= at;
+      known.lastSeenAt = at;
       runs.set(runKeyOf(row), known);
     }
     for (const row of ended) runs.delete(runKeyOf(row));
-    life.ended = ended.map(({ task, run }) => ({ task, run }));
-    for (const [key, { shownLastAt, orderedAt }] of runs) {
+    state.ended = ended.map(({ task, run }) => ({ task, run }));
+    for (const [key, { lastSeenAt, orderedAt }] of runs) {
       if (listed.has(key)) continue;
-      const hasLapsed = askedAt - orderedAt > MEMORY.unshownMs;
-      // Lists that were on their way when it started do not tell of it.
-      const hasEnded = shownLastAt !== undefined && at > shownLastAt;
+      const hasLapsed = polledAt - orderedAt > LIMITS.unlistedMs;
+      // A list that was in flight when the run started does not contain it.
+      const hasEnded = lastSeenAt !== undefined && at > lastSeenAt;
       if (hasEnded || hasLapsed) runs.delete(key);
     }
   }
 
   /**
-   * The worker was being looked at, and would have answered at once had a run ended;
-   * the connection broke off instead. If its life has ended, its runs were at work, but
-   * for those that had ended while the look or its answer was held up on its way.
+   * Records that a poll was interrupted while the worker held it and would have answered at
+   * once if a run had ended. If the incarnation has ended, its runs were at work, except for
+   * those that ended while the poll or its response was delayed on the network.
    */
   recordPollInterrupted(instance: WorkerInstance): void {
-    this.lifeOf(instance).lookBrokenAt = this.clock.monotonic();
+    this.stateOf(instance).pollInterruptedAt = this.clock.monotonic();
   }
 
-  /** The worker has not answered a look. */
+  /** Records that the worker has not answered a poll. */
   recordSilent(instance: WorkerInstance): void {
-    this.lifeOf(instance).silentSince ??= this.clock.monotonic();
+    this.stateOf(instance).silentSince ??= this.clock.monotonic();
   }
 
-  /** @param wasPlanned whether the worker had said that it would leave */
+  /** @param wasPlanned whether the worker had announced that it would leave */
   endIncarnation(instance: WorkerInstance, wasPlanned: boolean): void {
-    const life = this.lives.get(instance);
-    if (!life) return;
-    this.lives.delete(instance);
+    const state = this.incarnations.get(instance);
+    if (!state) return;
+    this.incarnations.delete(instance);
     if (wasPlanned) return;
-    for (const ref of life.ended) this.ended.set(runKeyOf(ref), ref);
-    for (const [key, run] of life.runs) {
-      this.lost.set(key, toLost(run, life));
+    for (const ref of state.ended) this.ended.set(runKeyOf(ref), ref);
+    for (const [key, run] of state.runs) {
+      this.lost.set(key, toLostRun(run, state));
     }
   }
 
-  /** Lost runs that no leader has answered for yet. */
+  /** Lost runs that no leader has recorded yet. */
   get unreportedLostRuns(): readonly LostRun[] {
     return [...this.lost].map(([key, run]) =>
       this.openOrders.has(key) ? { ...run, isOrderOpen: true } : run,
     );
   }
 
-  /** Runs that had ended before their lives did, of which no leader has taken note yet. */
+  /** Runs that ended before their incarnations did and that no leader has recorded yet. */
   get unreportedEnds(): readonly RunRef[] {
     return [...this.ended].map(([, ref]) => ref);
   }
 
-  /** Lost runs that never began, of which no leader has taken note yet. */
+  /** Lost runs that never began and that no leader has recorded as such yet. */
   get unreportedNeverBegun(): readonly RunRef[] {
-    return [...this.notBegun].map(([, ref]) => ref);
+    return [...this.neverBegun].map(([, ref]) => ref);
   }
 
-  /** A leader has taken note of them; of those with an open order the rest is to come. */
-  markLostRunsReported(told: readonly LostRun[]): void {
-    for (const run of told) {
+  /** A leader has recorded them. Runs with an open order stay, since their outcome is not final. */
+  markLostRunsReported(reported: readonly LostRun[]): void {
+    for (const run of reported) {
       if (!run.isOrderOpen) this.lost.delete(runKeyOf(run));
     }
   }
 
-  /** A leader has taken note of them. */
-  markEndsReported(told: readonly RunRef[]): void {
-    for (const ref of told) this.ended.delete(runKeyOf(ref));
+  /** A leader has recorded these ends. */
+  markEndsReported(reported: readonly RunRef[]): void {
+    for (const ref of reported) this.ended.delete(runKeyOf(ref));
   }
 
-  /** A leader has taken note of them. */
-  markNeverBegunReported(told: readonly RunRef[]): void {
-    for (const ref of told) this.notBegun.delete(runKeyOf(ref));
+  /** A leader has recorded that these runs never began. */
+  markNeverBegunReported(reported: readonly RunRef[]): void {
+    for (const ref of reported) this.neverBegun.delete(runKeyOf(ref));
   }
 
-  private begun(ref: RunRef, isOwn: boolean): BegunRun {
+  private newTrackedRun(ref: RunRef, isOwn: boolean): TrackedRun {
     return {
       ref: { task: ref.task, run: ref.run },
       orderedAt: this.clock.monotonic(),
       isOwn,
-      shownFirstAt: undefined,
-      shownLastAt: undefined,
+      firstSeenAt: undefined,
+      lastSeenAt: undefined,
     };
   }
 
-  private runsOf(instance: WorkerInstance): Map<string, BegunRun> {
-    return this.lifeOf(instance).runs;
+  private runsOf(instance: WorkerInstance): Map<string, TrackedRun> {
+    return this.stateOf(instance).runs;
   }
 
-  private lifeOf(instance: WorkerInstance): WorkerLife {
-    const known = this.lives.get(instance);
+  private stateOf(instance: WorkerInstance): IncarnationState {
+    const known = this.incarnations.get(instance);
     if (known) return known;
-    const life: WorkerLife = {
+    const state: IncarnationState = {
       runs: new Map(),
       ended: [],
-      lookBrokenAt: undefined,
+      pollInterruptedAt: undefined,
       silentSince: undefined,
     };
-    this.lives.set(instance, life);
-    return life;
+    this.incarnations.set(instance, state);
+    return state;
   }
 }
 
-const toLost = (
-  run: BegunRun,
-  { lookBrokenAt, silentSince = Infinity }: WorkerLife,
+const toLostRun = (
+  run: TrackedRun,
+  { pollInterruptedAt, silentSince = Infinity }: IncarnationState,
 ): LostRun => {
-  const { ref, orderedAt, shownFirstAt, shownLastAt } = run;
-  if (shownFirstAt === undefined && orderedAt > silentSince) {
+  const { ref, orderedAt, firstSeenAt, lastSeenAt } = run;
+  if (firstSeenAt === undefined && orderedAt > silentSince) {
     return { ...ref, wasAtWork: false, orderedMs: silentSince - orderedAt };
   }
   const workedMs =
-    shownFirstAt === undefined || shownLastAt === undefined
+    firstSeenAt === undefined || lastSeenAt === undefined
       ? undefined
-      : shownLastAt - shownFirstAt;
-  if (lookBrokenAt === undefined) return { ...ref, workedMs, wasAtWork: false };
-  const orderedMs = run.isOwn ? lookBrokenAt - orderedAt : UNKNOWN_MS;
+      : lastSeenAt - firstSeenAt;
+  if (pollInterruptedAt === undefined)
+    return { ...ref, workedMs, wasAtWork: false };
+  const orderedMs = run.isOwn ? pollInterruptedAt - orderedAt : UNKNOWN_MS;
   return { ...ref, workedMs, wasAtWork: true, orderedMs };
 };
--- a/packages/side/tests/interruptedPoll.test.ts
+++ b/packages/side/tests/interruptedPoll.test.ts
@@ -1,4 +1,8 @@
-/** Runs that ended unheard of before their worker died are not told as lost at work. */
+/**
+ * A run that ended before its worker died, without the side receiving the end, must not be
+ * reported as lost while at work. The side infers "at work" from a poll that is interrupted
+ * while the worker holds it.
+ */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -22,35 +26,35 @@
 
 const INSTANCE = brand<WorkerInstance>("w1");
 const RUN = { task: "j.0.0.0", run: 3 } as unknown as RunRef;
-/** Looks begin this long after each multiple of 250 ms on the test's clock, at the most. */
-const BETWEEN_LOOKS_MS = 1;
-/** A side pauses for this after a look that failed. */
+/** Polls start at most this long after each multiple of 250 ms on the test's clock. */
+const POLL_OFFSET_MS = 1;
+/** A side pauses for this long after a failed poll. */
 const IDLE_MS = 100;
-/** No look waits longer for an end. */
+/** No poll waits longer than this for an end. */
 const LONGEST_WAIT_MS = 700;
 
 interface Death {
-  /** How long after the worker's last answer it dies, milliseconds. */
+  /** Time from the worker's last answer to its death, milliseconds. */
   readonly afterMs: number;
-  /** How long after that the look at it breaks off, milliseconds. */
+  /** Time from its death until the poll is interrupted, milliseconds. */
   readonly silentMs?: number;
-  /** Whether a look before that one broke off too, with the worker going on. */
-  readonly isSecond?: boolean;
+  /** Whether the poll before was interrupted too, while the worker kept running. */
+  readonly isSecondInterruption?: boolean;
 }
 
 /**
- * A worker shows the run and then dies.
+ * A worker lists the run and then dies.
  *
- * @returns what its side says of the run
+ * @returns whether its side reports the run as lost while at work
  */
 const loseWorker = async ({
   afterMs,
   silentMs = 0,
-  isSecond = false,
+  isSecondInterruption = false,
 }: Death): Promise<boolean | undefined> => {
   const clock = new ManualClock();
   let isDead = false;
-  let breakOff: (err: Error) => void = () => undefined;
+  let interrupt: (err: Error) => void = () => undefined;
   const host = {
     poll: (
       _: WorkerInstance,
@@ -58,52 +62,54 @@
     ): Promise<PollResponse> => {
       if (isDead) throw new WorkerReplacedError(INSTANCE);
       return new Promise((resolve, reject) => {
-        breakOff = reject;
+        interrupt = reject;
         clock.after(waitMs, () => {
           if (!isDead) resolve(pollResponseOf(clock.monotonic(), [RUN]));
         });
       });
     },
   } as unknown as TaskHost;
-  const { registry, watch, stop } = buildSide({
+  const { registry, poller, stop } = buildSide({
     host,
     clock,
-    heard: [INSTANCE],
+    registered: [INSTANCE],
     unattendedLeaseMs: 3_000,
   });
-  watch.raiseEpoch(1 as unknown as Epoch);
-  watch.start();
-  await clock.advance(500 + BETWEEN_LOOKS_MS);
-  if (isSecond) {
-    breakOff(new WorkerSilentError("the call broke off"));
+  poller.raiseEpoch(1 as unknown as Epoch);
+  poller.start();
+  await clock.advance(500 + POLL_OFFSET_MS);
+  if (isSecondInterruption) {
+    interrupt(new WorkerSilentError("the call broke off"));
     await clock.advance(IDLE_MS);
   }
   await clock.advance(afterMs);
   isDead = true;
   await clock.advance(silentMs);
-  breakOff(new WorkerSilentError("the call broke off"));
+  interrupt(new WorkerSilentError("the call broke off"));
   await clock.advance(1_000);
   await stop();
-  const told = registry.runs.unreportedLostRuns.find(
+  const lostRun = registry.runs.unreportedLostRuns.find(
     (run) => runKeyOf(run) === runKeyOf(RUN),
   );
-  return told?.wasAtWork;
+  return lostRun?.wasAtWork;
 };
 
-test("a run was at work when the look at its worker breaks off before its answer was due", async () => {
+test("a run was at work when a poll of its worker is interrupted before the answer was due", async () => {
   expect(await loseWorker({ afterMs: 100 })).toEqual(true);
 });
 
-test("a run may have ended when the answer was due before the look broke off", async () => {
+test("a run may have ended when the answer was due before the poll was interrupted", async () => {
   const death = { afterMs: 100, silentMs: LONGEST_WAIT_MS };
   expect(await loseWorker(death)).toEqual(false);
 });
 
-test("a run may have ended when the look broke off before the worker can have had it", async () => {
+test("a run may have ended when the poll was interrupted before it can have reached the worker", async () => {
   expect(await loseWorker({ afterMs: 5 })).toEqual(false);
 });
 
-// Whatever stands at the address by then may drop the next look at once.
-test("a run may have ended when the look before had failed too", async () => {
-  expect(await loseWorker({ afterMs: 100, isSecond: true })).toEqual(false);
+// Another process that has taken the address may drop the next poll at once.
+test("a run may have ended when the previous poll had failed too", async () => {
+  expect(
+    await loseWorker({ afterMs: 100, isSecondInterruption: true }),
+  ).toEqual(false);
 });
--- a/packages/side/tests/orderedFromSilentWorker.test.ts
+++ b/packages/side/tests/orderedFromSilentWorker.test.ts
@@ -1,4 +1,4 @@
-/** What is told of runs that were ordered from a worker that had stopped answering. */
+/** Reports of runs that were ordered after their worker had stopped answering. */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -16,24 +16,24 @@
 const BEFORE = { task: "j.0.0.0", run: 3 } as unknown as RunRef;
 const AFTER: RunRef = { ...BEFORE, run: brand<RunNumber>(4) };
 
-test("a run that was ordered after a look without an answer is told as such", async () => {
+test("a run that was ordered after an unanswered poll is reported as ordered from a silent worker", async () => {
   const host = {
     poll: () => Promise.reject(new WorkerSilentError("no answer")),
   } as unknown as TaskHost;
-  const { clock, registry, watch, stop } = buildSide({
+  const { clock, registry, poller, stop } = buildSide({
     host,
-    heard: [INSTANCE],
+    registered: [INSTANCE],
   });
   registry.runs.recordOrdered(INSTANCE, BEFORE);
-  watch.raiseEpoch(1 as unknown as Epoch);
-  watch.start();
+  poller.raiseEpoch(1 as unknown as Epoch);
+  poller.start();
   await clock.advance(350);
   registry.runs.recordOrdered(INSTANCE, AFTER);
   registry.recordHeartbeat(createHeartbeat("w2"));
   registry.confirmCurrent(brand<WorkerInstance>("w2"));
-  const told = registry.runs.unreportedLostRuns.map(
+  const isOrderedLate = registry.runs.unreportedLostRuns.map(
     ({ orderedMs = 0 }) => orderedMs < 0,
   );
-  expect(told).toEqual([false, true]);
+  expect(isOrderedLate).toEqual([false, true]);
   await stop();
 });
--- a/packages/side/tests/unattendedLease.test.ts
+++ b/packages/side/tests/unattendedLease.test.ts
@@ -1,4 +1,7 @@
-/** A worker whose side is removed does not keep its lease for as long as the leader granted. */
+/**
+ * A worker whose side is removed must not keep its lease for as long as the leader granted:
+ * the side renews it only as far ahead as the worker may continue unattended.
+ */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -23,8 +26,8 @@
   readonly leaseUntil: number | undefined;
 }
 
-/** A worker that is looked at; tells how far ahead its lease was renewed. */
-const watchWorker = async () => {
+/** A side that polls a worker; records how far ahead the lease was renewed. */
+const startPoller = async () => {
   const clock = new ManualClock();
   const renewals: Renewal[] = [];
   const workerTime = (): WorkerTime =>
@@ -39,25 +42,25 @@
       return pollResponseOf(workerTime());
     },
   } as unknown as TaskHost;
-  const { watch, stop } = buildSide({
+  const { poller, stop } = buildSide({
     host,
     clock,
-    heard: [INSTANCE],
+    registered: [INSTANCE],
     unattendedLeaseMs: UNATTENDED_MS,
   });
-  watch.raiseEpoch(1 as unknown as Epoch);
-  watch.start();
+  poller.raiseEpoch(1 as unknown as Epoch);
+  poller.start();
   await clock.advance(500);
-  return { clock, watch, renewals, workerTime, stop };
+  return { clock, poller, renewals, workerTime, stop };
 };
 
 const lastLease = (renewals: readonly Renewal[]): number =>
   renewals.at(-1)?.leaseUntil ?? 0;
 
-test("a worker's lease is renewed no further ahead than it may go on alone", async () => {
-  const { clock, watch, renewals, workerTime, stop } = await watchWorker();
+test("a worker's lease is renewed no further ahead than it may continue unattended", async () => {
+  const { clock, poller, renewals, workerTime, stop } = await startPoller();
   const granted = workerTime() + 10_000;
-  watch.grant(INSTANCE, granted as unknown as WorkerTime);
+  poller.grant(INSTANCE, granted as unknown as WorkerTime);
   const from = renewals.length;
   await clock.advance(4_000);
   for (const { at, leaseUntil } of renewals.slice(from)) {
@@ -66,10 +69,10 @@
   await stop();
 });
 
-test("a worker keeps all that was granted for as long as its side renews it", async () => {
-  const { clock, watch, renewals, workerTime, stop } = await watchWorker();
+test("a worker keeps the whole granted lease as long as its side renews it", async () => {
+  const { clock, poller, renewals, workerTime, stop } = await startPoller();
   const granted = workerTime() + 10_000;
-  watch.grant(INSTANCE, granted as unknown as WorkerTime);
+  poller.grant(INSTANCE, granted as unknown as WorkerTime);
   await clock.advance(6_000);
   expect(lastLease(renewals) > workerTime() + 2_000).toEqual(true);
   await clock.advance(6_000);
@@ -77,12 +80,12 @@
   await stop();
 });
 
-// The worker's clock goes on while the side's stands still: what the side takes for
-// the worker's time falls behind, so the lease ends sooner, and never later.
+// The worker's clock keeps running while the side's is stopped: the side's estimate of the
+// worker's time falls behind, so the lease ends earlier, and never later.
 test("a side whose machine was suspended renews the lease no further ahead", async () => {
-  const { clock, watch, renewals, workerTime, stop } = await watchWorker();
+  const { clock, poller, renewals, workerTime, stop } = await startPoller();
   const granted = workerTime() + 10_000;
-  watch.grant(INSTANCE, granted as unknown as WorkerTime);
+  poller.grant(INSTANCE, granted as unknown as WorkerTime);
   await clock.advance(1_000);
   clock.suspend(3_000);
   const from = renewals.length;
