--- a/packages/policies/src/PolicyEvaluator.ts
+++ b/packages/policies/src/PolicyEvaluator.ts
@@ -1,4 +1,4 @@
-/** The policies in force at one process, by point. */
+/** Compiles and evaluates the policies that are in force in one process. */
 
 import type { ParseResult } from "@marcbachmann/cel-js";
 import { describeError, type Logger, type Metrics } from "@rackspan/common";
@@ -31,7 +31,7 @@
 
   constructor(private readonly options: PolicyEvaluatorOptions) {}
 
-  /** Takes these in the place of those before; one that does not compile is left out. */
+  /** Replaces all policies. A policy that does not compile is skipped. */
   replace(sources: readonly PolicySource[]): void {
     const byPoint = new Map<PolicyPointName, Compiled[]>();
     for (const { name, point, program } of sources) {
@@ -49,14 +49,14 @@
     return this.byPoint.has(point);
   }
 
-  /** Names the first policy that does not let the request in. */
+  /** Returns the name of the first policy that refuses the request, if any. */
   findRefusingPolicy(variables: VariablesOf<"admission">): string | undefined {
     return (this.byPoint.get("admission") ?? []).find(
       (policy) => !this.ask("admission", policy, variables),
     )?.name;
   }
 
-  /** The sum of what the policies add. */
+  /** Returns the sum of the penalties that the policies add. */
   totalPenalty(variables: VariablesOf<"score">): number {
     return (this.byPoint.get("score") ?? []).reduce(
       (sum, policy) => sum + this.ask("score", policy, variables),
@@ -64,7 +64,10 @@
     );
   }
 
-  /** A policy that fails answers as the built-in rule does, and is counted. */
+  /**
+   * Evaluates one policy. A policy that fails is counted, and the fallback of its point
+   * is used instead.
+   */
   private ask<P extends PolicyPointName>(
     point: P,
     { name, program }: Compiled,
--- a/packages/policies/src/compilePolicy.ts
+++ b/packages/policies/src/compilePolicy.ts
@@ -1,4 +1,4 @@
-/** Compiles a policy, a CEL expression, and checks its types and its size. */
+/** Compiles a policy, which is a CEL expression, and checks its types and size. */
 
 import { Environment, type ParseResult } from "@marcbachmann/cel-js";
 import { RackspanError } from "@rackspan/common";
@@ -8,12 +8,12 @@
   type PolicyPointName,
 } from "./policyPoints.js";
 
-/** A program that may not be published. */
+/** Thrown for a policy that must not be published. */
 export class PolicyError extends RackspanError {
   readonly kind = "bad-policy";
   constructor(
     what: string,
-    /** From 1, where they are known. */
+    /** Position of the error, counted from 1; also 1 if it is unknown. */
     readonly line: number,
     readonly column: number,
   ) {
@@ -25,7 +25,7 @@
   }
 }
 
-/** Together they bound what one evaluation can cost. */
+/** Together these limits bound the cost of one evaluation. */
 const LIMITS = {
   maxAstNodes: 200,
   maxDepth: 24,
@@ -33,7 +33,10 @@
   maxMapEntries: 16,
 };
 
-/** Loops over lists could multiply; no variable is a list, so nothing needs them. */
+/**
+ * Nested loops over lists could multiply the cost. No variable is a list, so policies
+ * need no loops.
+ */
 const LOOP_PATTERN =
   /\.\s*(all|exists|exists_one|map|filter|transformList|transformMap)\s*\(/;
 
@@ -64,7 +67,7 @@
   return new PolicyError(err.summary ?? err.message, before.length, column);
 };
 
-/** @throws PolicyError with the line and column of the fault */
+/** @throws PolicyError with the line and column of the error */
 export const compilePolicy = (
   point: PolicyPointName,
   source: string,
--- a/packages/policies/src/policyPoints.ts
+++ b/packages/policies/src/policyPoints.ts
@@ -1,4 +1,7 @@
-/** Where policies are asked, with the variables that each may use. */
+/**
+ * The points at which policies are evaluated, with the variables and the result type of
+ * each.
+ */
 
 export type VariableType = "string" | "bool" | "int" | "double";
 export type ResultType = "bool" | "double";
@@ -6,28 +9,31 @@
 export interface PolicyPoint {
   readonly variables: Readonly<Record<string, VariableType>>;
   readonly result: ResultType;
-  /** What the built-in rule answers, where no policy does. */
+  /** Result of the built-in rule, used where no policy returns one. */
   readonly fallback: boolean | number;
 }
 
 export const POLICY_POINTS = {
-  /** Whether a request is let in; false refuses it as not run. */
+  /** Whether a request is admitted; false refuses it as not run. */
   admission: {
     variables: {
       service: "string",
       class: "string",
       path: "string",
       repeatable: "bool",
-      /** Time that the request has, milliseconds. */
+      /** Time that is left for the request, milliseconds. */
       timeoutMs: "double",
-      /** Requests of its class in progress and waiting at this entry. */
+      /** Requests of the same class that are in progress and queued at this entry. */
       inProgress: "double",
       queued: "double",
     },
     result: "bool",
     fallback: true,
   },
-  /** Added to the penalty of placing a unit on a host: the lowest total is taken. */
+  /**
+   * Added to the penalty of placing a unit on a host; the host with the lowest total is
+   * chosen.
+   */
   score: {
     variables: {
       kind: "string",
@@ -42,7 +48,7 @@
       /** Free share of the host's processors, in [0, 1]. */
       freeProcessorShare: "double",
       freeMemoryShare: "double",
-      /** Tasks on the host now, by kind. */
+      /** Number of tasks on the host now, by kind. */
       serviceTasks: "double",
       jobTasks: "double",
       workerTasks: "double",
--- a/packages/routing/src/DeadlineQueue.ts
+++ b/packages/routing/src/DeadlineQueue.ts
@@ -1,4 +1,7 @@
-/** Bounded queue before the work of one class; waits end at each deadline. */
+/**
+ * Bounded queue for the requests of one class. A request leaves the queue unprocessed
+ * when its deadline passes.
+ */
 
 import PQueue from "p-queue";
 import type { Clock } from "@rackspan/common";
@@ -20,7 +23,10 @@
     this.queue = new PQueue({ concurrency: options.concurrency });
   }
 
-  /** Work that waits; what is late keeps a place in the queue but counts no more. */
+  /**
+   * Number of waiting requests. An expired one stays in the underlying queue until its
+   * turn, but is not counted.
+   */
   get queued(): number {
     return this.queue.size - this.late;
   }
@@ -29,7 +35,7 @@
     return this.running;
   }
 
-  /** Runs the work once there is room; tells why it did not. */
+  /** Runs the work once a slot is free, and returns whether it ran or why it did not. */
   async run(
     timeoutMs: number,
     work: () => Promise<void>,
--- a/packages/routing/src/EndpointPicker.ts
+++ b/packages/routing/src/EndpointPicker.ts
@@ -1,11 +1,14 @@
-/** Picks the endpoint for one attempt of a request. */
+/**
+ * The plug-in point for pickers, which choose the endpoint for one attempt of a
+ * request.
+ */
 
 import { Registry, type AvailabilityZone, type Random } from "@rackspan/common";
 import type { EndpointView } from "./types.js";
 
 export interface EndpointPicker {
   /**
-   * @param candidates endpoints in service, in no order; not empty
+   * @param candidates endpoints in service, in no particular order; not empty
    * @returns one of the candidates
    */
   pick(candidates: readonly EndpointView[]): EndpointView;
@@ -13,7 +16,7 @@
 
 export interface PickerOptions {
   readonly random: Random;
-  /** The zone of the picking entry. */
+  /** The availability zone of the entry that picks. */
   readonly availabilityZone: AvailabilityZone;
 }
 
--- a/packages/routing/src/OutlierEjector.ts
+++ b/packages/routing/src/OutlierEjector.ts
@@ -1,6 +1,6 @@
 /**
- * Leaves out endpoints that fail what they are sent, for a growing time, and
- * lets them back on probation. Never leaves out more than a share of them.
+ * Ejects endpoints after consecutive failures, each time for longer, and readmits them
+ * on probation. Never excludes more than a configured share of the endpoints.
  */
 
 import type { Clock, HostId, Monotonic } from "@rackspan/common";
@@ -8,23 +8,26 @@
 
 export interface OutlierEjectorOptions {
   readonly clock: Clock;
-  /** Failures in a row that eject. */
+  /** Consecutive failures after which an endpoint is ejected. */
   readonly failuresToEject: number;
-  /** The first ejection lasts this long; each further one twice the last. */
+  /**
+   * Duration of the first ejection, milliseconds; each further one lasts twice as long
+   * as the one before.
+   */
   readonly ejectMs: number;
   readonly maxEjectMs: number;
-  /** Largest share of the candidates that may be left out, in [0, 1]. */
+  /** Maximum share of the candidates that may be excluded, in [0, 1]. */
   readonly maxEjectedShare: number;
 }
 
-/** All that ejection rests on; what else a report says is passed over. */
+/** The fields that ejection uses; other fields of a report are ignored. */
 type HostOutcome = Pick<AttemptReport, "host" | "ok"> & Partial<AttemptReport>;
 
 interface Health {
   failuresInRow: number;
   ejections: number;
   ejectedUntil: Monotonic;
-  /** Back on trial: one failure ejects again. */
+  /** Readmitted on probation: one failure ejects the endpoint again. */
   onProbation: boolean;
 }
 
@@ -53,7 +56,10 @@
     if (health.failuresInRow >= limit) this.eject(health);
   }
 
-  /** The candidates that may be used now; all of them when too many are ejected. */
+  /**
+   * Returns the candidates that are not ejected, or all candidates if too many are
+   * ejected.
+   */
   admit(candidates: readonly EndpointView[]): readonly EndpointView[] {
     if (this.health.size === 0) return candidates;
     const admitted = candidates.filter(({ host }) => !this.isEjected(host));
--- a/packages/routing/src/RetryBudget.ts
+++ b/packages/routing/src/RetryBudget.ts
@@ -1,9 +1,9 @@
-/** Bounds retries to a share of requests, so that they cannot feed an overload. */
+/** Limits retries to a share of requests, so that they cannot amplify an overload. */
 
 export interface RetryBudgetOptions {
-  /** Retries that each request earns, in [0, 1]. */
+  /** Retries that are added to the budget per request, in [0, 1]. */
   readonly ratio: number;
-  /** Most retries that can be saved up. */
+  /** Maximum retries in the budget. */
   readonly burst: number;
 }
 
@@ -14,13 +14,13 @@
     this.tokens = options.burst;
   }
 
-  /** A request came in. */
+  /** Adds the share of a new request to the budget. */
   deposit(): void {
     const { ratio, burst } = this.options;
     this.tokens = Math.min(burst, this.tokens + ratio);
   }
 
-  /** @returns whether a retry may be sent; it is then paid for */
+  /** @returns whether a retry may be sent; it is then taken from the budget */
   tryWithdraw(): boolean {
     if (this.tokens < 1) return false;
     this.tokens -= 1;
--- a/packages/routing/src/chooseSubset.ts
+++ b/packages/routing/src/chooseSubset.ts
@@ -1,6 +1,6 @@
 /**
- * The part of a large set of endpoints that one entry uses, so that the cost of a
- * decision and the number of connections do not grow with the site. All entries
+ * Chooses the part of a large set of endpoints that one entry uses, so that the cost of
+ * a decision and the number of connections do not grow with the site. All entries
  * together cover every endpoint at least twice.
  */
 
@@ -9,20 +9,20 @@
 export interface SubsetOptions<T> {
   readonly members: readonly T[];
   readonly nameOf: (member: T) => string;
-  /** This entry's place among the live ones, from 0, and their number. */
+  /** Index of this entry among the live entries, from 0, and their number. */
   readonly entryIndex: number;
   readonly entryCount: number;
-  /** Sets up to this size are used whole. */
+  /** Sets up to this size are used in full. */
   readonly minSize: number;
 }
 
-/** Each endpoint is used by at least this many entries, where there are so many. */
+/** Minimum number of entries that use each endpoint, if there are that many. */
 const COVERED_BY = 2;
 
 const orderOf = (name: string): string =>
   createHash("md5").update(name).digest("hex");
 
-/** The same members for the same arguments, in whatever order they come. */
+/** Returns the same members for the same arguments, regardless of their order. */
 export const chooseSubset = <T>({
   members,
   nameOf,
--- a/packages/routing/src/leastLoadedOfTwoPicker.ts
+++ b/packages/routing/src/leastLoadedOfTwoPicker.ts
@@ -1,10 +1,10 @@
-/** Baseline: of two random endpoints, the one with less of this entry's work. */
+/** Baseline: picks the less loaded of two random endpoints. */
 
 import { pickIndex, type Random } from "@rackspan/common";
 import { endpointPickers, type EndpointPicker } from "./EndpointPicker.js";
 import type { EndpointView } from "./types.js";
 
-/** The side's count of busy slots may be old; this entry's own count is not. */
+/** The side's count of busy slots may be outdated; this entry's own count is not. */
 const loadOf = ({ inFlight, busySlots, slots }: EndpointView): number =>
   Math.max(inFlight, busySlots) / slots;
 
--- a/packages/routing/src/pooledPicker.ts
+++ b/packages/routing/src/pooledPicker.ts
@@ -1,8 +1,9 @@
 /**
- * The project's own picker: of a few drawn endpoints it takes the one with the
- * lowest expected wait. Busy ones are set apart from idle ones first, since a
- * measured latency says little about an endpoint whose slots are all taken.
- * Source: docs/design/routing.md, with the measurements behind each part.
+ * Rackspan's own picker, as opposed to the baselines: draws a few random endpoints and
+ * picks the one with the lowest expected wait. An endpoint that is not hot is always
+ * preferred to a hot one, and hot ones are compared by load, since a measured latency
+ * says little about an endpoint whose slots are all in use. Source:
+ * docs/design/routing.md, with the measurements behind each part.
  */
 
 import {
@@ -15,11 +16,14 @@
 
 export interface PooledPickerOptions {
   readonly random: Random;
-  /** The zone of the picking entry; endpoints there are drawn more often. */
+  /**
+   * The availability zone of the entry that picks; endpoints in other zones get a
+   * penalty.
+   */
   readonly availabilityZone: AvailabilityZone;
-  /** Endpoints drawn for each request. */
+  /** Endpoints drawn per request. */
   readonly draws: number;
-  /** What leaving the own zone must save before it is worth it, milliseconds. */
+  /** Latency that an endpoint in another zone must save to be preferred, milliseconds. */
   readonly crossZonePenaltyMs: number;
   /** Share of slots in use from which an endpoint counts as hot, in [0, 1]. */
   readonly hotShare: number;
@@ -31,7 +35,10 @@
   hotShare: 0.9,
 } as const;
 
-/** An endpoint that has not answered yet is taken for a good one, so that it is tried. */
+/**
+ * Latency assumed for an endpoint that has not answered yet; the lowest, so that it is
+ * tried.
+ */
 const UNKNOWN_LATENCY_MS = 0;
 
 export class PooledPicker implements EndpointPicker {
@@ -62,7 +69,7 @@
     return loadShare(endpoint) >= this.options.hotShare;
   }
 
-  /** Latency, weighed by the load that is there already, and by the way to it. */
+  /** Latency weighted by the load, plus the penalty for another zone. */
   private cost(endpoint: EndpointView): number {
     const { availabilityZone, latencyMs } = endpoint;
     const away = availabilityZone !== this.options.availabilityZone;
@@ -72,7 +79,10 @@
   }
 }
 
-/** The side's count may be old, and this entry's own leaves out what other entries sent. */
+/**
+ * The side's count may be outdated, and this entry's own count excludes requests of
+ * other entries.
+ */
 const loadShare = ({ inFlight, busySlots, slots }: EndpointView): number =>
   Math.max(inFlight, busySlots) / slots;
 
--- a/packages/routing/src/randomPicker.ts
+++ b/packages/routing/src/randomPicker.ts
@@ -1,4 +1,4 @@
-/** Baseline: any endpoint with equal chance. */
+/** Baseline: picks every endpoint with equal probability. */
 
 import { pickIndex, type Random } from "@rackspan/common";
 import { endpointPickers, type EndpointPicker } from "./EndpointPicker.js";
--- a/packages/routing/src/roundRobinPicker.ts
+++ b/packages/routing/src/roundRobinPicker.ts
@@ -1,4 +1,4 @@
-/** Baseline: each endpoint in turn, from a random start. */
+/** Baseline: picks the endpoints in turn, from a random start. */
 
 import { pickIndex, type Random } from "@rackspan/common";
 import { endpointPickers, type EndpointPicker } from "./EndpointPicker.js";
@@ -10,7 +10,8 @@
   private turn: number;
 
   constructor(random: Random) {
-    // Entries that start together must not pick the same endpoints in the same order.
+    // Entries that start at the same time must not pick the same endpoints in the same
+    // order.
     this.turn = pickIndex(random, START_RANGE);
   }
 
--- a/packages/routing/src/types.ts
+++ b/packages/routing/src/types.ts
@@ -1,4 +1,4 @@
-/** What the decisions about requests are made of. */
+/** Inputs of routing decisions. */
 
 import type {
   AvailabilityZone,
@@ -8,23 +8,23 @@
 } from "@rackspan/common";
 import type { SocketAddress } from "@rackspan/protocol";
 
-/** One host that answers requests of a service, as one entry sees it now. */
+/** One host that serves requests of a service, as seen by one entry at the moment. */
 export interface EndpointView {
   readonly host: HostId;
   readonly incarnation: Incarnation;
   readonly address: SocketAddress;
   readonly availabilityZone: AvailabilityZone;
   readonly slots: number;
-  /** Requests of this entry that are in progress there. */
+  /** Requests of this entry that are in progress on the host. */
   readonly inFlight: number;
-  /** Slots in use as the side last reported, and when that was heard. */
+  /** Slots in use as last reported by the side, and when the report was received. */
   readonly busySlots: number;
   readonly busySlotsReportedAt: Monotonic;
-  /** Smoothed latency of answers to this entry, milliseconds; 0 while unknown. */
+  /** Smoothed latency of responses to this entry, milliseconds; 0 while unknown. */
   readonly latencyMs: number;
 }
 
-/** How an attempt went, for load and health estimates. */
+/** Result of an attempt, for estimates of load and health. */
 export interface AttemptReport {
   readonly host: HostId;
   readonly ok: boolean;
--- a/packages/scheduling/src/CheckpointWriter.ts
+++ b/packages/scheduling/src/CheckpointWriter.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps checkpoints of running tasks in the store at an interval, so that work
- * survives when all processes and workers are lost at once.
+ * Persists checkpoints of running tasks at an interval, so that their work survives
+ * when all processes and workers are lost at once.
  */
 
 import {
@@ -20,7 +20,7 @@
 }
 
 export class CheckpointWriter {
-  /** Jobs with checkpoints that the store does not keep yet. */
+  /** Jobs with checkpoints that are not persisted yet. */
   private readonly changed = new Set<JobRun>();
   private timer: Timer | undefined;
 
@@ -30,7 +30,7 @@
     this.timer?.cancel();
   }
 
-  /** Takes tasks of which a host has just reported. */
+  /** Tracks tasks that a host has just reported. */
   trackTasks(tasks: Iterable<JobTask>): void {
     const { clock, intervalMs: everyMs } = this.options;
     if (everyMs === 0) return;
@@ -55,7 +55,8 @@
     logger.debug("checkpoints.kept", { jobs: jobs.length });
     for (const job of jobs) {
       journal.persist(job).catch((err: unknown) =>
-        // Another leader has taken over, and keeps what it sees itself.
+        // Another leader has taken over, and persists the checkpoints that it receives
+        // itself.
         logger.warn("checkpoints.not-kept", {
           job: job.id,
           error: describeError(err),
--- a/packages/scheduling/src/CrashTracker.ts
+++ b/packages/scheduling/src/CrashTracker.ts
@@ -1,7 +1,8 @@
 /**
- * Counts the runs that are lost with their workers, and gives a task up that
- * crashes them. The count is kept with the job's progress: the next leader goes on
- * from it, and neither a worker's new life nor its host's entry resets it.
+ * Counts the runs that are lost with their workers, and fails the job of a task that
+ * crashes its workers. The counts are persisted with the job's progress: the next
+ * leader continues with them, and neither a new incarnation of a worker nor a new entry
+ * of its host resets them.
  */
 
 import type { HostId, Monotonic, RunNumber, Timer } from "@rackspan/common";
@@ -34,44 +35,59 @@
 
 const PROOFS: readonly CrashEvidence[] = ["sole", "unanswered"];
 
-/** Whether the answer to the order of a lost run may yet come, and who tells of it. */
+/**
+ * Whether the answer to the start order of a lost run may still arrive, and who reports
+ * it: `told-open` means that the side has reported the order as open.
+ */
 type OrderState = "open" | "told-open" | "over";
 
 type TaskRun = Pick<ActiveRun, "task" | "run">;
 
 interface AwaitedAnswer {
   readonly run: RunNumber;
-  /** Whether the side has told that the order is open, and tells when it is over. */
+  /**
+   * Whether the side has reported that the order is open; it then also reports when the
+   * order is closed.
+   */
   readonly isToldBySide: boolean;
   readonly timer: Timer;
 }
 
-/** Runs that are remembered as judged: a side repeats what it tells until it is answered. */
+/**
+ * Number of judged runs that are remembered. A side repeats its reports until they are
+ * acknowledged.
+ */
 const MAX_JUDGED = 10_000;
 
 export class CrashTracker {
-  /** Lost runs that this leader has judged, those it let go free among them. */
+  /**
+   * Lost runs that this leader has judged, including those that it did not count
+   * against their tasks.
+   */
   private readonly judged = new BoundedMap<string, true>(MAX_JUDGED);
 
-  /** Runs that had ended before their workers crashed, as sides tell. */
+  /** Runs that had ended before their workers crashed, as reported by sides. */
   private readonly ended = new BoundedMap<string, true>(MAX_JUDGED);
 
   /**
-   * When the worker of a host was last lost without proof against a task: whatever
-   * ended it may have ended others.
+   * When the worker of a host was last lost without proof against a task. Whatever
+   * ended that worker may have ended others, too.
    */
   private readonly unexplained = new Map<HostId, Monotonic>();
 
-  /** Tasks held until the order to a run that would give them up is answered. */
+  /**
+   * Tasks that are held until the start order of a run is answered, because counting
+   * that run reaches the crash limit.
+   */
   private readonly awaitingAnswer = new Map<JobTask, AwaitedAnswer>();
 
   constructor(private readonly parts: CrashTrackerOptions) {}
 
   /**
-   * The worker's life is lost, and all its runs with it: their tasks wait again,
-   * but for those that have crashed too many workers.
-   * @param reason what showed it, for logs
-   * @param lostRuns what the side tells of them
+   * Handles the loss of a worker incarnation with all its runs: their tasks wait again,
+   * except those that have reached the crash limit.
+   * @param reason what showed the loss, for logs
+   * @param lostRuns what the side reports about these runs
    */
   handleLostRuns(
     entry: HostEntry,
@@ -112,7 +128,10 @@
     }
   }
 
-  /** The answer to its order shows that a lost run never began: it speaks against nothing. */
+  /**
+   * Withdraws the count of a lost run after the answer to its order showed that it
+   * never started.
+   */
   handleNeverStarted({ task, run }: TaskRun): void {
     const { job } = task.step;
     if (job.isEnded || !task.crashLog.remove(run)) return;
@@ -125,14 +144,17 @@
     this.parts.requestCycle();
   }
 
-  /** Takes which runs had ended before their workers crashed: these speak against nothing. */
+  /**
+   * Records runs that had ended before their workers crashed. They are no evidence
+   * against their tasks.
+   */
   recordUnreportedEnds(refs: readonly RunRef[]): void {
     for (const ref of refs) this.ended.set(runKeyOf(ref), true);
   }
 
   /**
-   * Takes what a side tells of lost runs that never began. A former leader may have
-   * ordered them, and have ended before their orders were answered.
+   * Handles lost runs that never started, as reported by a side. A previous leader may
+   * have ordered them and may have ended before their orders were answered.
    */
   handleNeverStartedRuns(refs: readonly RunRef[]): void {
     for (const ref of refs) {
@@ -142,7 +164,9 @@
     }
   }
 
-  /** Whether workers of other hosts were lost at about that time, without a suspected task. */
+  /**
+   * Whether workers of other hosts were lost at about that time without a suspect task.
+   */
   private othersWereLost(host: HostId, at: Monotonic): boolean {
     return [...this.unexplained].some(
       ([other, lostAt]) =>
@@ -150,10 +174,14 @@
     );
   }
 
-  /** Notes a loss without proof against a task; forgets those that no proof asks for any more. */
+  /**
+   * Records a worker loss without proof against a task, and deletes records that no
+   * proof can refer to any more.
+   */
   private noteUnexplained(host: HostId): void {
     const now = this.parts.options.clock.monotonic();
-    // Proof asks after its own wait for losses that came up to as long before it.
+    // Proof waits for `correlatedLossMs` and then considers losses up to as long before
+    // it.
     const oldest = now - 2 * CRASH_LIMITS.correlatedLossMs;
     for (const [other, lostAt] of [...this.unexplained]) {
       if (lostAt < oldest) this.unexplained.delete(other);
@@ -162,8 +190,8 @@
   }
 
   /**
-   * Takes what a side tells of runs that were lost before it spoke to this leader:
-   * a former one may have ended without having heard of them.
+   * Handles reports of runs that were lost before their side connected to this leader.
+   * The previous leader may have ended before it received them.
    */
   handleReportedLosses(host: HostId, lostRuns: readonly LostRun[]): void {
     const open = lostRuns.flatMap((lost) => this.openLoss(lost));
@@ -171,7 +199,8 @@
       ({ lost }) => !hasSettledAfter(lost.workedMs ?? 0),
     );
     const [only] = young;
-    // Beside another run that had just begun, the one that began apart may be free of it.
+    // If another run had just started as well, the isolated run may not be the cause of
+    // the crash.
     const isSole =
       only && young.length === 1 && beganApart(only.task, only.lost);
     for (const { task, lost } of isSole ? [only] : open) {
@@ -188,7 +217,10 @@
     }
   }
 
-  /** No answer will take the count of that run back: a task held for one is judged. */
+  /**
+   * No answer can withdraw the count of that run any more, so a task that is held for
+   * the answer is judged now.
+   */
   private noteOrderOver(lost: LostRun): void {
     const task = this.parts.jobs.findTask(lost.task);
     if (!task || !this.awaitingAnswer.get(task)?.isToldBySide) return;
@@ -198,7 +230,7 @@
     this.parts.requestCycle();
   }
 
-  /** @returns whether the task was held for the answer to the order of that run */
+  /** @returns whether the task was held for the answer to that run's order */
   private endWait(task: JobTask, run: RunNumber): boolean {
     const awaited = this.awaitingAnswer.get(task);
     if (awaited?.run !== run) return false;
@@ -206,24 +238,31 @@
     return this.awaitingAnswer.delete(task);
   }
 
-  /** How long a run of the step is expected to take; undefined for one that lasts. */
+  /**
+   * Returns how long a run of the step is expected to take; undefined for a lasting
+   * step.
+   */
   private expectedMs(step: StepRun): number | undefined {
     return step.spec.lasting ? undefined : this.parts.estimates.taskMs(step);
   }
 
-  /** The task of a lost run that no leader has judged, as far as is known. */
+  /**
+   * Returns the task of a lost run that no leader has judged yet, as far as this one
+   * has recorded.
+   */
   private openLoss(lost: LostRun): { task: JobTask; lost: LostRun }[] {
     const task = this.parts.jobs.findTask(lost.task);
     if (!task) return [];
     const evidence = task.crashLog.evidenceOf(lost.run);
     const isJudged = evidence !== undefined || this.judged.get(runKeyOf(lost));
-    // That its host had been silent was all that was known of the run.
+    // `lost` records only that the host was silent, so later evidence may replace it.
     return isJudged && evidence !== "lost" ? [] : [{ task, lost }];
   }
 
   /**
-   * Counts a run that a former leader announced and that nobody has seen since, and
-   * gives the task up where a former leader had proof, and no time to act on it.
+   * Counts a run that a previous leader recorded in the write-ahead log and that no
+   * leader has seen since. Fails the job if a previous leader had recorded enough
+   * evidence but ended before it acted on it.
    */
   resolvePreviousRun(task: JobTask): void {
     const { job } = task.step;
@@ -250,9 +289,10 @@
   }
 
   /**
-   * Workers that are lost together were seldom lost by one task, and they are not
-   * heard of at the same time. So proof waits for them, and the task with it:
-   * judged at once, tasks that crashed nothing would be given up.
+   * Delays the judgement of a proof. Workers that are lost together were seldom lost
+   * because of one task, and their losses are not reported at the same time. So the
+   * proof and its task wait for those reports; judged at once, jobs would be failed for
+   * tasks that crashed nothing.
    */
   private doubtLater(host: HostId, task: JobTask, run: RunNumber): void {
     const at = this.parts.options.clock.monotonic();
@@ -264,7 +304,10 @@
     });
   }
 
-  /** The store is not told before: the next leader would give the task up at once. */
+  /**
+   * Holds the task until the order is answered. The count is not persisted before,
+   * since the next leader would fail the job at once.
+   */
   private awaitAnswer(
     task: JobTask,
     run: RunNumber,
@@ -277,7 +320,7 @@
     this.awaitingAnswer.set(task, { run, isToldBySide, timer });
   }
 
-  /** Holds the task until all that speaks for it has had time to arrive. */
+  /** Holds the task until all messages that may speak for it have had time to arrive. */
   private judgeLater(task: JobTask, ms: number, onDue: () => void): Timer {
     const { options, requestCycle: requestPass } = this.parts;
     const { job } = task.step;
@@ -320,14 +363,17 @@
 const orderOf = ({ phase }: ActiveRun): OrderState =>
   phase === "starting" ? "open" : "over";
 
-/** Of the runs that a side tells of, those whose orders are still being repeated. */
+/** Returns the keys of the reported runs whose start orders are still being repeated. */
 const keysOfOpen = (lostRuns: readonly LostRun[]): ReadonlySet<string> =>
   new Set(lostRuns.filter((lost) => lost.isOrderOpen).map(runKeyOf));
 
 const isProven = (blamed: ReadonlyMap<ActiveRun, CrashEvidence>): boolean =>
   [...blamed.values()].some((evidence) => PROOFS.includes(evidence));
 
-/** Whether the lost run was the announced one of its task, had just begun, and broke a look off. */
+/**
+ * Whether the lost run was the write-ahead run of its task, had just started, and was
+ * at work when the side's poll broke off.
+ */
 const beganApart = (
   { writeAheadRun: announced, crashLog: crashes }: JobTask,
   { run, workedMs = 0, wasAtWork }: LostRun,
--- a/packages/scheduling/src/CycleHostFilter.ts
+++ b/packages/scheduling/src/CycleHostFilter.ts
@@ -1,23 +1,28 @@
-/** Which hosts tasks keep off in one pass, although they have room: for suspects, and for lasting tasks. */
+/**
+ * Excludes hosts with free resources for one scheduling cycle, in favour of suspect
+ * tasks and lasting tasks.
+ */
 
 import type { Clock, Monotonic } from "@rackspan/common";
 import type { HostState, StepRun } from "@rackspan/jobs";
 import { ENGINE } from "./engineTypes.js";
 
 export class CycleHostFilter {
-  /** Emptied for a lasting task: plain ones keep off them. */
+  /**
+   * Hosts that are being emptied for a lasting task; plain tasks are not placed there.
+   */
   private readonly emptying = new Set<HostState>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** A pass begins. */
+  /** Starts a scheduling cycle. */
   startCycle(): void {
     this.emptying.clear();
   }
 
   /**
-   * All tasks keep off hosts where a suspected one has just begun, plain ones also
-   * off those that are being emptied for a lasting one.
+   * Returns the hosts on which tasks of the step may start: none with an isolated run,
+   * and for plain tasks none that is being emptied for a lasting task.
    */
   hostsOpenTo(
     { spec }: StepRun,
@@ -29,8 +34,8 @@
   }
 
   /**
-   * Lasting tasks are large: room for one comes only when the plain tasks of a
-   * host end and no others take their place.
+   * Records that tasks of the step could not be placed. Lasting tasks are large: a host
+   * gets enough free resources only when its plain tasks end and no others start there.
    */
   recordUnplaced(step: StepRun, hosts: readonly HostState[]): void {
     const now = this.clock.monotonic();
@@ -50,9 +55,9 @@
 }
 
 /**
- * Whether a lasting step has found no place for so long that it may take what is kept
- * for others, and tries hosts that failed others of late: ejections may last for longer
- * than it is to stand still.
+ * Whether a lasting step could not be placed for so long that it may use resources that
+ * are reserved for others, and ejected hosts: an ejection may last longer than the step
+ * may be without a run.
  */
 export const isOverdueLasting = (
   { spec, unplacedSince }: StepRun,
--- a/packages/scheduling/src/Dispatcher.ts
+++ b/packages/scheduling/src/Dispatcher.ts
@@ -1,4 +1,7 @@
-/** Starts waiting tasks on hosts with room, in the order of work. */
+/**
+ * Starts waiting tasks on hosts with free resources, in the order that the plug-in for
+ * the order of work returns.
+ */
 
 import type { RunNumber } from "@rackspan/common";
 import type { HostState, JobRun, JobTask, StepRun } from "@rackspan/jobs";
@@ -31,7 +34,9 @@
   readonly ejector: OutlierEjector;
   readonly permits: PermitTracker;
   readonly runLog: RunWriteAheadLog;
-  /** Jobs that may have tasks to start; a pass drops those that have none. */
+  /**
+   * Jobs that may have tasks to start. A scheduling cycle removes those that have none.
+   */
   readonly active: Set<TrackedJob>;
 }
 
@@ -39,7 +44,7 @@
   private readonly timer: SchedulingCycleTimer;
   private readonly heldBack: CycleHostFilter;
   private readonly turns = new IsolatedStartQueue();
-  /** Of the present pass. */
+  /** Usable hosts by service, computed at the start of each scheduling cycle. */
   private hostsByService: ReturnType<typeof usableHosts> = new Map();
 
   constructor(private readonly options: DispatcherOptions) {
@@ -52,12 +57,12 @@
     this.heldBack = new CycleHostFilter(clock);
   }
 
-  /** See PassTimer. */
+  /** See SchedulingCycleTimer. */
   requestCycle(): void {
     this.timer.request();
   }
 
-  /** See PassTimer. */
+  /** See SchedulingCycleTimer. */
   runCycleIfOverdue(): void {
     this.timer.runIfOverdue();
   }
@@ -103,7 +108,10 @@
     return candidates;
   }
 
-  /** What holds of the job's queue now; what held at first when it is dropped. */
+  /**
+   * Returns the current settings of the job's queue, or those at submission if the
+   * queue was deleted.
+   */
   private termsOf(job: JobRun): QueueSpec | JobTerms {
     return this.options.engine.queueOf(job.accepted.spec.queue) ?? job.terms;
   }
@@ -121,7 +129,10 @@
     else this.placeTasks(candidate, hosts);
   }
 
-  /** Places what it can on hosts with a permit, and asks for more when some is left. */
+  /**
+   * Places as many tasks as possible on hosts with a permit, and requests more permits
+   * if tasks are left.
+   */
   private placePermitted(
     candidate: Candidate,
     { inService, ejected }: ServiceHosts,
@@ -173,7 +184,7 @@
           if (rest.length > 0) outcome = this.placeApart(task, rest);
         }
         if (outcome === "no-host") isUnplaced = true;
-        // No other begins where it did.
+        // No other task may start on the host of an isolated run.
         if (outcome === "placed") open = this.heldBack.hostsOpenTo(step, hosts);
         if (job.isEnded) return;
         continue;
@@ -184,7 +195,8 @@
       const host =
         placer.pick(task, open, mustPlace) ??
         placer.pick(task, this.lastResortOf(step, ejected), mustPlace);
-      // Tasks of a step ask for the same, but each avoids hosts of its own.
+      // All tasks of a step have the same demand, but each avoids the hosts on which it
+      // failed.
       if (!host) {
         this.heldBack.recordUnplaced(step, hosts);
         return;
@@ -195,7 +207,7 @@
     else step.unplacedSince = undefined;
   }
 
-  /** Hosts that the step tries although they are ejected. */
+  /** Returns ejected hosts that the step may use although they are ejected. */
   private lastResortOf(
     step: StepRun,
     ejected: readonly HostState[],
@@ -206,9 +218,11 @@
   }
 
   /**
-   * Starts a task under which a worker has crashed: announced, and where it takes
-   * the fewest others along if it crashes this one too.
-   * @returns `not-now` while it waits for proof, for its announcement or for its turn
+   * Starts a task under which a worker has crashed. The run is recorded in the
+   * write-ahead log first, and starts on the host where the fewest other runs would be
+   * lost if it crashes that worker, too.
+   * @returns `not-now` while the task waits for the crash evidence to be judged, for
+   *   its write-ahead record or for its turn
    */
   private placeApart(
     task: JobTask,
@@ -220,11 +234,12 @@
     const run = announcer.recordedRunFor([task]);
     if (run === undefined || task.step.job.isEnded) return "not-now";
     this.turns.enqueue(task, now);
-    // Users want a lasting task to have a run again soon, and it has lost its last one.
+    // A lasting task has lost its only run, and its users need a new one soon.
     const { lasting } = task.step.spec;
     const takesTurn = lasting || this.turns.hasWaitedLong(task, now);
     const isApart = mayIsolate(open, book.all(), takesTurn);
-    // Where no host more may be held, a lasting task whose workers outlived its start shares one.
+    // A lasting task may share a host if no further host may be reserved and none of
+    // its runs crashed a worker just after its start.
     const mayShare = lasting && task.crashLog.hasNoCrashAtStart;
     if (!isApart && !mayShare) return "not-now";
     const host = pickIsolatedHost({ task, open, placer, mustPlace: takesTurn });
@@ -234,7 +249,8 @@
   }
 
   /**
-   * Before a suspect of this job gets its turn, those of its priority that have waited long do.
+   * Before a suspect task of this job gets its turn, places overdue suspect tasks with
+   * the same priority and service.
    * @returns whether any was placed
    */
   private placeOverdue(job: JobRun): boolean {
@@ -271,7 +287,7 @@
     for (const [task, host] of chosen) this.startOn(host, task, number);
   }
 
-  /** @param isApart whether a suspected task begins apart from others */
+  /** @param isApart whether a suspect task gets an isolated start */
   private startOn(
     host: HostState,
     task: JobTask,
@@ -289,7 +305,10 @@
   }
 }
 
-/** Hosts that could run the step's first waiting task, those with most left first. */
+/**
+ * Returns the hosts that could run the step's first waiting task, those with the most
+ * unreserved processor time first.
+ */
 const ableHosts = (
   step: StepRun,
   hosts: readonly HostState[],
--- a/packages/scheduling/src/HostMonitor.ts
+++ b/packages/scheduling/src/HostMonitor.ts
@@ -1,4 +1,4 @@
-/** Watches hosts for silence, and their runs for stalls and slowness. */
+/** Detects hosts that are silent, and runs that are stalled or slow. */
 
 import type { HostId, Monotonic, WorkerInstance } from "@rackspan/common";
 import {
@@ -15,8 +15,8 @@
 
 const SILENCE = {
   /**
-   * Least change of a silent host's bound that is news, milliseconds: each repeat
-   * arrives a little earlier or later than the one before.
+   * Minimum change of a silent host's lease expiry that is logged, milliseconds: each
+   * repeated message arrives a little earlier or later than the one before.
    */
   leastChangeMs: 150,
 } as const;
@@ -39,14 +39,20 @@
     }
   }
 
-  /** When the next host's leases are over, unless it is heard before; Infinity without any. */
+  /**
+   * Returns when the leases of the next host expire if it does not report before;
+   * Infinity without any.
+   */
   nextLeaseExpiry(): Monotonic {
     const { options, hosts } = this.parts;
     const ledgers = [...hosts.all()].map(({ ledger }) => ledger.leasesExpireBy);
     return Math.min(options.gate.nextLeaseExpiry, ...ledgers);
   }
 
-  /** Nothing runs there any more: it ended, or was silent until its lease was over. */
+  /**
+   * Removes a host on which nothing runs any more: its worker ended, or was silent
+   * until its leases expired.
+   */
   removeHost(
     entry: HostEntry,
     loss: WorkerLoss,
@@ -62,9 +68,9 @@
   }
 
   /**
-   * A worker that ended before it reported to this leader. When the roster names
-   * this life, it was the last that could hold a lease there, so the take-over need
-   * not wait for the host.
+   * Handles a worker that ended before it reported to this leader. If the roster names
+   * this incarnation, it was the last that could hold a lease there, so the takeover
+   * need not wait for the host.
    */
   removeUnreported(host: HostId, instance: WorkerInstance): void {
     const { roster } = this.parts.options;
@@ -74,9 +80,10 @@
   }
 
   /**
-   * A silent host is waited for no longer than its side says: by the take-over, or by the
-   * ledger of a host that has reported. One with ends left to list is waited for in full:
-   * a task whose end is among them would start again.
+   * Shortens the wait for a silent host to the time that its side reports: in the state
+   * of a host that has reported, else in the takeover gate. For a host with ends that
+   * are still to be listed the wait is not shortened: a task whose end is among them
+   * would start again.
    */
   recordSilence(host: HostId, overInMs: number): void {
     const { options, hosts, requestCycle: requestPass } = this.parts;
@@ -97,7 +104,10 @@
     requestPass();
   }
 
-  /** Hosts of the roster that never reported: the next leader need not wait for them. */
+  /**
+   * Removes hosts of the roster that never reported and hold no lease any more, so that
+   * the next leader need not wait for them.
+   */
   private dropExpiredHosts(now: Monotonic): void {
     const { options, hosts } = this.parts;
     for (const host of options.gate.takeExpired(now)) {
@@ -118,7 +128,10 @@
     roster.remove(host);
   }
 
-  /** Another life of the worker: its runs are gone, and its failures were not this one's. */
+  /**
+   * Handles a new incarnation of the worker: the runs of the previous one are lost, and
+   * its failures do not count against the new one.
+   */
   replaceWorker(
     entry: HostEntry,
     { worker, lostRuns }: Pick<HostReport, "worker" | "lostRuns">,
@@ -174,7 +187,7 @@
   }
 }
 
-/** Lasting tasks of a silent host have been without a run since it was heard last. */
+/** Lasting tasks of a silent host have been without a run since its last report. */
 const noteUnplaced = ({ ledger }: HostEntry): void => {
   for (const { task } of ledger.runs.values()) {
     const { step } = task;
@@ -185,15 +198,19 @@
 };
 
 /**
- * Up to when it is known what the host's runs do: a host that has fallen silent may
- * still do its work, and counted up to now it would be stopped as one that stands still.
+ * Returns the time up to which the activity of the host's runs is known. A silent host
+ * may still make progress; measured against the current time, its runs would be stopped
+ * as stalled.
  */
 const lastShownAt = ({ ledger }: HostEntry, now: Monotonic): Monotonic =>
   now - ledger.reportReceivedAt < ENGINE.missedReportMs
     ? now
     : ledger.reportReceivedAt;
 
-/** Whether the task crawls there, saves its progress, and was not moved off before. */
+/**
+ * Whether the task crawls on the host, saves checkpoints, and was not moved off that
+ * host before.
+ */
 const shouldLeave = (
   run: ActiveRun,
   host: HostId,
--- a/packages/scheduling/src/HostRegistrar.ts
+++ b/packages/scheduling/src/HostRegistrar.ts
@@ -1,4 +1,7 @@
-/** Takes hosts in, and follows what their workers say of themselves. */
+/**
+ * Registers hosts and their sessions, and applies what their workers report about
+ * themselves.
+ */
 
 import {
   describeError,
@@ -24,12 +27,12 @@
     const entry = this.parts.hosts.get(host);
     if (!entry) return;
     entry.session = session;
-    // What was ordered on the old connection may or may not have arrived.
+    // Orders that were sent over the old connection may or may not have arrived.
     for (const run of entry.ledger.runs.values()) {
       if (run.phase === "starting") run.phase = "unsure";
     }
     for (const { stop } of entry.ledger.stopping) stop.sentAt = undefined;
-    // A side that was restarted knows nothing of what runs on its host.
+    // A side that was restarted has no descriptions of the tasks that run on its host.
     const runs = [...entry.ledger.runs.values()];
     if (runs.length === 0) return;
     session.describe(runs.map(({ task }) => describeTask(task)));
@@ -43,13 +46,16 @@
     if (entry) entry.session = undefined;
   }
 
-  /** A side keeps to what it told of its silent worker for as long as the connection stands. */
+  /**
+   * Discards the reported silence. A side guarantees its report of a silent worker only
+   * while the connection lasts.
+   */
   private forgetSilent(host: HostId): void {
     this.parts.options.gate.clearSilence(host);
     this.parts.hosts.get(host)?.ledger.clearSilence();
   }
 
-  /** The host's entry; a host that is not known yet is taken in. */
+  /** Returns the host's entry and registers a host that is not known yet. */
   getOrRegister(
     host: HostId,
     zone: AvailabilityZone,
@@ -68,7 +74,7 @@
       rostered: false,
     };
     hosts.set(entry);
-    // Until it is heard the host may hold leases of a former leader.
+    // Until its first report the host may hold leases of a previous leader.
     ledger.recordGrant(latestLeaseExpiry(now, options.leaseMs));
     logger.info("host.joined", {
       host,
@@ -93,8 +99,9 @@
   }
 
   /**
-   * Until the store names this life it gets no lease: the next leader takes the end
-   * of the life that is named for the end of all that may run there.
+   * Records the worker in the roster. It gets no lease until the store names this
+   * incarnation, because the next leader takes the end of the recorded incarnation as
+   * the end of all that may run there.
    */
   addToRoster(entry: HostEntry): void {
     const { options, requestCycle: requestPass } = this.parts;
@@ -116,14 +123,17 @@
     );
   }
 
-  /** Whether the store keeps the life that the host shows now. */
+  /** Updates whether the store has recorded the incarnation that the host reports now. */
   refreshRostered(entry: HostEntry): void {
     const { host, instance } = entry.ledger;
     entry.rostered =
       this.parts.options.roster.recordedInstance(host) === instance;
   }
 
-  /** Moves away what would not end before the worker leaves. */
+  /**
+   * Stops the runs that would not end before the worker leaves, so that they start
+   * elsewhere.
+   */
   private emptyHost(entry: HostEntry): void {
     const { options, stops, estimates } = this.parts;
     const { clock, stopMs } = options;
--- a/packages/scheduling/src/HostRegistry.ts
+++ b/packages/scheduling/src/HostRegistry.ts
@@ -1,7 +1,7 @@
 /**
- * All hosts that the leader knows, and which run of a task is where. A task waits
- * when its run is released here, and at no other time: whatever else speaks of a
- * run (an answer, a report, a timer) may be about one that was released before.
+ * All hosts that have reported to the leader, and the placement of runs on them. A task
+ * waits again only when its run is released here: any other message about a run (an
+ * answer, a report, a timer) may refer to one that was released before.
  */
 
 import type { HostId } from "@rackspan/common";
@@ -33,12 +33,12 @@
     return this.placed.get(task);
   }
 
-  /** Whether the run is the one that its task has now. */
+  /** Whether the run is the current run of its task. */
   isCurrent(run: ActiveRun): boolean {
     return this.placed.get(run.task)?.run === run;
   }
 
-  /** @returns false, and does nothing, when the task has a run already */
+  /** @returns false, without any effect, if the task already has a run */
   place(host: HostEntry, run: ActiveRun): boolean {
     const { task } = run;
     if (this.placed.has(task)) return false;
@@ -50,11 +50,11 @@
   }
 
   /**
-   * Frees the run's room and lets its task wait, unless the task is done.
+   * Releases the resources of the run and lets its task wait, unless the task is done.
    *
-   * @returns false, and does nothing, when the run was released before. Its task
-   * may have its next run by then: a late answer that made such a task wait
-   * would start it beside its own run.
+   * @returns false, without any effect, if the run was released before. Its task may
+   *   have its next run by then: if a late answer made such a task wait, it would be
+   *   started a second time while that run is active.
    */
   release(host: HostEntry, run: ActiveRun): boolean {
     if (!this.isCurrent(run)) return false;
@@ -70,7 +70,7 @@
     return this.runsOfJob.has(job);
   }
 
-  /** Runs of the given tasks that are placed now. */
+  /** Returns the placed runs of the given tasks. */
   placedRunsOf(tasks: Iterable<JobTask>): PlacedRun[] {
     const runs: PlacedRun[] = [];
     for (const task of tasks) {
--- a/packages/scheduling/src/HostSession.ts
+++ b/packages/scheduling/src/HostSession.ts
@@ -1,4 +1,4 @@
-/** Port to the side of one host, as the engine gives orders through it. */
+/** Port to the side of one host, through which the engine sends orders. */
 
 import type { WorkerInstance } from "@rackspan/common";
 import type { TaskDescription } from "@rackspan/jobs";
@@ -14,6 +14,9 @@
   /** @throws LostAnswerError when the order may have arrived */
   stopTask(call: StopTaskCall): Promise<HostCallResult>;
   acknowledge(instance: WorkerInstance, acknowledged: number): void;
-  /** Tells the side what the tasks on its host are, for it to pace them. */
+  /**
+   * Sends the side the descriptions of the tasks on its host, which it needs to pace
+   * them.
+   */
   describe(tasks: readonly TaskDescription[]): void;
 }
--- a/packages/scheduling/src/IsolatedStartQueue.ts
+++ b/packages/scheduling/src/IsolatedStartQueue.ts
@@ -1,17 +1,16 @@
 /**
- * Whose turn it is among suspected tasks that wait for a host where they may begin
- * apart. The order of work goes by worth, and hosts that are held come free one at a
- * time: by worth alone a task of little worth would wait for as long as suspects of
- * more come.
+ * Waiting order of suspect tasks that need an isolated start. The order of work goes by
+ * utility, and reserved hosts become free one at a time: by utility alone a task of low
+ * utility would wait for as long as suspect tasks with a higher one arrive.
  */
 
 import type { Monotonic } from "@rackspan/common";
 import { CRASH_LIMITS, type JobTask } from "@rackspan/jobs";
 
 export class IsolatedStartQueue {
-  /** Since when each has waited, the one that has waited longest first. */
+  /** Start of each task's wait, the longest wait first. */
   private readonly since = new Map<JobTask, Monotonic>();
-  /** Those whose turn is before others in this pass, and has not come yet. */
+  /** Tasks that go before others in this scheduling cycle and have not been taken yet. */
   private overdue: JobTask[] = [];
 
   startCycle(now: Monotonic): void {
@@ -37,7 +36,10 @@
     return now - since >= CRASH_LIMITS.isolationGraceMs;
   }
 
-  /** The overdue tasks among these, in the order of their turns; each is given once a pass. */
+  /**
+   * Returns the overdue tasks among these, the longest wait first. Each is returned
+   * once per scheduling cycle.
+   */
   takeOverdue(isAmong: (task: JobTask) => boolean): readonly JobTask[] {
     const taken = this.overdue.filter(isAmong);
     this.overdue = this.overdue.filter((task) => !isAmong(task));
--- a/packages/scheduling/src/JobEngine.ts
+++ b/packages/scheduling/src/JobEngine.ts
@@ -1,6 +1,6 @@
 /**
- * Runs all jobs of a site for as long as this process leads: decides which task
- * starts where, follows what hosts report, and keeps what ended in the store.
+ * Runs all jobs of a site while this process is the leader: decides which task starts
+ * on which host, processes the hosts' reports, and persists the ends of tasks and jobs.
  */
 
 import type {
@@ -56,9 +56,12 @@
 
 const EJECTION = {
   failuresToEject: 3,
-  /** First time out of service, milliseconds; it doubles up to the longest. */
+  /**
+   * Duration of the first ejection, milliseconds; each further one lasts twice as long,
+   * up to `maxEjectMs`.
+   */
   ejectMs: 3_000,
-  /** Longest time out of service, milliseconds. */
+  /** Longest ejection, milliseconds. */
   maxEjectMs: 12_000,
   maxEjectedShare: 0.5,
 } as const;
@@ -183,7 +186,7 @@
     this.dispatcher.requestCycle();
   }
 
-  /** Gives no more orders; hosts go on until their leases are over. */
+  /** Stops sending orders. Workers continue their runs until their leases expire. */
   stop(): void {
     this.stopped = true;
     this.permits.stop();
@@ -193,7 +196,7 @@
     this.timer?.cancel();
   }
 
-  /** Takes what a former leader has learnt; it may come at any time. */
+  /** Restores what a previous leader has learned. May be called at any time. */
   restoreLearned(records: readonly LearnedRecord[]): void {
     this.learnt.restore(records);
   }
@@ -222,9 +225,9 @@
   }
 
   /**
-   * Jobs whose records the store need not keep any longer.
+   * Returns the ended jobs whose records the store may delete.
    *
-   * @param keepMs how long ended jobs are kept, milliseconds
+   * @param keepMs how long records of ended jobs are retained, milliseconds
    */
   expiredJobs(keepMs: number): JobId[] {
     return this.jobs.endedBefore(this.options.clock.now() - keepMs);
@@ -234,7 +237,10 @@
     this.jobs.delete(id);
   }
 
-  /** Queues may have another service, or a zone may be closed or open to starts. */
+  /**
+   * Called when the operator's configuration may have changed: a queue may use another
+   * service, or a zone may have been closed or opened for starts.
+   */
   handleOperatorChange(): void {
     this.dispatcher.requestCycle();
   }
@@ -243,17 +249,19 @@
     this.intake.attach(host, session);
   }
 
-  /** Does nothing when the host has another session by now. */
+  /** Does nothing if the host has another session by now. */
   detach(host: HostId, session: HostSession): void {
     this.intake.detach(host, session);
   }
 
   /**
-   * The worker has ended, by its own word or since another life answers for it.
+   * Handles the end of a worker, which the worker reported itself or which follows from
+   * another incarnation answering in its place.
    *
-   * @param lostRuns runs of ended lives that may have been at work then
-   * @param unheardEnds runs of ended lives that had ended before
-   * @returns whether this leader has taken note of it, and a next one will not wait for it
+   * @param lostRuns runs of ended incarnations that may have been at work at that time
+   * @param unheardEnds runs of ended incarnations that had ended before
+   * @returns whether this leader has persisted the removal, so that the next leader
+   *   does not wait for the worker
    */
   async handleWorkerGone(
     host: HostId,
@@ -272,12 +280,13 @@
   }
 
   /**
-   * The host's worker does not answer its side, which renews no lease until it has
-   * reported an answer.
+   * Handles the message that the host's worker does not answer its side. The side
+   * renews no lease until it has reported an answer.
    *
-   * @param overInMs until every lease of the worker is over, as its side knows them;
-   *   undefined when it does not
-   * @param neverBegun lost runs that never began, by the answers to their orders
+   * @param overInMs time until every lease of the worker has expired, as computed by
+   *   its side; undefined when the side cannot compute it
+   * @param neverBegun lost runs that never started, according to the answers to their
+   *   start orders
    * @returns whether this leader may still decide
    */
   handleWorkerSilent(
@@ -291,7 +300,7 @@
     return this.options.mayDecide();
   }
 
-  /** Takes a host's report. */
+  /** Processes a host's report and returns the lease for its worker. */
   handleReport(
     host: HostId,
     zone: AvailabilityZone,
@@ -307,7 +316,8 @@
       this.intake.addToRoster(entry);
     }
     if (ledger.reportedAt !== undefined && report.at <= ledger.reportedAt) {
-      // The worker has not answered since: nothing is known anew.
+      // The worker has not answered since the last report, so this one contains nothing
+      // new.
       logger.warn("report.stale", { host, at: report.at });
       return { acknowledged: ledger.acknowledgedEnds };
     }
@@ -320,7 +330,7 @@
     this.checkpoints.trackTasks(tasks);
     learnInterference(ledger, this.interference, now);
     updateSlowness(entry, this.hosts, now);
-    // What is still to be listed may have ended under a former leader.
+    // Ends that are not listed yet may belong to runs that a previous leader started.
     if (report.hasMoreEnds) gate.clearSilence(host);
     else gate.recordReport(host);
     this.dispatcher.requestCycle();
@@ -329,7 +339,10 @@
     return this.grant(entry, report, now);
   }
 
-  /** A lease for a host that the store keeps, while this process may decide. */
+  /**
+   * Grants a lease if the store has recorded the host's worker and this process may
+   * decide.
+   */
   private grant(
     { ledger, rostered }: HostEntry,
     report: HostReport,
@@ -346,7 +359,10 @@
     };
   }
 
-  /** Such a start brings a lease by the clock of another life, so it may be the longest. */
+  /**
+   * Such a start carries a lease by the clock of another incarnation, so it may expire
+   * later than every other lease.
+   */
   private noteFormerStarts(
     { ledger }: HostEntry,
     { formerStartsForMs = 0 }: HostReport,
@@ -375,7 +391,7 @@
     this.stops.orderDueStops(entry);
   }
 
-  /** Sets the next tick, in place of one that is due later. */
+  /** Schedules the next tick and replaces one that is due later. */
   private schedule(): void {
     const { clock } = this.options;
     this.timer?.cancel();
@@ -391,7 +407,10 @@
     });
   }
 
-  /** When a host's leases are over its tasks may start elsewhere, so no tick comes later. */
+  /**
+   * Computes when the next tick is due: no later than the expiry of a host's leases,
+   * because its tasks may then start elsewhere.
+   */
   private nextTickAt(): Monotonic {
     const now = this.options.clock.monotonic();
     const overBy = Math.max(now, this.watch.nextLeaseExpiry());
@@ -400,7 +419,10 @@
     return Math.min(now + ENGINE.tickMs, soonest);
   }
 
-  /** Tells how late the timers of this process are: it may be short of processor time. */
+  /**
+   * Records how late the timers of this process are. Late timers suggest that it lacks
+   * processor time.
+   */
   private noteLateness(lateMs: number): void {
     const { logger, metrics } = this.options;
     metrics.latency("timer_lag").record(lateMs);
--- a/packages/scheduling/src/JobFinisher.ts
+++ b/packages/scheduling/src/JobFinisher.ts
@@ -1,4 +1,7 @@
-/** Ends jobs: by their tasks, by spent attempts or by their callers. */
+/**
+ * Ends jobs whose tasks are all done, whose tasks have reached a limit, or that were
+ * cancelled by their callers.
+ */
 
 import type { JobRun, JobTask } from "@rackspan/jobs";
 import type { JobStateName } from "@rackspan/state";
--- a/packages/scheduling/src/JobRegistry.ts
+++ b/packages/scheduling/src/JobRegistry.ts
@@ -1,4 +1,4 @@
-/** All jobs that the leader knows, and which of them may have tasks to start. */
+/** All jobs of the leader, and those that may have tasks to start. */
 
 import type { JobTaskId } from "@rackspan/common";
 import type { JobRun, JobTask } from "@rackspan/jobs";
@@ -6,7 +6,9 @@
 import type { TrackedJob } from "./engineTypes.js";
 
 export class JobRegistry {
-  /** Jobs that may have tasks to start; a pass drops those that have none. */
+  /**
+   * Jobs that may have tasks to start. A scheduling cycle removes those that have none.
+   */
   readonly active = new Set<TrackedJob>();
   private readonly entries = new Map<JobId, TrackedJob>();
 
@@ -42,7 +44,7 @@
     return live.job.task(occurrence, step, index);
   }
 
-  /** Jobs that ended before the given time, by the wall clock. */
+  /** Returns the jobs that ended before the given wall-clock time. */
   endedBefore(time: number): JobId[] {
     const ended: JobId[] = [];
     for (const { job } of this.entries.values()) {
--- a/packages/scheduling/src/LearnedStateStore.ts
+++ b/packages/scheduling/src/LearnedStateStore.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps in the store, at an interval, what this leader has learnt, and takes
- * over what the last one had: a new leader would disturb serving tasks for as
- * long as it takes to learn the pairs of images again.
+ * Persists learned state at an interval, and restores the state of the previous leader.
+ * Without it a new leader would disturb serving tasks until it has learned the pairs of
+ * images again.
  */
 
 import type { Clock, Logger, Timer } from "@rackspan/common";
@@ -13,7 +13,7 @@
 } from "@rackspan/state";
 import type { RuntimeEstimator } from "./RuntimeEstimator.js";
 
-/** Older records say nothing of what runs now, milliseconds. */
+/** Older records do not describe the current workload, milliseconds. */
 const MAX_AGE_MS = 600_000;
 
 export interface LearnedStateStoreOptions {
@@ -44,7 +44,10 @@
     this.timer?.cancel();
   }
 
-  /** Takes what a former leader had learnt, where this one knows nothing yet. */
+  /**
+   * Restores what a previous leader has learned, where this one has learned nothing
+   * yet.
+   */
   restore(records: readonly LearnedRecord[]): void {
     const {
       interference,
--- a/packages/scheduling/src/PermitTracker.ts
+++ b/packages/scheduling/src/PermitTracker.ts
@@ -1,7 +1,7 @@
 /**
- * Knows which hosts may run the steps of queues that ask for permits, and holds
- * the tickets. The service is asked in the background, for as many hosts as a
- * step may need; a step waits only until the first answer is in.
+ * Tracks which hosts may run the steps of queues that require permits, and holds the
+ * tickets. Requests to the permit service are sent in the background and name as many
+ * hosts as a step may need. A step waits only for its first response.
  */
 
 import PQueue from "p-queue";
@@ -22,29 +22,32 @@
 import type { PermitRule } from "@rackspan/state";
 import { StepPermits } from "./StepPermits.js";
 
-/** Two requests keep a service busy that works on one; the others bound what waits for it. */
+/**
+ * Two concurrent requests keep a service busy that processes one at a time; the other
+ * limits bound how many requests wait.
+ */
 export const PERMIT_REQUESTS = {
-  /** Requests on their way at once: the service works on one at a time, in turn. */
+  /** Maximum concurrent requests. The service processes one at a time, in order. */
   concurrency: 2,
-  /** Steps that may wait for a request; others ask again at a later pass. */
+  /** Maximum queued requests; further steps request again in a later scheduling cycle. */
   maxQueued: 64,
-  /** Hosts named for each waiting task: the service refuses some of them. */
+  /** Hosts named per waiting task, since the service refuses some of them. */
   hostsPerTask: 3,
-  /** Hosts named at least, where there are as many. */
+  /** Minimum number of hosts named, if there are as many. */
   minHosts: 8,
-  /** A step whose request failed asks again after this; milliseconds. */
+  /** Time until a step whose request failed requests again, milliseconds. */
   retryMs: 250,
-  /** Time for an answer beyond what the queue says that the service takes; milliseconds. */
+  /** Time added to the processing time that the queue's rule states, milliseconds. */
   slackMs: 1_000,
 } as const;
 
 export interface PermitTrackerOptions {
-  /** Undefined where the platform has no such service. */
+  /** Undefined if the platform has no permit service. */
   readonly service: PermitService | undefined;
   readonly clock: Clock;
   readonly logger: Logger;
   readonly metrics: Metrics;
-  /** Called when tickets have come. */
+  /** Called when a permit request has finished. */
   readonly onTickets: () => void;
 }
 
@@ -70,18 +73,21 @@
     this.queue.clear();
   }
 
-  /** The ticket to start tasks of the step there with now, if there is one. */
+  /**
+   * Returns the ticket with which tasks of the step may start on the host now, if there
+   * is one.
+   */
   ticketFor(step: StepRun, host: HostState): string | undefined {
     const now = this.options.clock.monotonic();
     return this.steps.get(step)?.ticketFor(host.instance, now);
   }
 
-  /** The worker refused the ticket: it is asked for anew. */
+  /** Discards a ticket that the worker refused, so that a new one is requested. */
   discardTicket(step: StepRun, host: HostState): void {
     this.steps.get(step)?.discardTicket(host.instance);
   }
 
-  /** Asks for more permits of the step, unless that is under way. */
+  /** Requests more permits for the step, unless a request is in progress. */
   request(wish: StepPermitRequest): void {
     const { service } = this.options;
     const { step, rule } = wish;
@@ -100,7 +106,7 @@
     });
   }
 
-  /** Once: without a service, steps that want a permit never start. */
+  /** Logged once: without a service, steps that require a permit never start. */
   private logNoService(step: StepRun): void {
     if (this.loggedNoService) return;
     this.loggedNoService = true;
@@ -111,12 +117,15 @@
     if (asking || this.stopped) return false;
     if (this.options.clock.monotonic() < pausedUntil) return false;
     if (this.queue.size < PERMIT_REQUESTS.maxQueued) return true;
-    // The step asks again at a later pass.
+    // The step requests again in a later scheduling cycle.
     this.options.metrics.count("permit_requests", { result: "left-out" });
     return false;
   }
 
-  /** Workers without a ticket that may get one, as many as are worth asking for. */
+  /**
+   * Returns the workers that have no ticket and may get one, up to the number that is
+   * useful to name.
+   */
   private toName(
     { step, hosts }: StepPermitRequest,
     permits: StepPermits,
@@ -198,6 +207,6 @@
   }
 }
 
-/** As task ids of the step begin. */
+/** The prefix of the task ids of the step. */
 const nameOf = ({ job, occurrence, number }: StepRun): string =>
   `${job.id}.${occurrence}.${number}`;
--- a/packages/scheduling/src/ProgressRecorder.ts
+++ b/packages/scheduling/src/ProgressRecorder.ts
@@ -1,4 +1,4 @@
-/** Keeps what changed of jobs, and only then lets workers forget their ends. */
+/** Persists changed jobs, and acknowledges ends to workers only afterwards. */
 
 import { describeError, type Logger } from "@rackspan/common";
 import type { JobRun, ProgressJournal } from "@rackspan/jobs";
@@ -21,10 +21,10 @@
   }
 
   /**
-   * Acknowledges the ends noted of the host so far once the jobs are kept.
+   * Acknowledges the processed ends of the host once the jobs are persisted.
    *
    * @param ended the jobs whose ends were listed
-   * @param changed those of them of which something new must be kept
+   * @param changed those of them whose progress has changed and must be persisted
    */
   recordEnds(
     entry: HostEntry,
@@ -34,8 +34,9 @@
     const { journal } = this.options;
     const { ledger } = entry;
     const { instance, processedEnds: notedEnds } = ledger;
-    // An end that changes nothing waits for what its job has changed by: the same
-    // end may have been taken before, from an entry of the host that is gone.
+    // An end without changes still waits until earlier changes of its job are
+    // persisted: the same end may have been processed before, through an entry of the
+    // host that was removed.
     const writes = [...ended].map((job) =>
       changed.has(job) ? journal.persist(job) : journal.flushed(job),
     );
--- a/packages/scheduling/src/RunAdopter.ts
+++ b/packages/scheduling/src/RunAdopter.ts
@@ -1,4 +1,4 @@
-/** Takes over runs that a former leader started, and stops those that are not wanted. */
+/** Adopts runs that a previous leader started, and stops those that are not wanted. */
 
 import type { WorkerTime } from "@rackspan/common";
 import {
@@ -15,12 +15,12 @@
 export class RunAdopter {
   constructor(private readonly parts: EngineParts) {}
 
-  /** @param rows runs that the host lists and its ledger does not know */
+  /** @param rows runs that the host lists and that the leader has not recorded for it */
   adopt(entry: HostEntry, rows: readonly RunningTask[]): void {
     const { hosts } = this.parts;
     const adopted: JobTask[] = [];
     const strays: OrphanRun[] = [];
-    // Of two runs of one task the later is the one that was wanted last.
+    // Of two runs of one task the later one is adopted, since it was ordered last.
     const latestFirst = [...rows].sort((a, b) => b.run - a.run);
     for (const row of latestFirst) {
       const task = this.findWaitingTask(row);
@@ -55,7 +55,7 @@
       run,
       phase: "running",
       startedAt: now,
-      // Of a former leader's announced run it is not known how long it has worked.
+      // It is not known how long a write-ahead run of a previous leader has worked.
       isolationMs: task.writeAheadRun === run ? task.crashLog.isolationMs : 0,
       firstSeenAt: ledger.reportedAt,
       lastSeenAt: ledger.reportedAt,
@@ -68,7 +68,10 @@
     };
   }
 
-  /** Its job may have been read, or forgotten, since the report before. */
+  /**
+   * Creates the orphan of a listed run and retains the stop order of an earlier report.
+   * The task is looked up again: its job may have been read, or forgotten, since then.
+   */
   private strayOf(entry: HostEntry, row: RunningTask): OrphanRun {
     const known = entry.ledger.orphanOf(row);
     if (!known) this.log("task.stray", entry, row);
--- a/packages/scheduling/src/RunEndHandler.ts
+++ b/packages/scheduling/src/RunEndHandler.ts
@@ -1,4 +1,4 @@
-/** Takes the ends of runs that workers list, in the order in which they came. */
+/** Processes the ended runs that workers list, in the order in which they ended. */
 
 import { avoidHost, type JobRun, type JobTask } from "@rackspan/jobs";
 import type { EndedRun } from "@rackspan/ports";
@@ -34,7 +34,7 @@
     return new Set(tasks.flatMap((task) => (task ? [task.step.job] : [])));
   }
 
-  /** @returns the job when what must be kept of it has changed */
+  /** @returns the job if its progress has changed and must be persisted */
   private takeOne(entry: HostEntry, end: EndedRun): JobRun | undefined {
     const { jobs, hosts, runs, closer } = this.parts;
     const task = jobs.findTask(end.task);
@@ -59,10 +59,10 @@
   }
 
   /**
-   * Takes the end of a run when a later one of the task is under way. Only a failure
-   * counts: a new leader hears of runs in any order of hosts, and a failure that is
-   * passed over would allow a start past the task's attempts. What the run had saved
-   * does not: the later one may have saved more.
+   * Handles the end of a run while a later run of the task is placed. Only a failure
+   * counts: a new leader receives the hosts' reports in any order, and ignoring a
+   * failure would allow a start beyond the task's attempt limit. The checkpoint of the
+   * earlier run does not count, since the later run may have saved a newer one.
    */
   private takeEarlier(task: JobTask, end: EndedRun): JobRun | undefined {
     if (end.outcome !== "failed") return undefined;
@@ -101,7 +101,7 @@
     const { host } = ledger;
     if (outcome === "done") {
       ejector.report({ host, ok: true });
-      // A run that went on from a checkpoint took less than the whole task.
+      // A run that continued from a checkpoint took less time than the whole task.
       if (!active || task.checkpoint !== "") return;
       const tookMs = options.clock.monotonic() - active.run.startedAt;
       estimates.recordRunTime(task.step, tookMs);
@@ -112,7 +112,10 @@
   }
 }
 
-/** An end that the lease outlived was never taken note of: it is void. */
+/**
+ * Marks ends that were listed before the last lapse as lapsed: the lease expired before
+ * they were processed, so they are void. Failures still count.
+ */
 const voidOutlived = (ended: readonly EndedRun[]): EndedRun[] => {
   const lastLapse = ended.findLastIndex(({ outcome }) => outcome === "lapsed");
   return ended.map((end, at) =>
--- a/packages/scheduling/src/RunStarter.ts
+++ b/packages/scheduling/src/RunStarter.ts
@@ -1,4 +1,4 @@
-/** Orders hosts to start runs, and takes note of what they answer. */
+/** Orders hosts to start runs, and processes their answers. */
 
 import {
   describeError,
@@ -30,35 +30,38 @@
   readonly permitTracker: PermitTracker;
   /** Called when a task of the job waits again. */
   readonly onTaskWaiting: (job: JobRun) => void;
-  /** Called when the answer to an order shows that a run lost before it never began. */
+  /**
+   * Called when the answer to an order shows that a run that was counted as lost never
+   * started.
+   */
   readonly onNeverStarted: (run: ActiveRun) => void;
 }
 
-/** How a run is to begin. */
+/** Options for the start of a run. */
 export interface RunStartOptions {
-  /** The step's permit for the host, where its queue asks for one. */
+  /** The step's permit for the host, if its queue requires one. */
   readonly ticket: string | undefined;
-  /** For how long no other run begins beside it, milliseconds. */
+  /** For how long no other run may start on the same host, milliseconds. */
   readonly isolationMs: number;
 }
 
-/** What an order to start says beside the task. */
+/** Fields of a start order beside the task. */
 interface StartTerms {
-  /** The step's permit for the host, where its queue asks for one. */
+  /** The step's permit for the host, if its queue requires one. */
   readonly ticket: string | undefined;
-  /** Pace at which the task begins, percent. */
+  /** Pace at which the task starts, percent. */
   readonly firstPercent: number;
 }
 
-/** What came of an order to start. */
+/** Result of a start order. */
 interface StartAnswer {
   readonly result: HostCallResult;
   readonly sentAt: Monotonic;
-  /** Whether the run still waited for it. */
+  /** Whether the run was still waiting for the answer. */
   readonly isAwaited: boolean;
 }
 
-/** Answers to an order that tell that its run has not begun, and never will. */
+/** Answers to a start order which show that the run has not started and never will. */
 const NOT_BEGUN: readonly HostCallResult["kind"][] = [
   "refused",
   "replaced",
@@ -101,7 +104,8 @@
       crawlingSince: undefined,
       stop: undefined,
     };
-    // Told before the run is in the ledger: the forecast counts what is there.
+    // Computed before the run is added to the host, because the forecast counts the
+    // runs that are placed there.
     const firstPercent = this.firstPercent(ledger, task);
     if (!hosts.place(host, run)) {
       this.logAlreadyPlaced(host, run);
@@ -112,8 +116,8 @@
   }
 
   /**
-   * Frees a run that does not run and never will, and lets its task wait again.
-   * @param reason what showed that it never will, for logs
+   * Releases a run that is not running and never will, so that its task waits again.
+   * @param reason what showed that the run will never start, for logs
    */
   returnRun(host: HostEntry, run: ActiveRun, reason: string): void {
     this.logGivenBack(host, run, reason);
@@ -123,12 +127,15 @@
     this.notifyWaiting(task);
   }
 
-  /** A task has no run any more: it may have its next one. */
+  /** Notifies the engine that the task has no run any more and may get its next one. */
   notifyWaiting(task: JobTask): void {
     this.options.onTaskWaiting(task.step.job);
   }
 
-  /** Tells which run the task has at that moment: it should be the one given back. */
+  /**
+   * Logs the returned run and the run that the task has at that moment. They should be
+   * the same.
+   */
   private logGivenBack(host: HostEntry, run: ActiveRun, reason: string): void {
     const { logger, metrics } = this.options;
     metrics.count("runs_given_back", { reason });
@@ -137,14 +144,14 @@
     logger.info("task.given-back", fields);
   }
 
-  /** Only a fault of the caller's: waiting tasks have no run. */
+  /** Only a bug in the caller leads here, since a waiting task has no run. */
   private logAlreadyPlaced(host: HostEntry, run: ActiveRun): void {
     const { logger, metrics } = this.options;
     metrics.count("starts_beside_a_run");
     logger.error("task.already-placed", this.whereabouts(host, run));
   }
 
-  /** A run, and the one that its task has at that moment. */
+  /** Log fields of a run and of the run that its task has at that moment. */
   private whereabouts({ ledger }: HostEntry, { task, run }: ActiveRun) {
     const current = this.options.hosts.placementOf(task);
     return {
@@ -180,7 +187,10 @@
     else if (NOT_BEGUN.includes(result.kind)) this.options.onNeverStarted(run);
   }
 
-  /** An order without an answer is taken as one to a silent worker. */
+  /**
+   * Sends the start order. An order without an answer is treated like one to a silent
+   * worker.
+   */
   private async callStart(
     { ledger, session }: HostEntry,
     { task, run, orderExpiresAt: orderLapsesAt }: ActiveRun,
@@ -211,7 +221,10 @@
     }
   }
 
-  /** Whether an answer decides on the run; one that was lost meanwhile has been settled. */
+  /**
+   * Whether the answer still decides on the run. A run that was lost in the meantime
+   * has been handled already.
+   */
   private awaitsAnswer(run: ActiveRun): boolean {
     return this.options.hosts.isCurrent(run) && run.phase === "starting";
   }
@@ -262,7 +275,7 @@
     }
   }
 
-  /** A host that refuses is left alone, unless only the step's ticket is refused. */
+  /** Pauses a host that refuses a start, unless it refuses only the step's ticket. */
   private pauseAfterRefusal(
     host: HostEntry,
     { task }: ActiveRun,
@@ -278,8 +291,9 @@
   }
 
   /**
-   * Until the next report the leader cannot know better, and the next pass would
-   * order the same there, some tasks several times before that report.
+   * Pauses starts on the host. Until its next report the leader has no newer state of
+   * the host, and the next scheduling cycle would send the same order again, for some
+   * tasks several times before that report.
    */
   private pauseHost({ ledger }: HostEntry): void {
     const { clock } = this.options;
@@ -287,6 +301,6 @@
   }
 }
 
-/** The worker's clock as it can be told from its last report. */
+/** Returns the worker's clock, extrapolated from its last report. */
 const workerClock = (ledger: HostState, now: number): number =>
   Math.floor((ledger.reportedAt ?? 0) + (now - ledger.reportReceivedAt));
--- a/packages/scheduling/src/RunStopper.ts
+++ b/packages/scheduling/src/RunStopper.ts
@@ -1,4 +1,7 @@
-/** Orders hosts to stop runs, until the worker has confirmed it or the run is gone. */
+/**
+ * Orders hosts to stop runs, until the worker has confirmed the stop or the run is
+ * gone.
+ */
 
 import { describeError } from "@rackspan/common";
 import {
@@ -14,7 +17,10 @@
 export class RunStopper {
   constructor(private readonly options: EngineOptions) {}
 
-  /** Orders a stop; its room is taken until the worker lists the end. */
+  /**
+   * Orders a stop. The resources of the run stay allocated until the worker lists its
+   * end.
+   */
   stop(host: HostEntry, run: ActiveRun, reason: string): void {
     if (run.stop) return;
     run.phase = "stopping";
@@ -23,7 +29,9 @@
     void this.orderStop(host, runRefOf(run), run.stop);
   }
 
-  /** Orders the stops that have not arrived, or that the worker has not carried out. */
+  /**
+   * Repeats stop orders that have not arrived, or that the worker has not carried out.
+   */
   orderDueStops(host: HostEntry): void {
     const { clock, stopMs } = this.options;
     const now = clock.monotonic();
@@ -35,7 +43,7 @@
     }
   }
 
-  /** Without a connection the stop stays due. */
+  /** Sends the order. Without a session the stop stays due. */
   private async orderStop(
     { ledger, session }: HostEntry,
     ref: RunRef,
@@ -57,7 +65,7 @@
       const error = describeError(err);
       logger.warn("task.stop-unanswered", { ...ref, host, reason, error });
     }
-    // A later order may be on its way by now, on another connection.
+    // A later order may have been sent in the meantime, over another connection.
     if (stop.sentAt === sentAt) stop.sentAt = undefined;
   }
 }
--- a/packages/scheduling/src/RunWriteAheadLog.ts
+++ b/packages/scheduling/src/RunWriteAheadLog.ts
@@ -1,8 +1,9 @@
 /**
- * Tells the store of a run before it is ordered, where workers have crashed under
- * its task. Starts are not written down else, so a leader that ends with the crash
- * would leave no trace of it, and the next one would start the task as often again.
- * Only suspected tasks wait for the store: one append of about 10 ms.
+ * Persists a run before it is ordered if workers have crashed under its task. Other
+ * starts are not persisted. Without the record, a leader that ends together with the
+ * crashed worker would leave no trace of the run, and the next leader would start the
+ * task as often again. Only suspect tasks wait for the store: one append of about 10
+ * ms.
  */
 
 import { describeError, type Logger, type RunNumber } from "@rackspan/common";
@@ -12,9 +13,9 @@
   readonly journal: ProgressJournal;
   readonly logger: Logger;
   readonly nextRunNumber: () => RunNumber;
-  /** Called when the store keeps an announcement: its task may be started. */
+  /** Called when the store has recorded a run, so that its task may be started. */
   readonly onRecorded: () => void;
-  /** Judges what former leaders left of the task; its job may have ended then. */
+  /** Judges a write-ahead run of a previous leader; the task's job may end thereby. */
   readonly resolvePreviousRun: (task: JobTask) => void;
 }
 
@@ -24,20 +25,21 @@
 }
 
 export class RunWriteAheadLog {
-  /** Announced by this leader, and not ordered yet. */
+  /** Runs that this leader has recorded and not ordered yet. */
   private readonly open = new Map<JobTask, Announcement>();
 
   constructor(private readonly options: RunWriteAheadLogOptions) {}
 
-  /** Whether workers crashed under the task so often that its next run is announced. */
+  /** Whether enough workers crashed under the task that its next run must be recorded. */
   needsRecord(task: JobTask): boolean {
     return task.writeAheadRun !== undefined || crashLogOf(task).isSuspect;
   }
 
   /**
-   * The run that the tasks may be started with now.
-   * @param tasks one task, or all of a gang that wait
-   * @returns undefined while the store does not keep it; a pass is asked for then
+   * Returns the run number with which the tasks may be started now.
+   * @param tasks one task, or all waiting tasks of a gang
+   * @returns undefined until the store has recorded the run; `onRecorded` is called
+   *   then
    */
   recordedRunFor(tasks: readonly JobTask[]): RunNumber | undefined {
     if (!tasks.some((task) => this.needsRecord(task))) {
@@ -55,7 +57,10 @@
     return announcement.isKept ? announcement.run : undefined;
   }
 
-  /** The run is being ordered: the task's next one needs an announcement of its own. */
+  /**
+   * Called when the run is being ordered: the task's next run needs a record of its
+   * own.
+   */
   markOrdered(task: JobTask): void {
     this.open.delete(task);
   }
@@ -81,7 +86,9 @@
     );
   }
 
-  /** Their jobs were cancelled, or given up, before they were ordered. */
+  /**
+   * Removes runs of jobs that were cancelled or failed before their runs were ordered.
+   */
   private forgetEnded(): void {
     for (const task of this.open.keys()) {
       if (task.step.job.isEnded) this.open.delete(task);
@@ -93,7 +100,7 @@
     this.options.onRecorded();
   }
 
-  /** Another leader has taken over: this one starts nothing more. */
+  /** Another leader has taken over, so this one starts nothing more. */
   private noteNotKept(tasks: readonly JobTask[], err: unknown): void {
     this.options.logger.warn("task.not-announced", {
       task: tasks[0]?.id,
--- a/packages/scheduling/src/RuntimeEstimator.ts
+++ b/packages/scheduling/src/RuntimeEstimator.ts
@@ -1,7 +1,7 @@
 /**
- * Corrects what callers guess about run times by what the tasks of the same step took,
- * and before one is done by those of their queue.
- * Soft state: a new leader takes over what the last one kept, where there is any.
+ * Corrects callers' estimates of run times by the run times of finished tasks of the
+ * same step, or of the same queue while no task of the step is done. This is soft
+ * state: a new leader restores what the previous one persisted, if there is any.
  */
 
 import { MILLI_CORES_PER_CORE, type Instant } from "@rackspan/common";
@@ -11,7 +11,7 @@
 const ESTIMATES = {
   /** Weight of one observation in the moving mean of the logarithm. */
   weight: 0.05,
-  /** A single observation counts as at most this factor, either way. */
+  /** Maximum factor, in either direction, that a single observation counts as. */
   maxFactor: 8,
 } as const;
 
@@ -20,17 +20,17 @@
   private readonly corrections = new Map<QueueKey, number>();
 
   /**
-   * Mean run time of the tasks of a step that are done, milliseconds, and their number.
-   * A step's tasks are alike, and callers' estimates are often far off.
+   * Mean run time of the finished tasks of a step, milliseconds, and their number.
+   * Tasks of a step are alike, and callers' estimates are often far off.
    */
   private readonly seen = new WeakMap<StepRun, { ms: number; tasks: number }>();
 
   private changed = false;
 
-  /** @param corrects whether run times that were seen change anything */
+  /** @param corrects whether observed run times correct the estimates */
   constructor(private readonly corrects: boolean) {}
 
-  /** @param tookMs run time of one task that ended done */
+  /** @param tookMs run time of one task that ended as done */
   recordRunTime(step: StepRun, tookMs: number): void {
     if (!this.corrects || tookMs <= 0) return;
     this.noteSeen(step, tookMs);
@@ -44,7 +44,10 @@
     this.changed = true;
   }
 
-  /** What was learnt; undefined when that is nothing new since it was last taken here. */
+  /**
+   * Returns the learned corrections; undefined if they have not changed since the last
+   * call.
+   */
   takeChanged(now: Instant): LearnedEstimates | undefined {
     if (!this.changed) return undefined;
     this.changed = false;
@@ -53,8 +56,8 @@
   }
 
   /**
-   * Takes what a former leader learnt.
-   * @returns whether it was of use: nothing was learnt here yet
+   * Restores what a previous leader has learned.
+   * @returns whether it was used; it is ignored if something was learned here already
    */
   restore({ corrections }: LearnedEstimates): boolean {
     if (!this.corrects || this.corrections.size > 0) return false;
@@ -69,7 +72,7 @@
     this.seen.set(step, { ms: mean, tasks: tasks + 1 });
   }
 
-  /** Expected run time of one task, milliseconds. */
+  /** Returns the expected run time of one task, milliseconds. */
   taskMs(step: StepRun): number {
     const seen = this.seen.get(step);
     if (seen) return seen.ms;
@@ -78,7 +81,10 @@
     return step.estimateMs * correction;
   }
 
-  /** Core-milliseconds that the job still needs; lasting steps count nothing. */
+  /**
+   * Returns the core-milliseconds that the job still needs. Lasting steps are not
+   * counted.
+   */
   remainingWork(job: JobRun): number {
     return this.sumWork(
       job,
@@ -86,12 +92,18 @@
     );
   }
 
-  /** The same of tasks that run nowhere. */
+  /**
+   * Returns the core-milliseconds of the tasks that are not placed. Lasting steps are
+   * not counted.
+   */
   unplacedWork(job: JobRun): number {
     return this.sumWork(job, ({ waiting }) => waiting.size);
   }
 
-  /** The same of all tasks, also of those that are done. */
+  /**
+   * Returns the core-milliseconds of all tasks, including finished ones. Lasting steps
+   * are not counted.
+   */
   totalWork(job: JobRun): number {
     return this.sumWork(job, ({ tasks }) => tasks.length);
   }
@@ -105,12 +117,15 @@
     return total / MILLI_CORES_PER_CORE;
   }
 
-  /** Milliseconds of the longest chain of steps, as if each ran at once. */
+  /**
+   * Returns the duration of the longest chain of steps, milliseconds, if all tasks of a
+   * step run at the same time.
+   */
   chainMs(job: JobRun, occurrence: number): number {
     return this.longestChain(job, occurrence, () => true);
   }
 
-  /** Milliseconds of the longest chain of the steps that are not done yet. */
+  /** Returns the duration of the longest chain of unfinished steps, milliseconds. */
   remainingChainMs(job: JobRun, occurrence: number): number {
     return this.longestChain(job, occurrence, (step) => !step.isDone);
   }
--- a/packages/scheduling/src/SchedulingCycleTimer.ts
+++ b/packages/scheduling/src/SchedulingCycleTimer.ts
@@ -1,4 +1,7 @@
-/** Decides when a pass over the waiting work is made: soon after it is asked for, and once for many. */
+/**
+ * Schedules scheduling cycles: a cycle runs soon after it is requested, once for any
+ * number of requests.
+ */
 
 import type { Clock, Logger, Monotonic } from "@rackspan/common";
 import { ENGINE } from "./engineTypes.js";
@@ -10,12 +13,15 @@
 }
 
 export class SchedulingCycleTimer {
-  /** When the pass that is due was asked for; undefined when none is. */
+  /** When the pending cycle was requested; undefined if none is pending. */
   private dueSince: Monotonic | undefined;
 
   constructor(private readonly options: SchedulingCycleTimerOptions) {}
 
-  /** Makes a pass soon; many requests make one pass. Never makes it at once. */
+  /**
+   * Requests a cycle soon. Several requests lead to one cycle, which never runs
+   * synchronously.
+   */
   request(): void {
     if (this.dueSince !== undefined) return;
     const { clock } = this.options;
@@ -24,10 +30,10 @@
   }
 
   /**
-   * Makes a pass that was due long ago, without waiting for its timer: timers of a
-   * process that is short of time run late. Only for callers between two changes of
-   * the books: a pass in the middle of a report could start a task past its attempts,
-   * or beside a run that the report lists.
+   * Runs a cycle that is long overdue without waiting for its timer, since timers fire
+   * late in a process that lacks processor time. Call it only between two changes of
+   * the engine's state: a cycle in the middle of a report could start a task beyond its
+   * attempt limit, or beside a run that the report lists.
    */
   runIfOverdue(): void {
     if (this.dueSince === undefined) return;
--- a/packages/scheduling/src/StepPermits.ts
+++ b/packages/scheduling/src/StepPermits.ts
@@ -1,9 +1,9 @@
-/** What is known of the permits of one step: its tickets, and who may not run it. */
+/** State of the permits of one step: its tickets, and the workers that may not run it. */
 
 import type { Monotonic, WorkerInstance } from "@rackspan/common";
 import type { PermitResponse } from "@rackspan/ports";
 
-/** A ticket that holds for less than this is not used for a start; milliseconds. */
+/** A ticket that expires sooner than this is not used for a start, milliseconds. */
 const TICKET_MARGIN_MS = 150;
 
 interface Ticket {
@@ -12,22 +12,22 @@
 }
 
 export class StepPermits {
-  /** Whether a request is queued or on its way. */
+  /** Whether a request is queued or in progress. */
   isRequesting = false;
-  /** Not asked again before. */
+  /** No request is sent before this time. */
   pausedUntil: Monotonic = -Infinity;
   private readonly tickets = new Map<WorkerInstance, Ticket>();
-  /** Lives of workers that may not run the step; that never changes. */
+  /** Worker incarnations that may not run the step; a refusal never changes. */
   private readonly refused = new Set<WorkerInstance>();
 
-  /** The ticket for the worker, if one holds for long enough. */
+  /** Returns the worker's ticket if it is valid for long enough. */
   ticketFor(instance: WorkerInstance, now: Monotonic): string | undefined {
     const known = this.tickets.get(instance);
     if (!known || now + TICKET_MARGIN_MS >= known.validUntil) return undefined;
     return known.ticket;
   }
 
-  /** Whether the service may yet give a ticket that is not at hand. */
+  /** Whether the worker has no usable ticket and the service may still issue one. */
   needsTicket(instance: WorkerInstance, now: Monotonic): boolean {
     if (this.refused.has(instance)) return false;
     return this.ticketFor(instance, now) === undefined;
@@ -38,9 +38,11 @@
   }
 
   /**
-   * Takes an answer; workers that were asked for and are left out are refused.
+   * Applies a response. Workers that were named in the request and are missing in the
+   * response are refused.
    *
-   * @param askedAt tickets count from then: they cannot be valid for longer
+   * @param askedAt when the request was sent; the validity of tickets is counted from
+   *   then, so that it is never overestimated
    */
   applyAnswer(
     asked: readonly WorkerInstance[],
--- a/packages/scheduling/src/TailForecast.ts
+++ b/packages/scheduling/src/TailForecast.ts
@@ -1,13 +1,19 @@
-/** Forecasts the tails of serving tasks on a host by what was learnt of the images. */
+/**
+ * Forecasts the tail latencies of serving tasks on a host from the learned interference
+ * between images.
+ */
 
 import type { HostState, InterferenceEstimator } from "@rackspan/jobs";
 import type { ImageName } from "@rackspan/state";
 import type { SchedulingPolicy } from "./policy.js";
 
-/** Some progress shows what the task disturbs; share of full pace. */
+/**
+ * Minimum first pace as a share of full pace. Some progress is needed to observe what
+ * the task disturbs.
+ */
 const LEAST_FIRST_SHARE = 0.15;
 
-/** What adds less than this to the logarithm of a tail disturbs nobody. */
+/** Additions to the logarithm of a tail below this are ignored. */
 const NEGLIGIBLE = 0.02;
 
 export interface TailForecastOptions {
@@ -17,7 +23,7 @@
 
 export class TailForecast {
   private readonly interference: InterferenceEstimator;
-  /** Logarithm of the share of its target. */
+  /** Natural logarithm of the tail limit as a share of the target. */
   private readonly limit: number;
   private readonly policy: SchedulingPolicy;
 
@@ -27,16 +33,20 @@
     this.limit = Math.log(policy.fillingTailLimit);
   }
 
-  /** By how much the tail of a serving task placed there would pass the limit. */
+  /**
+   * Returns by how much the tail of a serving task placed on the host would exceed the
+   * limit.
+   */
   excessOverLimit(host: HostState, image: ImageName): number {
     const tail = this.interference.predict(image, host.fillingCores);
     return Math.max(0, tail - this.limit);
   }
 
   /**
-   * The most that a filling task of so many cores adds to a tail there.
+   * Returns the largest addition to a tail on the host by a filling task with this many
+   * cores.
    *
-   * @returns undefined when a tail would pass the limit
+   * @returns undefined if a tail would exceed the limit
    */
   maxAddedTail(
     host: HostState,
@@ -56,8 +66,8 @@
   }
 
   /**
-   * The share of full pace at which a filling task of so many cores may begin
-   * there without taking a tail past the limit.
+   * Returns the share of full pace at which a filling task with this many cores may
+   * start on the host without a tail exceeding the limit.
    */
   initialPaceShare(host: HostState, filling: ImageName, cores: number): number {
     if (!this.policy.startsSlowly) return 1;
@@ -72,9 +82,9 @@
   }
 
   /**
-   * Several tasks of an image often start on one host at once. Taken as harmless
-   * until it was seen to disturb, such an image would take tails far past
-   * their target within a look.
+   * Returns an upper bound of the weight. Several tasks of an image often start on one
+   * host at the same time. If such an image were assumed harmless until it is seen to
+   * disturb, tails would exceed their targets by far before the next poll.
    */
   private cautiousWeight(serving: ImageName, filling: ImageName): number {
     const { weightCaution } = this.policy;
@@ -82,8 +92,9 @@
   }
 
   /**
-   * Logarithm of the tail once all that was placed there runs at full pace: what
-   * was read last, and what tasks add that got less than they ask for by then.
+   * Returns the logarithm of the tail when all tasks placed on the host run at full
+   * pace: the last reading, plus the addition of tasks that used less than their demand
+   * at that time.
    */
   private atFullPace(host: HostState, serving: ImageName): number {
     const { tails, usedCores } = host.readings;
--- a/packages/scheduling/src/WaitMonitor.ts
+++ b/packages/scheduling/src/WaitMonitor.ts
@@ -1,6 +1,7 @@
 /**
- * Logs tasks that have waited for long, and what for. Without it nothing in the log
- * names a task between its end and its next start, however long that takes.
+ * Logs tasks that have waited for long, with the cause. Without these lines no log
+ * entry names a task between the end of a run and its next start, however long that
+ * takes.
  */
 
 import type { HostId, Monotonic } from "@rackspan/common";
@@ -10,15 +11,15 @@
 import { explainWait } from "./explainWait.js";
 
 const WAIT = {
-  /** How often waiting tasks are looked at, milliseconds. */
+  /** Interval of the checks, milliseconds. */
   lookEveryMs: 1_000,
   /** A wait is logged once it is this long, milliseconds. */
   tellAfterMs: 3_000,
-  /** And again after this, milliseconds. */
+  /** Interval at which the same wait is logged again, milliseconds. */
   tellEveryMs: 5_000,
-  /** Waits logged at one look, the longest ones. */
+  /** Maximum waits logged in one check; the longest are logged. */
   mostTold: 6,
-  /** Hosts named as not heard since the take-over. */
+  /** Maximum hosts named that have not reported since the takeover. */
   mostNamed: 4,
 } as const;
 
@@ -62,7 +63,10 @@
     for (const wait of due) this.tell(wait, now);
   }
 
-  /** This process leads no more: others tell how long tasks wait. */
+  /**
+   * Resets the gauges when this process is no longer the leader; the new leader reports
+   * the waits.
+   */
   stop(): void {
     this.next.clear();
     this.setGauges(this.parts.options.clock.monotonic());
--- a/packages/scheduling/src/baselineTaskPlacers.ts
+++ b/packages/scheduling/src/baselineTaskPlacers.ts
@@ -1,4 +1,7 @@
-/** Baselines to compare with: first fit, best fit and least loaded, by room alone. */
+/**
+ * Baselines for comparison that consider free resources alone: first fit, best fit and
+ * least loaded.
+ */
 
 import type { HostState, JobTask } from "@rackspan/jobs";
 import {
--- a/packages/scheduling/src/bestFitPlacer.ts
+++ b/packages/scheduling/src/bestFitPlacer.ts
@@ -1,4 +1,4 @@
-/** Baseline: the fullest host that still has room. */
+/** Baseline: prefers the fullest host that still has enough free resources. */
 
 import type { HostView, Placer } from "@rackspan/jobs";
 import type { Unit } from "@rackspan/state";
--- a/packages/scheduling/src/byAgeOrder.ts
+++ b/packages/scheduling/src/byAgeOrder.ts
@@ -1,4 +1,4 @@
-/** Baseline: by priority, then the oldest job first. */
+/** Baseline: sorts by priority, then the oldest job first. */
 
 import {
   sortByKeys,
--- a/packages/scheduling/src/bySlackOrder.ts
+++ b/packages/scheduling/src/bySlackOrder.ts
@@ -1,8 +1,8 @@
 /**
- * By priority, then by what can still be earned: jobs that can meet their
- * objective first, then those that would be late, then those for which any end
- * is too late. Among equals the job with the least work left goes first, since
- * a small job is worth more for each core-second than a large one.
+ * Sorts by priority, then by deadline feasibility: jobs that can meet their objective
+ * first, then those that would be late, then those that would end too late to be of
+ * use. Among equals the job with the least remaining work goes first, since a small job
+ * has more utility per core-second than a large one.
  */
 
 import type { Instant } from "@rackspan/common";
--- a/packages/scheduling/src/byUtilityOrder.ts
+++ b/packages/scheduling/src/byUtilityOrder.ts
@@ -1,10 +1,9 @@
 /**
- * By priority, then by what a job can still be worth to its callers for each
- * core-second of it that has no place yet. A step of many tasks is thus finished once
- * it has begun, and a large job does not wait behind all small ones until it is late
- * and its work of no use to anybody.
+ * Sorts by priority, then by the job's remaining utility per core-second of its
+ * unplaced work. So a step with many tasks is finished once it has started, and a large
+ * job does not wait behind all small ones until it is too late to be of use.
  *
- * Answers bulk work past what a site can do.
+ * Meant for bulk work that exceeds the capacity of a site.
  */
 
 import type { Instant } from "@rackspan/common";
@@ -23,26 +22,31 @@
   type StepOrderOptions,
 } from "./stepOrders.js";
 
-/** What a job is worth, in jobs of its queue that have the mean work (users' pages, "Credit"). */
+/**
+ * Utility of a job, in units of a job of its queue with the mean work (users' pages,
+ * "Credit").
+ */
 const WORTH = {
-  /** Whatever its work. */
+  /** Part that does not depend on the work. */
   fixed: 0.3,
-  /** For work like the mean, and in proportion to it. */
+  /** Part that is proportional to the work, for a job with the mean work. */
   byWork: 0.7,
   most: 4,
 } as const;
 
-/** Worth of an end by when it can be, where 1 is an end in time. */
+/**
+ * Share of the utility that is left by deadline feasibility, where 1 is an end in time.
+ */
 const WORTH_OF_HOPE: Readonly<Record<DeadlineFeasibility, number>> = {
   [DeadlineFeasibility.InTime]: 1,
   [DeadlineFeasibility.Late]: 0.15,
   [DeadlineFeasibility.TooLate]: 0,
 };
 
-/** Estimates of nothing are taken as this much, core-milliseconds. */
+/** Minimum estimate of work, core-milliseconds. */
 const LEAST_WORK = 1;
 
-/** Mean work of the jobs of one queue, as far as this leader has seen them. */
+/** Mean work of the jobs of one queue that this leader has seen. */
 interface MeanWork {
   jobs: number;
   total: number;
@@ -86,7 +90,7 @@
     this.means.set(queue, mean);
   }
 
-  /** Worth for each core-millisecond that has no place yet. */
+  /** Returns the utility per core-millisecond of unplaced work. */
   private densityOf(job: JobRun): number {
     const { fixed, byWork, most } = WORTH;
     const mean = this.means.get(job.accepted.spec.queue);
--- a/packages/scheduling/src/chooseGangHosts.ts
+++ b/packages/scheduling/src/chooseGangHosts.ts
@@ -1,10 +1,10 @@
-/** Chooses hosts for all tasks of a gang at once, on one rack where the step asks for it. */
+/** Chooses hosts for all tasks of a gang at once, on one rack if the step asks for it. */
 
 import { groupBy } from "@rackspan/common";
 import type { HostState, JobTask, StepRun } from "@rackspan/jobs";
 import { fitsInto, freeCapacityOf } from "./taskPlacers.js";
 
-/** @returns undefined when the hosts do not have room for every task */
+/** @returns undefined if the hosts do not have free resources for all tasks */
 export const chooseGangHosts = (
   step: StepRun,
   waiting: readonly JobTask[],
@@ -19,7 +19,10 @@
   return spread(waiting, hosts);
 };
 
-/** Gives each task the first host that has room for it beside those chosen before. */
+/**
+ * Assigns each task to the first host with enough free resources after the assignments
+ * before.
+ */
 const spread = (
   tasks: readonly JobTask[],
   hosts: readonly HostState[],
--- a/packages/scheduling/src/colocatingTaskPlacer.ts
+++ b/packages/scheduling/src/colocatingTaskPlacer.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps serving tasks of one image together, on few hosts. Filling tasks may
- * take what serving tasks reserve and leave unused, but go where they disturb
- * least by what was learnt of the images. Plain tasks go where most is left.
+ * Packs serving tasks of one image on few hosts. Filling tasks may use resources that
+ * serving tasks reserve and leave unused, on the hosts where their learned interference
+ * is least. Plain tasks go to the hosts with the most free resources.
  */
 
 import { MILLI_CORES_PER_CORE } from "@rackspan/common";
@@ -18,35 +18,43 @@
 } from "./taskPlacers.js";
 
 const COLOCATION = {
-  /** Share of its reservation that a serving task is taken to use, swings included. */
+  /** Assumed use of a serving task as a share of its reservation, including peaks. */
   servingUse: 0.6,
-  /** A filling task is started when at least this share of its demand is left. */
+  /** A filling task is started if at least this share of its demand is available. */
   leastFillShare: 0.7,
-  /** Share of a host that serving tasks leave to urgent plain ones. */
+  /** Share of a host that serving tasks leave free for urgent plain tasks. */
   plainReserve: 0.08,
-  /** Points by which a host with serving tasks comes later for filling ones. */
+  /** Score penalty of hosts with serving tasks, for filling tasks. */
   servingPenalty: 0.2,
-  /** Points a host's worth of serving work that stands there already. */
+  /** Score bonus per host's capacity of serving tasks that are placed there already. */
   packedBonus: 2,
-  /** Points by which a host that serves this image alone comes first. */
+  /** Score bonus of hosts that serve only this image. */
   sameImageBonus: 3,
   /**
-   * Share of its processors beyond them up to which a host without serving tasks
-   * is filled: filling tasks there disturb nobody and seldom use all they ask
-   * for.
+   * Share of its processors by which a host without serving tasks may be overcommitted
+   * with filling tasks: they disturb nothing there and seldom use all of their demand.
    */
   freeHostExcess: 0.6,
-  /** Points a unit of expected tail logarithm, of which 0.1 means a tenth longer. */
+  /**
+   * Score penalty per unit of the expected increase of the tail's logarithm, where 0.1
+   * means that the tail is a tenth longer.
+   */
   tailPenalty: 0.6,
-  /** Points by which a host that would be disturbed comes later when it must be. */
+  /**
+   * Score penalty of hosts with tasks that would be disturbed too much, if the task
+   * must be placed.
+   */
   disturbedPenalty: 5,
-  /** Points by which a host on the rack of the step's data comes first. */
+  /** Score bonus of hosts on the rack that holds the step's data. */
   dataRackBonus: 0.3,
-  /** Points by which a host where the task failed before comes later. */
+  /** Score penalty of hosts on which the task failed before. */
   avoidedPenalty: 10,
 } as const;
 
-/** Thousandths of a core that filling tasks can be expected to get. */
+/**
+ * Returns the processor time that filling tasks can be expected to get, thousandths of
+ * a core.
+ */
 const fillableMilliCores = ({ worker, allocated: room }: HostState): number =>
   worker.milliCores -
   room.plainMilliCores -
@@ -90,7 +98,10 @@
     }
   }
 
-  /** Its own image first, then the most serving work, and little that disturbs it. */
+  /**
+   * Prefers hosts that serve only this image, then those with the most serving tasks
+   * and the least interference.
+   */
   private servingScore(task: JobTask, host: HostState): number {
     const { image } = task.step.spec;
     const { worker, allocated: room } = host;
@@ -111,7 +122,7 @@
     return fillableMilliCores(host) + excess >= least;
   }
 
-  /** @returns -Infinity where a serving task would be disturbed too much */
+  /** @returns -Infinity if a serving task would be disturbed too much */
   private fillingScore(
     task: JobTask,
     host: HostState,
--- a/packages/scheduling/src/deadlineFeasibility.ts
+++ b/packages/scheduling/src/deadlineFeasibility.ts
@@ -1,10 +1,16 @@
-/** What a job can still earn its callers, by the time that it needs at the least. */
+/**
+ * Classifies whether a job can still end within its objective, given the least time
+ * that it still needs.
+ */
 
 import type { Instant } from "@rackspan/common";
 import type { RuntimeEstimator } from "./RuntimeEstimator.js";
 import type { Candidate } from "./stepOrders.js";
 
-/** A job that ends later than this many times its objective earns nothing. */
+/**
+ * A job that ends later than this many times its objective has no utility to its
+ * caller.
+ */
 const WORTHLESS_AFTER = 3;
 
 /** Lower is better. */
--- a/packages/scheduling/src/engineParts.ts
+++ b/packages/scheduling/src/engineParts.ts
@@ -1,4 +1,4 @@
-/** The books and controls that the parts of the job engine work on together. */
+/** The components that the parts of the job engine share. */
 
 import type { OutlierEjector } from "@rackspan/routing";
 import type { EngineOptions } from "./engineTypes.js";
@@ -16,6 +16,6 @@
   readonly stops: RunStopper;
   readonly estimates: RuntimeEstimator;
   readonly ejector: OutlierEjector;
-  /** Has the waiting work looked at soon. */
+  /** Requests a scheduling cycle soon. */
   readonly requestCycle: () => void;
 }
--- a/packages/scheduling/src/engineTypes.ts
+++ b/packages/scheduling/src/engineTypes.ts
@@ -1,4 +1,4 @@
-/** What the parts of the job engine share. */
+/** Constants and types that the components of the job engine share. */
 
 import type {
   AvailabilityZone,
@@ -23,60 +23,89 @@
 import type { SchedulingPolicy } from "./policy.js";
 
 export const ENGINE = {
-  /** An order to start that has not been carried out after this lapses; worker's clock. */
+  /**
+   * A start order that was not carried out within this time expires; milliseconds of
+   * the worker's clock.
+   */
   startLeaseMs: 2_500,
-  /** Time for a host's answer to an order; its side repeats calls to the worker within it. */
+  /**
+   * Timeout for a host's answer to an order, milliseconds. The side repeats its calls
+   * to the worker within this time.
+   */
   orderTimeoutMs: 1_800,
-  /** A host that is silent this long gets no new tasks. */
+  /** A host that has not reported for this long gets no new tasks, milliseconds. */
   quietMs: 1_600,
-  /** Sides report each 0.5 s; a host not heard for this long has missed a report. */
+  /**
+   * A host that has not reported for this long has missed a report, milliseconds. Sides
+   * report each 0.5 s.
+   */
   missedReportMs: 700,
-  /** Least time between two passes over the waiting work. */
+  /** Minimum time between two scheduling cycles, milliseconds. */
   minCycleIntervalMs: 8,
-  /** A pass that was due this long ago is made at once, and logged. */
+  /**
+   * A scheduling cycle that was due this long ago runs at once, and is logged;
+   * milliseconds.
+   */
   cycleOverdueMs: 400,
-  /** A timer that is later than this is logged, milliseconds. */
+  /** A timer that fires later than this is logged, milliseconds. */
   lateTimerMs: 100,
-  /** A job with nothing running for this long gets one task started, whatever it disturbs. */
+  /**
+   * A job with nothing running for this long gets one task started even if the task
+   * disturbs others, milliseconds.
+   */
   starvedMs: 1_500,
-  /** A lasting task that found no place for this long may take what is kept for plain ones. */
+  /**
+   * A lasting task that could not be placed for this long may use resources that are
+   * reserved for plain tasks, milliseconds.
+   */
   lastingGraceMs: 2_000,
-  /** How often timers of the engine are looked at, at least. */
+  /** Maximum time between two ticks of the engine, milliseconds. */
   tickMs: 250,
   /** Timers may fire this much before they are due, milliseconds. */
   timerResolutionMs: 1,
-  /** Runs of one leader; run numbers of a later one are all higher. */
+  /** Number of run numbers per leader. All run numbers of a later leader are higher. */
   runsPerEpoch: 2 ** 20,
-  /** A step whose ticket was refused is tried again after this. */
+  /** A step whose ticket was refused is tried again after this, milliseconds. */
   badTicketPauseMs: 300,
-  /** A plain task that gains no percent for this long is moved. */
+  /** A plain task whose progress does not grow for this long is moved, milliseconds. */
   stallMs: 3_000,
   /**
-   * A filling task that crawls for this long is stopped, and goes on elsewhere
-   * from its checkpoint: one such task holds its whole step back. Longer than two
-   * changes of pace.
+   * A filling task that crawls for this long is stopped and continues elsewhere from
+   * its checkpoint, since one such task delays its whole step; milliseconds. Longer
+   * than two changes of pace.
    */
   crawlMs: 1_200,
-  /** A host that refused a start gets none for this long. */
+  /** A host that refused a start gets no other for this long, milliseconds. */
   refusedPauseMs: 400,
-  /** The same for filling tasks, which may be slowed down to nothing for a while. */
+  /**
+   * The same as `stallMs` for filling tasks, which may be throttled to a standstill for
+   * a while.
+   */
   fillingStallMs: 7_000,
 } as const;
 
 /**
- * Keeps the list of workers to which leases may have been granted. It names their
- * lives, so that the end of one proves that nothing is left to wait for.
+ * Persists the list of workers to which leases may have been granted. It contains their
+ * incarnations, so that the end of a listed incarnation proves that no lease is left to
+ * wait for.
  */
 export interface HostRoster {
-  /** Resolves once the store keeps that life of the host's worker, and no other. */
+  /**
+   * Resolves once the store has recorded this incarnation, and no other, for the host's
+   * worker.
+   */
   persist(host: HostId, instance: WorkerInstance): Promise<void>;
   remove(host: HostId): void;
   /**
-   * Settles once the store keeps the host's last removal, at once where there was none.
-   * @returns false when another leads by then
+   * Settles once the store has recorded the host's last removal, at once if there was
+   * none.
+   * @returns false if another process is the leader by then
    */
   removalPersisted(host: HostId): Promise<boolean>;
-  /** The life that the store keeps; undefined when it keeps none, or not which. */
+  /**
+   * Returns the recorded incarnation; undefined if none is recorded, or if the record
+   * does not say which.
+   */
   recordedInstance(host: HostId): WorkerInstance | undefined;
 }
 
@@ -90,42 +119,44 @@
   readonly gate: TakeoverGate;
   /** Name of the order of work; see stepOrders. */
   readonly order: string;
-  /** Name of the placer of tasks; see taskPlacers. */
+  /** Name of the task placer; see taskPlacers. */
   readonly placer: string;
   readonly policy: SchedulingPolicy;
   /** Longest lease of a worker, milliseconds of its clock. */
   readonly leaseMs: number;
   /** Time that a worker may take to stop a task, milliseconds. */
   readonly stopMs: number;
-  /** Whether this process may still decide. */
+  /** Whether this process may still decide as the leader. */
   readonly mayDecide: () => boolean;
-  /** What the configuration says of the queue now; undefined when it is dropped. */
+  /**
+   * Returns the current configuration of the queue; undefined if the queue was deleted.
+   */
   readonly queueOf: (queue: QueueKey) => QueueSpec | undefined;
   /**
-   * Whether the operator wants nothing more started in the zone. What runs there goes
-   * on: to move it would throw work away that nobody has asked to end.
+   * Whether the operator has closed the zone for new starts. Tasks that run there
+   * continue: moving them would discard work that nobody has asked to end.
    */
   readonly isEvacuated: (zone: AvailabilityZone) => boolean;
-  /** Keeps what was learnt for the next leader. */
+  /** Persists learned state for the next leader. */
   readonly persistLearned: (record: LearnedRecord) => void;
-  /** Undefined where the platform has no such service. */
+  /** Undefined if the platform has no permit service. */
   readonly permits: PermitService | undefined;
 }
 
-/** A host with the connection to its side, when there is one. */
+/** A host with the session to its side, if there is one. */
 export interface HostEntry {
   readonly ledger: HostState;
   session: HostSession | undefined;
-  /** Settles once all ends that were taken note of so far are kept. */
+  /** Settles once all ends that were processed so far are persisted. */
   endsRecorded: Promise<void>;
-  /** Whether the store keeps this life of the worker in the roster. */
+  /** Whether the store has recorded this incarnation of the worker in the roster. */
   rostered: boolean;
 }
 
 export interface TrackedJob {
   readonly job: JobRun;
   readonly firstSeenAt: Monotonic;
-  /** When a pass last saw a run of the job. */
+  /** When a scheduling cycle last saw a run of the job. */
   lastRunSeenAt: Monotonic;
 }
 
--- a/packages/scheduling/src/explainWait.ts
+++ b/packages/scheduling/src/explainWait.ts
@@ -1,4 +1,4 @@
-/** Tells what a waiting task waits for: which rule keeps it from which hosts. */
+/** Explains why a task waits: which rule excludes which hosts. */
 
 import { crashLogOf, type HostState, type StepRun } from "@rackspan/jobs";
 import type { HostEntry } from "./engineTypes.js";
@@ -13,13 +13,15 @@
 } from "./usableHosts.js";
 
 /**
- * Why a step is not placed at all:
- * - `take-over`: a former leader's run of it may be hidden on a host not heard yet;
+ * Why a step is not placed:
+ * - `take-over`: a run of it that a previous leader started may still exist on a host
+ *   that has not reported yet;
  * - `ticket-refused`: a worker refused its ticket a moment ago;
  * - `crash-doubt`: it is being judged whether its task crashed a worker;
- * - `suspected`: its task crashed workers, so it waits for the store, or for a host alone;
+ * - `suspected`: its task crashed workers, so it waits for its write-ahead record, or
+ *   for a host on which it can start isolated;
  * - `gang-incomplete`: members of its gang still run;
- * - `hosts`: each host is closed to it, by the rules that are counted.
+ * - `hosts`: every host is closed to it, by the rules that are counted.
  */
 export type WaitCause =
   | "take-over"
@@ -29,7 +31,10 @@
   | "gang-incomplete"
   | "hosts";
 
-/** Why an open host does not take it: `placer` when it fits and the placer passes it over. */
+/**
+ * Why an open host does not take the task; `placer` if it fits and the placer does not
+ * choose the host.
+ */
 type RefusalRule = "ejected" | "label-or-limit" | "room" | "placer";
 
 /** How many hosts of the service each rule closes to the step. */
@@ -45,9 +50,9 @@
 export interface WaitingStep extends UsableHostsOptions {
   readonly step: StepRun;
   readonly service: string;
-  /** Whether the take-over lets its job start. */
+  /** Whether the takeover gate allows its job to start. */
   readonly mayStart: boolean;
-  /** Walked twice. */
+  /** Iterated twice. */
   readonly entries: readonly HostEntry[];
 }
 
--- a/packages/scheduling/src/firstFitPlacer.ts
+++ b/packages/scheduling/src/firstFitPlacer.ts
@@ -1,4 +1,4 @@
-/** Baseline: the first host with room, in the order of names. */
+/** Baseline: prefers the first host, by name, with enough free resources. */
 
 import type { HostView, Placer } from "@rackspan/jobs";
 import type { Unit } from "@rackspan/state";
--- a/packages/scheduling/src/learnInterference.ts
+++ b/packages/scheduling/src/learnInterference.ts
@@ -1,4 +1,7 @@
-/** Feeds what a host reported into the book of interference, and tells its side what is known. */
+/**
+ * Feeds a host's readings into the interference estimator, and selects the weights that
+ * are sent to its side.
+ */
 
 import {
   groupBy,
@@ -16,14 +19,14 @@
 import type { ImageName } from "@rackspan/state";
 
 const FULL_PROGRESS = 100;
-/** Weights are told to three decimal places. */
+/** Weights are sent with three decimal places. */
 const TOLD_STEPS = 1_000;
-/** The least share that a tail is taken as; below it differences mean nothing. */
+/** Minimum tail as a share of its target; differences below it are noise. */
 const LEAST_TAIL = 0.05;
-/** Weaker pairs are not worth telling. */
+/** Pairs with lower weights are not sent. */
 const LEAST_TOLD_WEIGHT = 0.01;
 
-/** Reads the runs of the ledger as the last report left them. */
+/** Reads the host's runs as of its last report. */
 export const learnInterference = (
   ledger: HostState,
   book: InterferenceEstimator,
@@ -49,7 +52,7 @@
 
 const imageOf = ({ task }: ActiveRun): ImageName => task.step.spec.image;
 
-/** Cores in use by the filling ones of the runs, by image. */
+/** Returns the cores that the filling runs use, by image. */
 const usedCoresOf = (runs: readonly ActiveRun[]): FillingCores => {
   const usedCores = new Map<ImageName, number>();
   for (const run of runs) {
@@ -60,17 +63,17 @@
   return usedCores;
 };
 
-/** Tasks that are still warming up have no tail of their own yet. */
+/** Tasks that are still warming up have no valid tail latency yet. */
 const hasTail = ({ task, progressPercent }: ActiveRun): boolean =>
   natureOf(task).kind === "serving" && progressPercent >= FULL_PROGRESS;
 
-/** Logarithm of the tail as a share of its target. */
+/** Returns the natural logarithm of the tail as a share of its target. */
 const logarithmOfTail = ({ task, reading }: ActiveRun): number => {
   const tail = reading / task.step.spec.tailTargetMs;
   return Math.log(Math.max(LEAST_TAIL, tail));
 };
 
-/** What is known of the images that run there now. */
+/** Returns the learned weights of the pairs of images that run on the host now. */
 export const disturbancesFor = (
   ledger: HostState,
   book: InterferenceEstimator,
--- a/packages/scheduling/src/leastLoadedPlacer.ts
+++ b/packages/scheduling/src/leastLoadedPlacer.ts
@@ -1,4 +1,4 @@
-/** Baseline: the emptiest host. */
+/** Baseline: prefers the emptiest host. */
 
 import type { HostView, Placer } from "@rackspan/jobs";
 import type { Unit } from "@rackspan/state";
--- a/packages/scheduling/src/pickIsolatedHost.ts
+++ b/packages/scheduling/src/pickIsolatedHost.ts
@@ -1,16 +1,16 @@
-/** Chooses where a task that may crash its worker starts. */
+/** Chooses the host for a task that may crash its worker. */
 
 import { isSettled, type HostState, type JobTask } from "@rackspan/jobs";
 import type { HostEntry } from "./engineTypes.js";
 import type { TaskPlacer } from "./taskPlacers.js";
 
 /**
- * Whether one host more may be kept for a suspected task alone: after the loss of
- * a rack many tasks are suspected, and the others need hosts to start on. A task that
- * has waited for long leaves them one: with all hosts held, jobs that nobody
- * suspects would wait for as long as suspects come.
+ * Whether one more host may be reserved for an isolated start. After the loss of a rack
+ * many tasks are suspect, and the others need hosts, too. A task that has waited for
+ * long must leave them one: if all hosts were reserved, jobs without suspect tasks
+ * would wait for as long as new suspects arrive.
  *
- * @param open hosts of the service that take new tasks
+ * @param open hosts of the service that accept new tasks
  */
 export const mayIsolate = (
   open: readonly HostState[],
@@ -29,7 +29,7 @@
 
 export interface IsolatedHostOptions {
   readonly task: JobTask;
-  /** Hosts that take new tasks; those without room are among them. */
+  /** Hosts that accept new tasks, including those without free resources. */
   readonly open: readonly HostState[];
   readonly placer: TaskPlacer;
   /** See TaskPlacer. */
@@ -37,8 +37,8 @@
 }
 
 /**
- * The allowed host where the fewest runs have just begun, then where the fewest
- * are: its crash can be told from theirs, and takes the fewest along.
+ * Returns the allowed host with the fewest young runs, then with the fewest runs: there
+ * a crash is attributed most reliably, and the fewest other runs are lost.
  */
 export const pickIsolatedHost = ({
   task,
--- a/packages/scheduling/src/placers.ts
+++ b/packages/scheduling/src/placers.ts
@@ -1,4 +1,4 @@
-/** The plug-in point for placement, and what all placers share. */
+/** The plug-in point for the placement of units, and helpers for all placers. */
 
 import { firstShortage, Registry, type Random } from "@rackspan/common";
 import type { HostView, Placer } from "@rackspan/jobs";
@@ -10,7 +10,10 @@
 
 export const placers = new Registry<PlacerOptions, Placer>("placer");
 
-/** Hosts that take new work and have room for the unit by what is known here. */
+/**
+ * Returns the hosts that accept new work and have free resources for the unit, as far
+ * as this process has recorded.
+ */
 export const hostsWithCapacity = (
   { spec }: Unit,
   hosts: readonly HostView[],
@@ -20,7 +23,7 @@
       ready && !leaving && firstShortage(spec.resources, free) === undefined,
   );
 
-/** The lowest score first; equal scores keep their order. */
+/** Sorts by score in ascending order. The sort is stable. */
 export const sortByScore = (
   hosts: readonly HostView[],
   score: (host: HostView) => number,
@@ -30,7 +33,7 @@
     .sort((a, b) => a.score - b.score)
     .map(({ host }) => host);
 
-/** Share of the host that is free, by its scarcest amount, in [0, 1]. */
+/** Returns the free share of the host's scarcest resource, in [0, 1]. */
 export const freeShare = ({ free, capacity }: HostView): number => {
   const processors = free.processors / Math.max(1, capacity.processors);
   const memory = free.memoryMiB / Math.max(1, capacity.memoryMiB);
--- a/packages/scheduling/src/policy.ts
+++ b/packages/scheduling/src/policy.ts
@@ -1,48 +1,56 @@
-/** Mechanisms of the scheduler that an operator may tune or switch off. */
+/** Scheduler features that an operator may tune or disable. */
 
 export interface SchedulingPolicy {
   /**
-   * A filling task is placed beside serving tasks only where their tails are forecast
-   * to stay below this share of their target.
+   * A filling task is placed beside serving tasks only if their tail latencies are
+   * forecast to stay below this share of their targets.
    */
   readonly fillingTailLimit: number;
   /**
-   * Standard deviations by which a pair of images is taken to disturb more than
-   * expected when a filling task is placed; 0 for none.
+   * Standard deviations that are added to the expected interference of a pair of images
+   * when a filling task is placed; 0 for none.
    */
   readonly weightCaution: number;
-  /** Whether filling tasks begin at the pace that the tails beside them allow. */
+  /**
+   * Whether filling tasks start at the pace that the tail latencies of the serving
+   * tasks on the host allow.
+   */
   readonly startsSlowly: boolean;
-  /** Whether hosts without serving tasks are filled beyond their processors. */
+  /** Whether hosts without serving tasks are overcommitted with filling tasks. */
   readonly overfillsFreeHosts: boolean;
-  /** Whether serving tasks of one image are kept together on few hosts. */
+  /** Whether serving tasks of one image are packed on few hosts. */
   readonly packsServing: boolean;
-  /** Whether it is learnt which images disturb which; else all pairs are taken as alike. */
+  /**
+   * Whether the interference between images is learned; otherwise all pairs are assumed
+   * to interfere equally.
+   */
   readonly learnsInterference: boolean;
-  /** Whether estimated run times are corrected by those that were seen. */
+  /** Whether estimated run times are corrected by observed ones. */
   readonly correctsEstimates: boolean;
-  /** Whether filling tasks that crawl go on elsewhere from their checkpoint. */
+  /**
+   * Whether crawling filling tasks are stopped and continue elsewhere from their
+   * checkpoint.
+   */
   readonly movesCrawling: boolean;
-  /** Whether tasks that stand still are stopped and started elsewhere. */
+  /** Whether stalled tasks are stopped and started elsewhere. */
   readonly movesStalled: boolean;
   /** Whether tasks are moved off hosts that are slower than others. */
   readonly movesFromSlowHosts: boolean;
-  /** Whether hosts that fail task after task get none for a while. */
+  /** Whether hosts on which tasks fail repeatedly get no tasks for a while. */
   readonly ejectsFailingHosts: boolean;
   /**
-   * How often checkpoints of running tasks are kept in the store, milliseconds;
-   * 0 keeps them only when a task of the job ends. After a power cut
-   * tasks go on from them.
+   * How often checkpoints of running tasks are persisted, milliseconds; 0 persists them
+   * only when a task of the job ends. After a power failure tasks continue from them.
    */
   readonly checkpointEveryMs: number;
   /**
-   * How often what was learnt is kept for the next leader, milliseconds; 0 for never.
-   * A new leader learns pairs of images again in 10 to 30 s otherwise.
+   * How often learned state is persisted for the next leader, milliseconds; 0 for
+   * never. Without it a new leader needs 10 to 30 s to learn the pairs of images again.
    */
   readonly learntEveryMs: number;
 }
 
-/** What holds where the settings say nothing. */
+/** Values used where the settings contain none. */
 export const DEFAULT_POLICY: SchedulingPolicy = {
   fillingTailLimit: 0.64,
   weightCaution: 1,
--- a/packages/scheduling/src/slowHosts.ts
+++ b/packages/scheduling/src/slowHosts.ts
@@ -1,7 +1,7 @@
 /**
- * Tells hosts that are slow from tasks that are long: tasks of one step are
- * alike, so a host is slow where its tasks fall behind those of the same step on
- * other hosts. Estimates of callers are too far off to compare with.
+ * Distinguishes slow hosts from long tasks. Tasks of one step are alike, so a host is
+ * slow if its tasks progress more slowly than those of the same step on other hosts.
+ * Callers' estimates are too inaccurate for the comparison.
  */
 
 import { natureOf, type ActiveRun, type HostState } from "@rackspan/jobs";
@@ -10,21 +10,24 @@
 import type { HostRegistry } from "./HostRegistry.js";
 
 export const SLOWNESS = {
-  /** Run time before which progress says too little, milliseconds. */
+  /** Minimum run time for a meaningful progress, milliseconds. */
   minRunMs: 400,
-  /** Tasks of the step on other hosts that a reading needs. */
+  /** Minimum number of tasks of the step on other hosts for a reading. */
   minSiblings: 2,
   /** Weight of one reading in the moving mean. */
   weight: 0.15,
-  /** A single reading counts as at most this, either way. */
+  /** Maximum absolute value of a single reading. */
   maxReading: 2.5,
-  /** From here on a host is slow (2.7 times as long as expected). */
+  /** Slowness from which a host counts as slow (2.7 times the expected run time). */
   slowThreshold: 1,
-  /** Another host is worth moving to when its slowness is lower by this. */
+  /** Minimum difference in slowness for moving tasks to another host. */
   minAdvantage: 0.7,
-  /** A task is moved off a slow host when a fresh run elsewhere is this much shorter. */
+  /**
+   * A task is moved off a slow host if its remaining time exceeds this many times that
+   * of a new run elsewhere.
+   */
   moveGain: 1.5,
-  /** Points a unit of slowness by which a host comes later. */
+  /** Score penalty per unit of slowness. */
   penalty: 2,
 } as const;
 
@@ -32,16 +35,16 @@
   const { lasting } = run.task.step.spec;
   if (run.phase !== "running" || lasting) return false;
   if (natureOf(run.task).kind !== "plain") return false;
-  // A run that goes on from a checkpoint shows progress of earlier runs.
+  // A run that continued from a checkpoint shows the progress of earlier runs.
   if (run.task.checkpoint !== "") return false;
   return now - run.startedAt >= SLOWNESS.minRunMs;
 };
 
-/** Run time of the whole task at the pace that its progress shows. */
+/** Returns the run time of the whole task, extrapolated from its progress. */
 const projectedMs = (run: ActiveRun, now: Monotonic): number =>
   ((now - run.startedAt) * 100) / Math.max(1, run.progressPercent);
 
-/** Median of the projected run times of the step's tasks on other hosts. */
+/** Returns the median of the projected run times of the step's tasks on other hosts. */
 const siblingMs = (
   run: ActiveRun,
   host: HostEntry,
@@ -57,7 +60,7 @@
   return siblings[Math.floor(siblings.length / 2)];
 };
 
-/** Reads the host's runs as the last report left them. */
+/** Updates the host's slowness from its runs as of its last report. */
 export const updateSlowness = (
   host: HostEntry,
   hosts: HostRegistry,
@@ -77,11 +80,14 @@
   }
 };
 
-/** Points by which a placer puts the host later. */
+/** Returns the score penalty of the host for its slowness. */
 export const slownessPenalty = ({ slowness }: HostState): number =>
   SLOWNESS.penalty * Math.max(0, slowness);
 
-/** Runs of a slow host that would end sooner if they began anew elsewhere. */
+/**
+ * Returns the runs of a slow host that would end sooner if they were restarted
+ * elsewhere.
+ */
 export const runsToMove = (
   host: HostEntry,
   hosts: HostRegistry,
--- a/packages/scheduling/src/spreadPlacer.ts
+++ b/packages/scheduling/src/spreadPlacer.ts
@@ -1,6 +1,7 @@
 /**
- * Keeps replicas of one declaration apart, first by zone, then rack, then host;
- * among equals takes the emptiest host. Jobs have no replicas and go by room.
+ * Spreads replicas of one declaration: prefers another zone, then another rack, then
+ * another host, and among equal hosts the emptiest. Jobs have no replicas and are
+ * placed by free resources alone.
  */
 
 import type { HostView, Placer } from "@rackspan/jobs";
--- a/packages/scheduling/src/stepOrders.ts
+++ b/packages/scheduling/src/stepOrders.ts
@@ -1,19 +1,19 @@
-/** The plug-in point for the order of work, and what all orders share. */
+/** The plug-in point for the order of work, and helpers for all orders. */
 
 import { Registry, type Instant } from "@rackspan/common";
 import type { JobRun, StepRun } from "@rackspan/jobs";
 import type { RuntimeEstimator } from "./RuntimeEstimator.js";
 
-/** A step with tasks to start, and what its place in the order may rest on. */
+/** A step with tasks to start, and the inputs for its position in the order. */
 export interface Candidate {
   readonly job: JobRun;
   readonly step: StepRun;
-  /** Nothing of the job has run for a while. */
+  /** Whether nothing of the job has run for a while. */
   readonly isStarved: boolean;
 }
 
 export interface StepOrder {
-  /** The first of the returned steps is served first. */
+  /** Returns the candidates in the order in which they are placed. */
   sort(candidates: readonly Candidate[], now: Instant): readonly Candidate[];
 }
 
@@ -25,7 +25,7 @@
   "order of work",
 );
 
-/** Sorts by a list of keys, the first difference decides; lower comes first. */
+/** Sorts by a list of keys in ascending order. The first key that differs decides. */
 export const sortByKeys = (
   candidates: readonly Candidate[],
   keysOf: (candidate: Candidate) => readonly number[],
--- a/packages/scheduling/src/taskPlacers.ts
+++ b/packages/scheduling/src/taskPlacers.ts
@@ -1,4 +1,4 @@
-/** The plug-in point for placing the tasks of jobs, and what all placers share. */
+/** The plug-in point for the placement of job tasks, and helpers for all placers. */
 
 import { Registry } from "@rackspan/common";
 import type { HostState, JobTask } from "@rackspan/jobs";
@@ -7,10 +7,10 @@
 
 export interface TaskPlacer {
   /**
-   * @param hosts hosts in service; those without room are among them
-   * @param mustPlace whether to pick a host even if others there are disturbed,
-   *   or room is taken that is kept for others
-   * @returns undefined when none can take the task now
+   * @param hosts hosts in service, including those without free resources
+   * @param mustPlace whether to pick a host even if tasks there are disturbed, or if
+   *   resources are used that are reserved for others
+   * @returns undefined if no host can take the task now
    */
   pick(
     task: JobTask,
@@ -28,14 +28,19 @@
   "placer of tasks",
 );
 
-/** Thousandths of a core that no reservation holds; filling tasks hold none. */
+/**
+ * Returns the thousandths of a core that are not reserved; filling tasks reserve none.
+ */
 export const unreservedMilliCores = ({
   worker,
   allocated: room,
 }: HostState): number =>
   worker.milliCores - room.plainMilliCores - room.servingMilliCores;
 
-/** What reservations leave of a host; below 0 where it has less than it had. */
+/**
+ * Resources of a host that are not reserved; negative if the host's capacity was
+ * reduced.
+ */
 export interface FreeCapacity {
   readonly milliCores: number;
   readonly memoryMiB: number;
@@ -51,7 +56,7 @@
   };
 };
 
-/** Whether a worker with this room would take the task by its own rules. */
+/** Whether a worker with these free resources would accept the task by its own rules. */
 export const fitsInto = (task: JobTask, left: FreeCapacity): boolean => {
   const { demand, filling } = task.step.spec;
   if (demand.memoryMiB > left.memoryMiB) return false;
@@ -59,14 +64,14 @@
   return filling || demand.milliCores <= left.milliCores;
 };
 
-/** Whether the step's own rules let the task run there. */
+/** Whether the rules of the step allow the task on the host. */
 export const isAllowedOn = (task: JobTask, host: HostState): boolean => {
   const { requiredLabel, maxPerHost } = task.step.spec;
   if (!host.hasLabel(requiredLabel)) return false;
   return maxPerHost === 0 || host.countOfStep(task.step) < maxPerHost;
 };
 
-/** The allowed host with room that has the highest score. */
+/** Returns the allowed host with enough free resources that has the highest score. */
 export const pickByScore = (
   task: JobTask,
   hosts: readonly HostState[],
--- a/packages/scheduling/src/usableHosts.ts
+++ b/packages/scheduling/src/usableHosts.ts
@@ -1,4 +1,4 @@
-/** Tells on which hosts a pass may start tasks. */
+/** Selects the hosts on which a scheduling cycle may start tasks. */
 
 import {
   groupBy,
@@ -9,7 +9,7 @@
 import type { OutlierEjector } from "@rackspan/routing";
 import { ENGINE, type HostEntry } from "./engineTypes.js";
 
-/** What the rules go by besides the host itself. */
+/** Inputs of the host rules beside the host itself. */
 export interface HostRuleContext {
   readonly now: Monotonic;
   /** See EngineOptions. */
@@ -21,7 +21,10 @@
   readonly closes: (entry: HostEntry, context: HostRuleContext) => boolean;
 }
 
-/** Any of them closes a host to all new tasks; the first that does is the reason told. */
+/**
+ * Rules that close a host to all new tasks. The first that applies is the reported
+ * reason.
+ */
 const HOST_RULES = [
   { reason: "detached", closes: ({ session }) => !session },
   { reason: "not-rostered", closes: ({ rostered }) => !rostered },
@@ -48,10 +51,10 @@
   },
 ] as const satisfies readonly HostRule[];
 
-/** Why a host takes no new tasks. */
+/** Why a host accepts no new tasks. */
 export type ClosedReason = (typeof HOST_RULES)[number]["reason"];
 
-/** @returns undefined for a host that takes tasks */
+/** @returns undefined for a host that accepts tasks */
 export const closedReason = (
   entry: HostEntry,
   context: HostRuleContext,
@@ -63,17 +66,17 @@
   readonly ejector: OutlierEjector;
 }
 
-/** Hosts of one service that may take tasks now. */
+/** Hosts of one service that accept tasks now. */
 export interface ServiceHosts {
-  /** For all tasks; the ejected ones where the service has no other. */
+  /** Hosts for all tasks; includes the ejected ones if the service has no others. */
   readonly inService: readonly HostState[];
-  /** Those that failed tasks of late. */
+  /** Hosts on which tasks failed recently. */
   readonly ejected: readonly HostState[];
 }
 
 export const NO_HOSTS: ServiceHosts = { inService: [], ejected: [] };
 
-/** By service. */
+/** Returns the usable hosts by service. */
 export const usableHosts = ({
   entries,
   ejector,
