--- a/packages/policies/src/PolicyEvaluator.ts
+++ b/packages/policies/src/PolicyEvaluator.ts
@@ -16,7 +16,7 @@
   readonly program: string;
 }
 
-interface Compiled {
+interface CompiledPolicy {
   readonly name: string;
   readonly program: ParseResult;
 }
@@ -27,19 +27,19 @@
 }
 
 export class PolicyEvaluator {
-  private byPoint = new Map<PolicyPointName, readonly Compiled[]>();
+  private byPoint = new Map<PolicyPointName, readonly CompiledPolicy[]>();
 
   constructor(private readonly options: PolicyEvaluatorOptions) {}
 
   /** Replaces all policies. A policy that does not compile is skipped. */
   replace(sources: readonly PolicySource[]): void {
-    const byPoint = new Map<PolicyPointName, Compiled[]>();
+    const byPoint = new Map<PolicyPointName, CompiledPolicy[]>();
     for (const { name, point, program } of sources) {
       try {
         const compiled = { name, program: compilePolicy(point, program) };
         byPoint.set(point, [...(byPoint.get(point) ?? []), compiled]);
       } catch (err) {
-        this.fail(name, point, err);
+        this.recordFailure(name, point, err);
       }
     }
     this.byPoint = byPoint;
@@ -52,14 +52,14 @@
   /** Returns the name of the first policy that refuses the request, if any. */
   findRefusingPolicy(variables: VariablesOf<"admission">): string | undefined {
     return (this.byPoint.get("admission") ?? []).find(
-      (policy) => !this.ask("admission", policy, variables),
+      (policy) => !this.evaluate("admission", policy, variables),
     )?.name;
   }
 
   /** Returns the sum of the penalties that the policies add. */
   totalPenalty(variables: VariablesOf<"score">): number {
     return (this.byPoint.get("score") ?? []).reduce(
-      (sum, policy) => sum + this.ask("score", policy, variables),
+      (sum, policy) => sum + this.evaluate("score", policy, variables),
       0,
     );
   }
@@ -68,9 +68,9 @@
    * Evaluates one policy. A policy that fails is counted, and the fallback of its point
    * is used instead.
    */
-  private ask<P extends PolicyPointName>(
+  private evaluate<P extends PolicyPointName>(
     point: P,
-    { name, program }: Compiled,
+    { name, program }: CompiledPolicy,
     variables: VariablesOf<P>,
   ): ResultOf<P> {
     const { fallback, result } = POLICY_POINTS[point];
@@ -82,12 +82,16 @@
       }
       return value as ResultOf<P>;
     } catch (err) {
-      this.fail(name, point, err);
+      this.recordFailure(name, point, err);
       return fallback as ResultOf<P>;
     }
   }
 
-  private fail(policy: string, point: PolicyPointName, err: unknown): void {
+  private recordFailure(
+    policy: string,
+    point: PolicyPointName,
+    err: unknown,
+  ): void {
     this.options.metrics.count("policy_failures", { policy, point });
     this.options.logger.warn("policy.failed", {
       policy,
--- a/packages/policies/src/compilePolicy.ts
+++ b/packages/policies/src/compilePolicy.ts
@@ -55,13 +55,13 @@
   return environment;
 };
 
-interface Located {
+interface LocatedError {
   readonly summary?: string;
   readonly message: string;
   readonly range?: { readonly start?: number };
 }
 
-const toPolicyError = (source: string, err: Located): PolicyError => {
+const toPolicyError = (source: string, err: LocatedError): PolicyError => {
   const before = source.slice(0, err.range?.start ?? 0).split("\n");
   const column = (before.at(-1)?.length ?? 0) + 1;
   return new PolicyError(err.summary ?? err.message, before.length, column);
@@ -84,13 +84,13 @@
   try {
     program = environmentOf(point).parse(source);
   } catch (err) {
-    throw toPolicyError(source, err as Located);
+    throw toPolicyError(source, err as LocatedError);
   }
   const checked = program.check();
   if (!checked.valid) {
     throw toPolicyError(
       source,
-      (checked.error ?? new Error("not valid")) as Located,
+      (checked.error ?? new Error("not valid")) as LocatedError,
     );
   }
   const { result } = POLICY_POINTS[point];
--- a/packages/policies/tests/policies.test.ts
+++ b/packages/policies/tests/policies.test.ts
@@ -35,7 +35,7 @@
   workerTasks: 0,
 };
 
-const FAULTY: readonly (readonly [
+const INVALID_POLICIES: readonly (readonly [
   string,
   "admission" | "score",
   string,
@@ -56,22 +56,22 @@
   ],
 ];
 
-for (const [what, point, source, line, column] of FAULTY) {
-  test(`${what} is named with its place when the policy is published`, () => {
-    let fault: unknown;
+for (const [what, point, source, line, column] of INVALID_POLICIES) {
+  test(`compilePolicy reports ${what} with its line and column`, () => {
+    let error: unknown;
     try {
       compilePolicy(point, source);
     } catch (err) {
-      fault = err;
+      error = err;
     }
-    expect(fault).toBeA(PolicyError);
+    expect(error).toBeA(PolicyError);
     if (what === "a program without an end") return;
-    const { line: atLine, column: atColumn } = fault as PolicyError;
+    const { line: atLine, column: atColumn } = error as PolicyError;
     expect([atLine, atColumn]).toEqual([line, column]);
   });
 }
 
-const createBook = () => {
+const createEvaluator = () => {
   const metrics = new Metrics();
   return {
     metrics,
@@ -79,9 +79,9 @@
   };
 };
 
-test("the first policy that says no is named", () => {
-  const { book } = createBook();
-  book.replace([
+test("findRefusingPolicy returns the first policy that refuses a request", () => {
+  const { book: evaluator } = createEvaluator();
+  evaluator.replace([
     { name: "roomy", point: "admission", program: "queued < 100.0" },
     {
       name: "no-late-batch",
@@ -89,15 +89,15 @@
       program: "class != 'query' || timeoutMs > 500.0",
     },
   ]);
-  expect(book.findRefusingPolicy(request)).toEqual("no-late-batch");
-  expect(book.findRefusingPolicy({ ...request, timeoutMs: 900 })).toEqual(
+  expect(evaluator.findRefusingPolicy(request)).toEqual("no-late-batch");
+  expect(evaluator.findRefusingPolicy({ ...request, timeoutMs: 900 })).toEqual(
     undefined,
   );
 });
 
-test("penalties add up", () => {
-  const { book } = createBook();
-  book.replace([
+test("the penalties of all policies are added up", () => {
+  const { book: evaluator } = createEvaluator();
+  evaluator.replace([
     {
       name: "a",
       point: "score",
@@ -105,12 +105,12 @@
     },
     { name: "b", point: "score", program: "1.0 - freeMemoryShare" },
   ]);
-  expect(book.totalPenalty(host)).toEqual(4.5);
+  expect(evaluator.totalPenalty(host)).toEqual(4.5);
 });
 
-test("a policy that fails while it runs gives way to the built-in rule, and is counted", async () => {
-  const { book, metrics } = createBook();
-  book.replace([
+test("a policy that fails at run time is counted, and the built-in rule applies", async () => {
+  const { book: evaluator, metrics } = createEvaluator();
+  evaluator.replace([
     {
       name: "bad-index",
       point: "admission",
@@ -123,8 +123,8 @@
     },
     { name: "does-not-compile", point: "score", program: "nothing" },
   ]);
-  expect(book.findRefusingPolicy(request)).toEqual(undefined);
-  expect(book.totalPenalty(host)).toEqual(0);
+  expect(evaluator.findRefusingPolicy(request)).toEqual(undefined);
+  expect(evaluator.totalPenalty(host)).toEqual(0);
   const failures = await metrics.values("policy_failures");
   expect(failures.map(({ labels }) => labels["policy"]).sort()).toEqual([
     "bad-index",
--- a/packages/routing/src/DeadlineQueue.ts
+++ b/packages/routing/src/DeadlineQueue.ts
@@ -17,7 +17,7 @@
 export class DeadlineQueue {
   private readonly queue: PQueue;
   private running = 0;
-  private late = 0;
+  private expiredCount = 0;
 
   constructor(private readonly options: DeadlineQueueOptions) {
     this.queue = new PQueue({ concurrency: options.concurrency });
@@ -28,7 +28,7 @@
    * turn, but is not counted.
    */
   get queued(): number {
-    return this.queue.size - this.late;
+    return this.queue.size - this.expiredCount;
   }
 
   get inProgress(): number {
@@ -42,7 +42,7 @@
   ): Promise<QueueResult> {
     const { concurrency, maxQueued, clock } = this.options;
     if (this.running < concurrency && this.queue.size === 0) {
-      await this.queue.add(() => this.track(work));
+      await this.queue.add(() => this.runCounted(work));
       return "entered";
     }
     if (this.queued >= maxQueued) return "full";
@@ -51,24 +51,24 @@
       const timer = clock.after(timeoutMs, () => {
         if (state !== "waiting") return;
         state = "late";
-        this.late += 1;
+        this.expiredCount += 1;
         resolve("late");
       });
       const task = async (): Promise<void> => {
         if (state === "late") {
-          this.late -= 1;
+          this.expiredCount -= 1;
           return;
         }
         state = "started";
         timer.cancel();
-        await this.track(work);
+        await this.runCounted(work);
         resolve("entered");
       };
       this.queue.add(task).catch(reject);
     });
   }
 
-  private async track(work: () => Promise<void>): Promise<void> {
+  private async runCounted(work: () => Promise<void>): Promise<void> {
     this.running += 1;
     try {
       await work();
--- a/packages/routing/src/OutlierEjector.ts
+++ b/packages/routing/src/OutlierEjector.ts
@@ -31,7 +31,7 @@
   onProbation: boolean;
 }
 
-const fresh = (): Health => ({
+const newHealth = (): Health => ({
   failuresInRow: 0,
   ejections: 0,
   ejectedUntil: -Infinity,
@@ -44,7 +44,7 @@
   constructor(private readonly options: OutlierEjectorOptions) {}
 
   report({ host, ok }: HostOutcome): void {
-    const health = this.health.get(host) ?? fresh();
+    const health = this.health.get(host) ?? newHealth();
     this.health.set(host, health);
     if (ok) {
       health.failuresInRow = 0;
@@ -63,8 +63,8 @@
   admit(candidates: readonly EndpointView[]): readonly EndpointView[] {
     if (this.health.size === 0) return candidates;
     const admitted = candidates.filter(({ host }) => !this.isEjected(host));
-    const least = candidates.length * (1 - this.options.maxEjectedShare);
-    return admitted.length > 0 && admitted.length >= least
+    const minAdmitted = candidates.length * (1 - this.options.maxEjectedShare);
+    return admitted.length > 0 && admitted.length >= minAdmitted
       ? admitted
       : candidates;
   }
@@ -83,8 +83,8 @@
 
   private eject(health: Health): void {
     const { clock, ejectMs, maxEjectMs } = this.options;
-    const lasts = Math.min(maxEjectMs, ejectMs * 2 ** health.ejections);
-    health.ejectedUntil = clock.monotonic() + lasts;
+    const durationMs = Math.min(maxEjectMs, ejectMs * 2 ** health.ejections);
+    health.ejectedUntil = clock.monotonic() + durationMs;
     health.ejections += 1;
     health.failuresInRow = 0;
     health.onProbation = true;
--- a/packages/routing/src/chooseSubset.ts
+++ b/packages/routing/src/chooseSubset.ts
@@ -17,7 +17,7 @@
 }
 
 /** Minimum number of entries that use each endpoint, if there are that many. */
-const COVERED_BY = 2;
+const MIN_ENTRIES_PER_ENDPOINT = 2;
 
 const orderOf = (name: string): string =>
   createHash("md5").update(name).digest("hex");
@@ -26,20 +26,20 @@
 export const chooseSubset = <T>({
   members,
   nameOf,
-  entryIndex: place,
-  entryCount: places,
-  minSize: least,
+  entryIndex,
+  entryCount,
+  minSize,
 }: SubsetOptions<T>): readonly T[] => {
   const count = members.length;
   const size = Math.max(
-    least,
-    Math.ceil((COVERED_BY * count) / Math.max(1, places)),
+    minSize,
+    Math.ceil((MIN_ENTRIES_PER_ENDPOINT * count) / Math.max(1, entryCount)),
   );
   if (size >= count) return members;
   const ordered = members
     .map((member) => ({ member, order: orderOf(nameOf(member)) }))
     .sort((a, b) => (a.order < b.order ? -1 : 1));
-  const first = Math.floor((place * count) / Math.max(1, places));
+  const first = Math.floor((entryIndex * count) / Math.max(1, entryCount));
   const chosen: T[] = [];
   for (let step = 0; step < size; step += 1) {
     chosen.push(
--- a/packages/routing/src/pooledPicker.ts
+++ b/packages/routing/src/pooledPicker.ts
@@ -60,9 +60,9 @@
   }
 
   private isBetter(a: EndpointView, b: EndpointView): boolean {
-    const hotA = this.isHot(a);
-    if (hotA !== this.isHot(b)) return !hotA;
-    return hotA ? loadShare(a) < loadShare(b) : this.cost(a) < this.cost(b);
+    const isHotA = this.isHot(a);
+    if (isHotA !== this.isHot(b)) return !isHotA;
+    return isHotA ? loadShare(a) < loadShare(b) : this.cost(a) < this.cost(b);
   }
 
   private isHot(endpoint: EndpointView): boolean {
@@ -72,10 +72,10 @@
   /** Latency weighted by the load, plus the penalty for another zone. */
   private cost(endpoint: EndpointView): number {
     const { availabilityZone, latencyMs } = endpoint;
-    const away = availabilityZone !== this.options.availabilityZone;
-    const known = latencyMs > 0 ? latencyMs : UNKNOWN_LATENCY_MS;
-    const expected = known * (1 + loadShare(endpoint));
-    return expected + (away ? this.options.crossZonePenaltyMs : 0);
+    const isOtherZone = availabilityZone !== this.options.availabilityZone;
+    const knownLatencyMs = latencyMs > 0 ? latencyMs : UNKNOWN_LATENCY_MS;
+    const expectedMs = knownLatencyMs * (1 + loadShare(endpoint));
+    return expectedMs + (isOtherZone ? this.options.crossZonePenaltyMs : 0);
   }
 }
 
--- a/packages/routing/src/roundRobinPicker.ts
+++ b/packages/routing/src/roundRobinPicker.ts
@@ -7,17 +7,17 @@
 const START_RANGE = 1_000_000;
 
 export class RoundRobinPicker implements EndpointPicker {
-  private turn: number;
+  private position: number;
 
   constructor(random: Random) {
     // Entries that start at the same time must not pick the same endpoints in the same
     // order.
-    this.turn = pickIndex(random, START_RANGE);
+    this.position = pickIndex(random, START_RANGE);
   }
 
   pick(candidates: readonly EndpointView[]): EndpointView {
-    this.turn += 1;
-    return candidates[this.turn % candidates.length] as EndpointView;
+    this.position += 1;
+    return candidates[this.position % candidates.length] as EndpointView;
   }
 }
 
--- a/packages/routing/tests/routing.test.ts
+++ b/packages/routing/tests/routing.test.ts
@@ -19,7 +19,7 @@
 
 const OWN_ZONE = brand<AvailabilityZone>("own");
 
-const endpoint = (
+const createEndpoint = (
   host: string,
   changes: Partial<EndpointView> = {},
 ): EndpointView => ({
@@ -35,7 +35,7 @@
   ...changes,
 });
 
-const shareOf = (
+const pickShareOf = (
   picker: string,
   host: string,
   candidates: readonly EndpointView[],
@@ -51,32 +51,38 @@
   return picks.filter((name) => name === host).length / picks.length;
 };
 
-const others = (count: number): EndpointView[] =>
-  Array.from({ length: count }, (_, index) => endpoint(`other-${index}`));
+const createEndpoints = (count: number): EndpointView[] =>
+  Array.from({ length: count }, (_, index) => createEndpoint(`other-${index}`));
 
-test("every picker uses every endpoint when all are alike", () => {
+test("every picker uses all endpoints about equally often when they are equal", () => {
   for (const name of endpointPickers.names()) {
-    const share = shareOf(name, "other-0", others(4));
+    const share = pickShareOf(name, "other-0", createEndpoints(4));
     expect(share > 0.15 && share < 0.35).toEqual(true);
   }
 });
 
-test("the pooled picker seldom takes a slow endpoint, and hardly ever a full one", () => {
-  const slow = endpoint("slow", { latencyMs: 30 });
-  const full = endpoint("full", { busySlots: 8, latencyMs: 0.1 });
-  expect(shareOf("pooled", "slow", [slow, ...others(5)]) < 0.02).toEqual(true);
-  expect(shareOf("pooled", "full", [full, ...others(5)]) < 0.02).toEqual(true);
+test("the pooled picker rarely picks a slow endpoint or one whose slots are all in use", () => {
+  const slow = createEndpoint("slow", { latencyMs: 30 });
+  const full = createEndpoint("full", { busySlots: 8, latencyMs: 0.1 });
+  expect(
+    pickShareOf("pooled", "slow", [slow, ...createEndpoints(5)]) < 0.02,
+  ).toEqual(true);
+  expect(
+    pickShareOf("pooled", "full", [full, ...createEndpoints(5)]) < 0.02,
+  ).toEqual(true);
 });
 
-test("the pooled picker leaves its zone only when that saves more than the way costs", () => {
-  const away = endpoint("away", {
+test("the pooled picker prefers another zone only if that saves more than the cross-zone penalty", () => {
+  const remote = createEndpoint("away", {
     availabilityZone: brand<AvailabilityZone>("away"),
   });
-  expect(shareOf("pooled", "away", [away, ...others(5)]) < 0.02).toEqual(true);
-  const faster = { ...away, latencyMs: 1 };
-  expect(shareOf("pooled", "away", [faster, ...others(5)]) > 0.35).toEqual(
-    true,
-  );
+  expect(
+    pickShareOf("pooled", "away", [remote, ...createEndpoints(5)]) < 0.02,
+  ).toEqual(true);
+  const faster = { ...remote, latencyMs: 1 };
+  expect(
+    pickShareOf("pooled", "away", [faster, ...createEndpoints(5)]) > 0.35,
+  ).toEqual(true);
 });
 
 const createEjector = (clock: ManualClock) =>
@@ -88,7 +94,11 @@
     maxEjectedShare: 0.5,
   });
 
-const fail = (ejector: OutlierEjector, host: string, times: number): void => {
+const reportFailures = (
+  ejector: OutlierEjector,
+  host: string,
+  times: number,
+): void => {
   for (let i = 0; i < times; i += 1) {
     ejector.report({
       host: brand<HostId>(host),
@@ -99,17 +109,17 @@
   }
 };
 
-test("an endpoint that fails everything is left out, for longer each time, and one success forgives", async () => {
+test("an endpoint that keeps failing is ejected for longer each time, and one success resets it", async () => {
   const clock = new ManualClock();
   const ejector = createEjector(clock);
-  const candidates = others(4);
-  fail(ejector, "other-0", 2);
+  const candidates = createEndpoints(4);
+  reportFailures(ejector, "other-0", 2);
   expect(ejector.admit(candidates).length).toEqual(4);
-  fail(ejector, "other-0", 1);
+  reportFailures(ejector, "other-0", 1);
   expect(ejector.admit(candidates).length).toEqual(3);
   await clock.advance(1_001);
   expect(ejector.admit(candidates).length).toEqual(4);
-  fail(ejector, "other-0", 1);
+  reportFailures(ejector, "other-0", 1);
   await clock.advance(1_001);
   expect(ejector.admit(candidates).length).toEqual(3);
   await clock.advance(1_000);
@@ -119,18 +129,18 @@
     latencyMs: 1,
     at: 0,
   });
-  fail(ejector, "other-0", 2);
+  reportFailures(ejector, "other-0", 2);
   expect(ejector.admit(candidates).length).toEqual(4);
 });
 
-test("when too many would be left out, none is", () => {
+test("no endpoint is excluded when too many are ejected", () => {
   const ejector = createEjector(new ManualClock());
-  const candidates = others(4);
-  for (const { host } of candidates) fail(ejector, host, 3);
+  const candidates = createEndpoints(4);
+  for (const { host } of candidates) reportFailures(ejector, host, 3);
   expect(ejector.admit(candidates)).toEqual(candidates);
 });
 
-test("retries stay within their share of requests however much fails", () => {
+test("retries stay within their share of requests even if every attempt fails", () => {
   const budget = new RetryBudget({ ratio: 0.1, burst: 5 });
   let retries = 0;
   for (let request = 0; request < 1_000; request += 1) {
@@ -142,43 +152,43 @@
   expect(retries >= 95).toEqual(true);
 });
 
-test("a queue runs in order within its width, refuses past its length, and drops what is late", async () => {
+test("a deadline queue limits concurrency and length, and drops requests whose deadline has passed", async () => {
   const clock = new ManualClock();
   const queue = new DeadlineQueue({ clock, concurrency: 1, maxQueued: 2 });
   const order: string[] = [];
   let release: () => void = () => undefined;
-  const held = new Promise<void>((resolve) => (release = resolve));
-  const first = queue.run(1_000, () => held);
-  const late = queue.run(50, async () => void order.push("late"));
+  const pendingWork = new Promise<void>((resolve) => (release = resolve));
+  const first = queue.run(1_000, () => pendingWork);
+  const expired = queue.run(50, async () => void order.push("late"));
   const second = queue.run(1_000, async () => void order.push("second"));
   expect(await queue.run(1_000, async () => void order.push("over"))).toEqual(
     "full",
   );
   await clock.advance(51);
-  expect(await late).toEqual("late");
+  expect(await expired).toEqual("late");
   expect(queue.queued).toEqual(1);
   release();
   expect([await first, await second]).toEqual(["entered", "entered"]);
   expect(order).toEqual(["second"]);
 });
 
-test("the subsets of all entries cover every endpoint, and do not depend on the order", () => {
+test("the subsets of all entries cover every endpoint, regardless of the order of the members", () => {
   const names = Array.from({ length: 1_400 }, (_, index) => `host-${index}`);
-  const subsetOf = (place: number, members = names) =>
+  const subsetFor = (entryIndex: number, members = names) =>
     chooseSubset({
       members,
       nameOf: (name) => name,
-      entryIndex: place,
+      entryIndex,
       entryCount: 6,
       minSize: 32,
     });
   const covered = new Map<string, number>();
-  for (let place = 0; place < 6; place += 1) {
-    for (const name of subsetOf(place))
+  for (let entryIndex = 0; entryIndex < 6; entryIndex += 1) {
+    for (const name of subsetFor(entryIndex))
       covered.set(name, (covered.get(name) ?? 0) + 1);
   }
   expect(covered.size).toEqual(1_400);
   expect(Math.min(...covered.values()) >= 2).toEqual(true);
-  expect(subsetOf(3, [...names].reverse())).toEqual(subsetOf(3));
-  expect(subsetOf(0, names.slice(0, 20)).length).toEqual(20);
+  expect(subsetFor(3, [...names].reverse())).toEqual(subsetFor(3));
+  expect(subsetFor(0, names.slice(0, 20)).length).toEqual(20);
 });
--- a/packages/scheduling/src/CheckpointWriter.ts
+++ b/packages/scheduling/src/CheckpointWriter.ts
@@ -32,23 +32,23 @@
 
   /** Tracks tasks that a host has just reported. */
   trackTasks(tasks: Iterable<JobTask>): void {
-    const { clock, intervalMs: everyMs } = this.options;
-    if (everyMs === 0) return;
+    const { clock, intervalMs } = this.options;
+    if (intervalMs === 0) return;
     for (const { step } of tasks) {
       if (step.job.hasUnpersistedProgress) this.changed.add(step.job);
     }
     if (this.changed.size === 0 || this.timer) return;
-    this.timer = clock.after(everyMs, () => {
+    this.timer = clock.after(intervalMs, () => {
       this.timer = undefined;
-      this.keep();
+      this.writeChanged();
     });
   }
 
-  private keep(): void {
+  private writeChanged(): void {
     const { journal, logger } = this.options;
     const jobs = [...this.changed].filter(
-      ({ isEnded, hasUnpersistedProgress: hasUnkeptProgress }) =>
-        hasUnkeptProgress && !isEnded,
+      ({ isEnded, hasUnpersistedProgress }) =>
+        hasUnpersistedProgress && !isEnded,
     );
     this.changed.clear();
     if (jobs.length === 0) return;
--- a/packages/scheduling/src/CrashTracker.ts
+++ b/packages/scheduling/src/CrashTracker.ts
@@ -29,11 +29,11 @@
 import type { ProgressRecorder } from "./ProgressRecorder.js";
 
 export interface CrashTrackerOptions extends EngineParts {
-  readonly closer: JobFinisher;
+  readonly jobFinisher: JobFinisher;
   readonly progressRecorder: ProgressRecorder;
 }
 
-const PROOFS: readonly CrashEvidence[] = ["sole", "unanswered"];
+const PROOF_EVIDENCE: readonly CrashEvidence[] = ["sole", "unanswered"];
 
 /**
  * Whether the answer to the start order of a lost run may still arrive, and who reports
@@ -49,7 +49,7 @@
    * Whether the side has reported that the order is open; it then also reports when the
    * order is closed.
    */
-  readonly isToldBySide: boolean;
+  readonly isReportedBySide: boolean;
   readonly timer: Timer;
 }
 
@@ -67,13 +67,13 @@
   private readonly judged = new BoundedMap<string, true>(MAX_JUDGED);
 
   /** Runs that had ended before their workers crashed, as reported by sides. */
-  private readonly ended = new BoundedMap<string, true>(MAX_JUDGED);
+  private readonly endedRuns = new BoundedMap<string, true>(MAX_JUDGED);
 
   /**
    * When the worker of a host was last lost without proof against a task. Whatever
    * ended that worker may have ended others, too.
    */
-  private readonly unexplained = new Map<HostId, Monotonic>();
+  private readonly unexplainedLosses = new Map<HostId, Monotonic>();
 
   /**
    * Tasks that are held until the start order of a run is answered, because counting
@@ -95,36 +95,36 @@
     reason: string,
     lostRuns: readonly LostRun[] = [],
   ): void {
-    const { options, runs } = this.parts;
-    const { ledger } = entry;
+    const { options, runStarter } = this.parts;
+    const { hostState } = entry;
     const blamed = attributeCrash({
-      host: ledger,
+      host: hostState,
       loss,
       lostRuns,
       expectedMs: (step) => this.expectedMs(step),
-      hasEnded: (run) => this.ended.get(runKeyOf(runRefOf(run))) === true,
+      hasEnded: (run) => this.endedRuns.get(runKeyOf(runRefOf(run))) === true,
     });
-    const wasPlanned = ledger.worker.draining;
+    const wasPlanned = hostState.worker.draining;
     if (loss === "crashed" && !wasPlanned && !isProven(blamed)) {
-      this.noteUnexplained(ledger.host);
+      this.recordUnexplained(hostState.host);
     }
-    if (ledger.runs.size === 0) return;
+    if (hostState.runs.size === 0) return;
     options.logger.warn("host.runs-lost", {
-      host: ledger.host,
-      instance: ledger.instance,
+      host: hostState.host,
+      instance: hostState.instance,
       reason,
-      runs: ledger.runs.size,
+      runs: hostState.runs.size,
       blamed: blamed.size,
     });
-    for (const run of [...ledger.runs.values()]) {
+    for (const run of [...hostState.runs.values()]) {
       this.judged.set(runKeyOf(runRefOf(run)), true);
-      runs.returnRun(entry, run, reason);
+      runStarter.returnRun(entry, run, reason);
     }
-    const toldOpen = keysOfOpen(lostRuns);
+    const openKeys = openOrderKeys(lostRuns);
     for (const [run, evidence] of blamed) {
-      const isToldOpen = toldOpen.has(runKeyOf(runRefOf(run)));
-      const order = isToldOpen ? "told-open" : orderOf(run);
-      this.note(ledger.host, run, evidence, order);
+      const isReportedOpen = openKeys.has(runKeyOf(runRefOf(run)));
+      const order = isReportedOpen ? "told-open" : orderStateOf(run);
+      this.recordEvidence(hostState.host, run, evidence, order);
     }
   }
 
@@ -139,8 +139,8 @@
     metrics.count("task_crashes_taken_back");
     const { points } = task.crashLog;
     logger.info("task.crash-taken-back", { task: task.id, run, points });
-    if (this.endWait(task, run)) task.heldUntil = clock.monotonic();
-    this.keep(job, task);
+    if (this.stopAwaiting(task, run)) task.heldUntil = clock.monotonic();
+    this.persistOrFinish(job, task);
     this.parts.requestCycle();
   }
 
@@ -149,7 +149,7 @@
    * against their tasks.
    */
   recordUnreportedEnds(refs: readonly RunRef[]): void {
-    for (const ref of refs) this.ended.set(runKeyOf(ref), true);
+    for (const ref of refs) this.endedRuns.set(runKeyOf(ref), true);
   }
 
   /**
@@ -168,7 +168,7 @@
    * Whether workers of other hosts were lost at about that time without a suspect task.
    */
   private othersWereLost(host: HostId, at: Monotonic): boolean {
-    return [...this.unexplained].some(
+    return [...this.unexplainedLosses].some(
       ([other, lostAt]) =>
         other !== host && Math.abs(lostAt - at) < CRASH_LIMITS.correlatedLossMs,
     );
@@ -178,15 +178,15 @@
    * Records a worker loss without proof against a task, and deletes records that no
    * proof can refer to any more.
    */
-  private noteUnexplained(host: HostId): void {
+  private recordUnexplained(host: HostId): void {
     const now = this.parts.options.clock.monotonic();
     // Proof waits for `correlatedLossMs` and then considers losses up to as long before
     // it.
     const oldest = now - 2 * CRASH_LIMITS.correlatedLossMs;
-    for (const [other, lostAt] of [...this.unexplained]) {
-      if (lostAt < oldest) this.unexplained.delete(other);
+    for (const [other, lostAt] of [...this.unexplainedLosses]) {
+      if (lostAt < oldest) this.unexplainedLosses.delete(other);
     }
-    this.unexplained.set(host, now);
+    this.unexplainedLosses.set(host, now);
   }
 
   /**
@@ -194,7 +194,7 @@
    * The previous leader may have ended before it received them.
    */
   handleReportedLosses(host: HostId, lostRuns: readonly LostRun[]): void {
-    const open = lostRuns.flatMap((lost) => this.openLoss(lost));
+    const open = lostRuns.flatMap((lost) => this.unjudgedLosses(lost));
     const young = open.filter(
       ({ lost }) => !hasSettledAfter(lost.workedMs ?? 0),
     );
@@ -202,18 +202,23 @@
     // If another run had just started as well, the isolated run may not be the cause of
     // the crash.
     const isSole =
-      only && young.length === 1 && beganApart(only.task, only.lost);
+      only && young.length === 1 && startedIsolated(only.task, only.lost);
     for (const { task, lost } of isSole ? [only] : open) {
-      const sight = lostRunStateOf(lost, this.expectedMs(task.step));
+      const runState = lostRunStateOf(lost, this.expectedMs(task.step));
       const evidence = isSole
-        ? evidenceOfIsolatedRun(task, lost.workedMs !== undefined, sight)
-        : evidenceOfSharedRun(lost.workedMs, sight);
+        ? evidenceOfIsolatedRun(task, lost.workedMs !== undefined, runState)
+        : evidenceOfSharedRun(lost.workedMs, runState);
       const run = { task, run: lost.run };
-      this.note(host, run, evidence, lost.isOrderOpen ? "told-open" : "over");
+      this.recordEvidence(
+        host,
+        run,
+        evidence,
+        lost.isOrderOpen ? "told-open" : "over",
+      );
     }
     for (const lost of lostRuns) {
       this.judged.set(runKeyOf(lost), true);
-      if (!lost.isOrderOpen) this.noteOrderOver(lost);
+      if (!lost.isOrderOpen) this.handleOrderClosed(lost);
     }
   }
 
@@ -221,17 +226,17 @@
    * No answer can withdraw the count of that run any more, so a task that is held for
    * the answer is judged now.
    */
-  private noteOrderOver(lost: LostRun): void {
+  private handleOrderClosed(lost: LostRun): void {
     const task = this.parts.jobs.findTask(lost.task);
-    if (!task || !this.awaitingAnswer.get(task)?.isToldBySide) return;
-    if (!this.endWait(task, lost.run)) return;
+    if (!task || !this.awaitingAnswer.get(task)?.isReportedBySide) return;
+    if (!this.stopAwaiting(task, lost.run)) return;
     task.heldUntil = this.parts.options.clock.monotonic();
-    this.keep(task.step.job, task);
+    this.persistOrFinish(task.step.job, task);
     this.parts.requestCycle();
   }
 
   /** @returns whether the task was held for the answer to that run's order */
-  private endWait(task: JobTask, run: RunNumber): boolean {
+  private stopAwaiting(task: JobTask, run: RunNumber): boolean {
     const awaited = this.awaitingAnswer.get(task);
     if (awaited?.run !== run) return false;
     awaited.timer.cancel();
@@ -250,7 +255,7 @@
    * Returns the task of a lost run that no leader has judged yet, as far as this one
    * has recorded.
    */
-  private openLoss(lost: LostRun): { task: JobTask; lost: LostRun }[] {
+  private unjudgedLosses(lost: LostRun): { task: JobTask; lost: LostRun }[] {
     const task = this.parts.jobs.findTask(lost.task);
     if (!task) return [];
     const evidence = task.crashLog.evidenceOf(lost.run);
@@ -267,11 +272,12 @@
   resolvePreviousRun(task: JobTask): void {
     const { job } = task.step;
     const isNew = job.resolveWriteAheadRun(task);
-    if (isNew) this.logCount(task, "unknown");
-    if (isNew || job.hasReachedCrashLimit(task)) this.keep(job, task);
+    if (isNew) this.logEvidence(task, "unknown");
+    if (isNew || job.hasReachedCrashLimit(task))
+      this.persistOrFinish(job, task);
   }
 
-  private note(
+  private recordEvidence(
     host: HostId,
     { task, run }: TaskRun,
     evidence: CrashEvidence,
@@ -281,11 +287,11 @@
     if (job.isEnded || task.phase === "done") return;
     if (task.writeAheadRun === run) task.writeAheadRun = undefined;
     task.crashLog.record(run, evidence);
-    this.logCount(task, evidence, run, host);
-    if (evidence === "sole") this.doubtLater(host, task, run);
+    this.logEvidence(task, evidence, run, host);
+    if (evidence === "sole") this.judgeProofLater(host, task, run);
     else if (order !== "over" && job.hasReachedCrashLimit(task)) {
       this.awaitAnswer(task, run, order === "told-open");
-    } else this.keep(job, task);
+    } else this.persistOrFinish(job, task);
   }
 
   /**
@@ -294,13 +300,13 @@
    * proof and its task wait for those reports; judged at once, jobs would be failed for
    * tasks that crashed nothing.
    */
-  private doubtLater(host: HostId, task: JobTask, run: RunNumber): void {
+  private judgeProofLater(host: HostId, task: JobTask, run: RunNumber): void {
     const at = this.parts.options.clock.monotonic();
     this.parts.progressRecorder.recordJob(task.step.job);
     this.judgeLater(task, CRASH_LIMITS.correlatedLossMs, () => {
       if (task.step.job.isEnded || !this.othersWereLost(host, at)) return;
       task.crashLog.record(run, "doubted");
-      this.logCount(task, "doubted", run, host);
+      this.logEvidence(task, "doubted", run, host);
     });
   }
 
@@ -311,35 +317,35 @@
   private awaitAnswer(
     task: JobTask,
     run: RunNumber,
-    isToldBySide: boolean,
+    isReportedBySide: boolean,
   ): void {
     this.awaitingAnswer.get(task)?.timer.cancel();
     const timer = this.judgeLater(task, ENGINE.orderTimeoutMs, () =>
       this.awaitingAnswer.delete(task),
     );
-    this.awaitingAnswer.set(task, { run, isToldBySide, timer });
+    this.awaitingAnswer.set(task, { run, isReportedBySide, timer });
   }
 
   /** Holds the task until all messages that may speak for it have had time to arrive. */
   private judgeLater(task: JobTask, ms: number, onDue: () => void): Timer {
-    const { options, requestCycle: requestPass } = this.parts;
+    const { options, requestCycle } = this.parts;
     const { job } = task.step;
     task.heldUntil = options.clock.monotonic() + ms;
     return options.clock.after(ms, () => {
       onDue();
       if (job.isEnded) return;
-      this.keep(job, task);
-      requestPass();
+      this.persistOrFinish(job, task);
+      requestCycle();
     });
   }
 
-  private keep(job: JobRun, task: JobTask): void {
-    const { closer, progressRecorder: keeper } = this.parts;
-    closer.finishIfEnded(job, task);
-    if (!job.isEnded) keeper.recordJob(job);
+  private persistOrFinish(job: JobRun, task: JobTask): void {
+    const { jobFinisher, progressRecorder } = this.parts;
+    jobFinisher.finishIfEnded(job, task);
+    if (!job.isEnded) progressRecorder.recordJob(job);
   }
 
-  private logCount(
+  private logEvidence(
     task: JobTask,
     evidence: CrashEvidence,
     run?: RunNumber,
@@ -347,34 +353,35 @@
   ): void {
     const { logger, metrics } = this.parts.options;
     metrics.count("task_crashes", { evidence });
-    const { points, crashCount: crashes, isSuspect } = task.crashLog;
+    const { points, crashCount, isSuspect } = task.crashLog;
     logger.warn("task.crash-counted", {
       task: task.id,
       run,
       host,
       evidence,
-      crashes,
+      crashes: crashCount,
       points,
       isSuspect,
     });
   }
 }
 
-const orderOf = ({ phase }: ActiveRun): OrderState =>
+const orderStateOf = ({ phase }: ActiveRun): OrderState =>
   phase === "starting" ? "open" : "over";
 
 /** Returns the keys of the reported runs whose start orders are still being repeated. */
-const keysOfOpen = (lostRuns: readonly LostRun[]): ReadonlySet<string> =>
+const openOrderKeys = (lostRuns: readonly LostRun[]): ReadonlySet<string> =>
   new Set(lostRuns.filter((lost) => lost.isOrderOpen).map(runKeyOf));
 
 const isProven = (blamed: ReadonlyMap<ActiveRun, CrashEvidence>): boolean =>
-  [...blamed.values()].some((evidence) => PROOFS.includes(evidence));
+  [...blamed.values()].some((evidence) => PROOF_EVIDENCE.includes(evidence));
 
 /**
  * Whether the lost run was the write-ahead run of its task, had just started, and was
  * at work when the side's poll broke off.
  */
-const beganApart = (
-  { writeAheadRun: announced, crashLog: crashes }: JobTask,
+const startedIsolated = (
+  { writeAheadRun, crashLog }: JobTask,
   { run, workedMs = 0, wasAtWork }: LostRun,
-): boolean => wasAtWork && announced === run && workedMs < crashes.isolationMs;
+): boolean =>
+  wasAtWork && writeAheadRun === run && workedMs < crashLog.isolationMs;
--- a/packages/scheduling/src/CycleHostFilter.ts
+++ b/packages/scheduling/src/CycleHostFilter.ts
@@ -43,9 +43,9 @@
     if (!isOverdueLasting(step, now)) return;
     const { demand } = step.spec;
     const withoutPlain = hosts.filter(
-      ({ worker, allocated: room }) =>
-        worker.milliCores - room.servingMilliCores >= demand.milliCores &&
-        worker.memoryMiB - room.memoryMiB >= demand.memoryMiB,
+      ({ worker, allocated }) =>
+        worker.milliCores - allocated.servingMilliCores >= demand.milliCores &&
+        worker.memoryMiB - allocated.memoryMiB >= demand.memoryMiB,
     );
     const [emptiest] = withoutPlain.sort(
       (a, b) => a.allocated.plainMilliCores - b.allocated.plainMilliCores,
--- a/packages/scheduling/src/Dispatcher.ts
+++ b/packages/scheduling/src/Dispatcher.ts
@@ -28,7 +28,7 @@
 export interface DispatcherOptions {
   readonly engine: EngineOptions;
   readonly hosts: HostRegistry;
-  readonly runs: RunStarter;
+  readonly runStarter: RunStarter;
   readonly order: StepOrder;
   readonly placer: TaskPlacer;
   readonly ejector: OutlierEjector;
@@ -42,8 +42,8 @@
 
 export class Dispatcher {
   private readonly timer: SchedulingCycleTimer;
-  private readonly heldBack: CycleHostFilter;
-  private readonly turns = new IsolatedStartQueue();
+  private readonly hostFilter: CycleHostFilter;
+  private readonly isolatedStarts = new IsolatedStartQueue();
   /** Usable hosts by service, computed at the start of each scheduling cycle. */
   private hostsByService: ReturnType<typeof usableHosts> = new Map();
 
@@ -52,9 +52,9 @@
     this.timer = new SchedulingCycleTimer({
       clock,
       logger,
-      runCycle: () => this.pass(),
+      runCycle: () => this.runCycle(),
     });
-    this.heldBack = new CycleHostFilter(clock);
+    this.hostFilter = new CycleHostFilter(clock);
   }
 
   /** See SchedulingCycleTimer. */
@@ -67,12 +67,12 @@
     this.timer.runIfOverdue();
   }
 
-  private pass(): void {
+  private runCycle(): void {
     const { engine, order, hosts, ejector } = this.options;
     if (!engine.mayDecide()) return;
-    const began = engine.clock.monotonic();
-    this.heldBack.startCycle();
-    this.turns.startCycle(began);
+    const startedAt = engine.clock.monotonic();
+    this.hostFilter.startCycle();
+    this.isolatedStarts.startCycle(startedAt);
     const now = engine.clock.now();
     const candidates = order.sort(this.candidates(now), now);
     this.hostsByService = usableHosts({
@@ -86,23 +86,23 @@
     }
     engine.metrics
       .latency("dispatch_pass")
-      .record(engine.clock.monotonic() - began);
+      .record(engine.clock.monotonic() - startedAt);
   }
 
   private candidates(now: number): Candidate[] {
     const { engine, active } = this.options;
     const monotonic = engine.clock.monotonic();
     const candidates: Candidate[] = [];
-    for (const live of active) {
-      const { job, firstSeenAt } = live;
+    for (const tracked of active) {
+      const { job, firstSeenAt } = tracked;
       const steps = job.runnableSteps(now);
       if (steps.length === 0) {
-        if (job.nextDueAt(now) === undefined) active.delete(live);
+        if (job.nextDueAt(now) === undefined) active.delete(tracked);
         continue;
       }
       if (!engine.gate.mayStart(firstSeenAt, monotonic)) continue;
-      if (this.options.hosts.hasRunsOf(job)) live.lastRunSeenAt = monotonic;
-      const isStarved = monotonic - live.lastRunSeenAt > ENGINE.starvedMs;
+      if (this.options.hosts.hasRunsOf(job)) tracked.lastRunSeenAt = monotonic;
+      const isStarved = monotonic - tracked.lastRunSeenAt > ENGINE.starvedMs;
       candidates.push(...steps.map((step) => ({ job, step, isStarved })));
     }
     return candidates;
@@ -141,19 +141,19 @@
     const { permits } = this.options;
     const { step } = candidate;
     const permitted = {
-      inService: this.permittedOf(step, inService),
-      ejected: this.permittedOf(step, ejected),
+      inService: this.permittedHosts(step, inService),
+      ejected: this.permittedHosts(step, ejected),
     };
     const isAnyPermitted = Object.values(permitted).some(
       ({ length }) => length,
     );
     if (isAnyPermitted) this.placeTasks(candidate, permitted);
     if (step.waiting.size === 0) return;
-    const wanted = [...inService, ...this.lastResortOf(step, ejected)];
-    permits.request({ step, rule, hosts: ableHosts(step, wanted) });
+    const wanted = [...inService, ...this.lastResortHosts(step, ejected)];
+    permits.request({ step, rule, hosts: eligibleHosts(step, wanted) });
   }
 
-  private permittedOf(
+  private permittedHosts(
     step: StepRun,
     hosts: readonly HostState[],
   ): readonly HostState[] {
@@ -169,23 +169,25 @@
       this.placeGang(step, hosts);
       return;
     }
-    const { placer, runs, runLog: announcer } = this.options;
-    let open = this.heldBack.hostsOpenTo(step, hosts);
+    const { placer, runStarter, runLog } = this.options;
+    let openHosts = this.hostFilter.hostsOpenTo(step, hosts);
     let isUnplaced = false;
     for (const task of [...step.waiting]) {
-      if (announcer.needsRecord(task)) {
+      if (runLog.needsRecord(task)) {
         if (this.placeOverdue(job))
-          open = this.heldBack.hostsOpenTo(step, hosts);
+          openHosts = this.hostFilter.hostsOpenTo(step, hosts);
         if (job.isEnded) return;
         if (!step.waiting.has(task)) continue;
-        let outcome = this.placeApart(task, open);
+        let outcome = this.placeIsolated(task, openHosts);
         if (outcome === "no-host") {
-          const rest = this.lastResortOf(step, ejected);
-          if (rest.length > 0) outcome = this.placeApart(task, rest);
+          const ejectedHosts = this.lastResortHosts(step, ejected);
+          if (ejectedHosts.length > 0)
+            outcome = this.placeIsolated(task, ejectedHosts);
         }
         if (outcome === "no-host") isUnplaced = true;
         // No other task may start on the host of an isolated run.
-        if (outcome === "placed") open = this.heldBack.hostsOpenTo(step, hosts);
+        if (outcome === "placed")
+          openHosts = this.hostFilter.hostsOpenTo(step, hosts);
         if (job.isEnded) return;
         continue;
       }
@@ -193,28 +195,28 @@
         ? isOverdueLasting(step, this.options.engine.clock.monotonic())
         : isStarved && !this.options.hosts.hasRunsOf(job);
       const host =
-        placer.pick(task, open, mustPlace) ??
-        placer.pick(task, this.lastResortOf(step, ejected), mustPlace);
+        placer.pick(task, openHosts, mustPlace) ??
+        placer.pick(task, this.lastResortHosts(step, ejected), mustPlace);
       // All tasks of a step have the same demand, but each avoids the hosts on which it
       // failed.
       if (!host) {
-        this.heldBack.recordUnplaced(step, hosts);
+        this.hostFilter.recordUnplaced(step, hosts);
         return;
       }
-      this.startOn(host, task, runs.nextRunNumber());
+      this.startOn(host, task, runStarter.nextRunNumber());
     }
-    if (isUnplaced) this.heldBack.recordUnplaced(step, hosts);
+    if (isUnplaced) this.hostFilter.recordUnplaced(step, hosts);
     else step.unplacedSince = undefined;
   }
 
   /** Returns ejected hosts that the step may use although they are ejected. */
-  private lastResortOf(
+  private lastResortHosts(
     step: StepRun,
     ejected: readonly HostState[],
   ): readonly HostState[] {
     if (!isOverdueLasting(step, this.options.engine.clock.monotonic()))
       return [];
-    return this.heldBack.hostsOpenTo(step, ejected);
+    return this.hostFilter.hostsOpenTo(step, ejected);
   }
 
   /**
@@ -224,27 +226,32 @@
    * @returns `not-now` while the task waits for the crash evidence to be judged, for
    *   its write-ahead record or for its turn
    */
-  private placeApart(
+  private placeIsolated(
     task: JobTask,
-    open: readonly HostState[],
+    openHosts: readonly HostState[],
   ): "placed" | "not-now" | "no-host" {
-    const { runLog: announcer, hosts: book, placer, engine } = this.options;
+    const { runLog, hosts: hostRegistry, placer, engine } = this.options;
     const now = engine.clock.monotonic();
     if (now < task.heldUntil) return "not-now";
-    const run = announcer.recordedRunFor([task]);
+    const run = runLog.recordedRunFor([task]);
     if (run === undefined || task.step.job.isEnded) return "not-now";
-    this.turns.enqueue(task, now);
+    this.isolatedStarts.enqueue(task, now);
     // A lasting task has lost its only run, and its users need a new one soon.
     const { lasting } = task.step.spec;
-    const takesTurn = lasting || this.turns.hasWaitedLong(task, now);
-    const isApart = mayIsolate(open, book.all(), takesTurn);
+    const takesTurn = lasting || this.isolatedStarts.hasWaitedLong(task, now);
+    const isIsolated = mayIsolate(openHosts, hostRegistry.all(), takesTurn);
     // A lasting task may share a host if no further host may be reserved and none of
     // its runs crashed a worker just after its start.
     const mayShare = lasting && task.crashLog.hasNoCrashAtStart;
-    if (!isApart && !mayShare) return "not-now";
-    const host = pickIsolatedHost({ task, open, placer, mustPlace: takesTurn });
-    if (!host) return isApart ? "no-host" : "not-now";
-    this.startOn(host, task, run, isApart);
+    if (!isIsolated && !mayShare) return "not-now";
+    const host = pickIsolatedHost({
+      task,
+      openHosts,
+      placer,
+      mustPlace: takesTurn,
+    });
+    if (!host) return isIsolated ? "no-host" : "not-now";
+    this.startOn(host, task, run, isIsolated);
     return "placed";
   }
 
@@ -256,20 +263,20 @@
   private placeOverdue(job: JobRun): boolean {
     const { priority } = job.terms;
     const { service } = this.termsOf(job);
-    const isBeside = (other: JobRun): boolean =>
+    const competes = (other: JobRun): boolean =>
       other.terms.priority === priority &&
       this.termsOf(other).service === service;
     const { inService: hosts } = this.hostsOf(job);
     let isAnyPlaced = false;
-    for (const task of this.turns.takeOverdue(({ step }) =>
-      isBeside(step.job),
+    for (const task of this.isolatedStarts.takeOverdue(({ step }) =>
+      competes(step.job),
     )) {
       const { step } = task;
       if (this.options.engine.clock.monotonic() < step.heldUntil) continue;
       const { permitRule } = this.termsOf(step.job);
-      const allowed = permitRule ? this.permittedOf(step, hosts) : hosts;
-      const open = this.heldBack.hostsOpenTo(step, allowed);
-      if (this.placeApart(task, open) === "placed") isAnyPlaced = true;
+      const allowed = permitRule ? this.permittedHosts(step, hosts) : hosts;
+      const openHosts = this.hostFilter.hostsOpenTo(step, allowed);
+      if (this.placeIsolated(task, openHosts) === "placed") isAnyPlaced = true;
     }
     return isAnyPlaced;
   }
@@ -278,30 +285,30 @@
   private placeGang(step: StepRun, hosts: readonly HostState[]): void {
     const waiting = [...step.waiting];
     if (waiting.length < step.tasks.length - step.doneCount) return;
-    const open = this.heldBack.hostsOpenTo(step, hosts);
-    const chosen = chooseGangHosts(step, waiting, open);
+    const openHosts = this.hostFilter.hostsOpenTo(step, hosts);
+    const chosen = chooseGangHosts(step, waiting, openHosts);
     if (!chosen) return;
-    const number = this.options.runLog.recordedRunFor(waiting);
-    if (number === undefined || step.job.isEnded) return;
+    const runNumber = this.options.runLog.recordedRunFor(waiting);
+    if (runNumber === undefined || step.job.isEnded) return;
     step.job.shareCheckpoint(step);
-    for (const [task, host] of chosen) this.startOn(host, task, number);
+    for (const [task, host] of chosen) this.startOn(host, task, runNumber);
   }
 
-  /** @param isApart whether a suspect task gets an isolated start */
+  /** @param isIsolated whether a suspect task gets an isolated start */
   private startOn(
     host: HostState,
     task: JobTask,
-    number: RunNumber,
-    isApart = false,
+    runNumber: RunNumber,
+    isIsolated = false,
   ): void {
-    const { hosts, runs, permits, runLog: announcer } = this.options;
+    const { hosts, runStarter, permits, runLog } = this.options;
     const entry = hosts.get(host.host);
     const ticket = permits.ticketFor(task.step, host);
-    announcer.markOrdered(task);
-    this.turns.remove(task);
-    const apartMs = isApart ? task.crashLog.isolationMs : 0;
+    runLog.markOrdered(task);
+    this.isolatedStarts.remove(task);
+    const isolationMs = isIsolated ? task.crashLog.isolationMs : 0;
     if (entry)
-      runs.start(entry, task, number, { ticket, isolationMs: apartMs });
+      runStarter.start(entry, task, runNumber, { ticket, isolationMs });
   }
 }
 
@@ -309,7 +316,7 @@
  * Returns the hosts that could run the step's first waiting task, those with the most
  * unreserved processor time first.
  */
-const ableHosts = (
+const eligibleHosts = (
   step: StepRun,
   hosts: readonly HostState[],
 ): readonly HostState[] => {
--- a/packages/scheduling/src/HostMonitor.ts
+++ b/packages/scheduling/src/HostMonitor.ts
@@ -18,11 +18,11 @@
    * Minimum change of a silent host's lease expiry that is logged, milliseconds: each
    * repeated message arrives a little earlier or later than the one before.
    */
-  leastChangeMs: 150,
+  minChangeMs: 150,
 } as const;
 
 export interface HostMonitorOptions extends EngineParts {
-  readonly crashes: CrashTracker;
+  readonly crashTracker: CrashTracker;
 }
 
 export class HostMonitor {
@@ -30,12 +30,12 @@
 
   check(): void {
     const now = this.parts.options.clock.monotonic();
-    this.dropExpiredHosts(now);
+    this.removeExpiredHosts(now);
     for (const entry of [...this.parts.hosts.all()]) {
-      if (now >= entry.ledger.leasesExpireBy) {
-        noteUnplaced(entry);
+      if (now >= entry.hostState.leasesExpireBy) {
+        recordUnplaced(entry);
         this.removeHost(entry, "silent", "lease-over");
-      } else this.watchRuns(entry, now);
+      } else this.checkRuns(entry, now);
     }
   }
 
@@ -45,8 +45,10 @@
    */
   nextLeaseExpiry(): Monotonic {
     const { options, hosts } = this.parts;
-    const ledgers = [...hosts.all()].map(({ ledger }) => ledger.leasesExpireBy);
-    return Math.min(options.gate.nextLeaseExpiry, ...ledgers);
+    const expiryTimes = [...hosts.all()].map(
+      ({ hostState }) => hostState.leasesExpireBy,
+    );
+    return Math.min(options.gate.nextLeaseExpiry, ...expiryTimes);
   }
 
   /**
@@ -59,9 +61,9 @@
     reason: string,
     lostRuns: readonly LostRun[] = [],
   ): void {
-    const { hosts, ejector, crashes } = this.parts;
-    const { host, instance } = entry.ledger;
-    crashes.handleLostRuns(entry, loss, reason, lostRuns);
+    const { hosts, ejector, crashTracker } = this.parts;
+    const { host, instance } = entry.hostState;
+    crashTracker.handleLostRuns(entry, loss, reason, lostRuns);
     hosts.delete(host);
     ejector.forget(host);
     this.forgetHost(host, instance, reason);
@@ -86,29 +88,29 @@
    * would start again.
    */
   recordSilence(host: HostId, overInMs: number): void {
-    const { options, hosts, requestCycle: requestPass } = this.parts;
+    const { options, hosts, requestCycle } = this.parts;
     const { gate, clock, logger } = options;
     const now = clock.monotonic();
-    const overBy = now + overInMs;
-    const ledger = hosts.get(host)?.ledger;
-    if (ledger && gate.unreported(now).includes(host)) return;
-    const soonerByMs = ledger
-      ? ledger.recordSilence(overBy)
-      : gate.recordSilence(host, overBy);
-    if (Math.abs(soonerByMs) < SILENCE.leastChangeMs) return;
+    const expiresBy = now + overInMs;
+    const hostState = hosts.get(host)?.hostState;
+    if (hostState && gate.unreported(now).includes(host)) return;
+    const soonerByMs = hostState
+      ? hostState.recordSilence(expiresBy)
+      : gate.recordSilence(host, expiresBy);
+    if (Math.abs(soonerByMs) < SILENCE.minChangeMs) return;
     logger.info("host.silent", {
       host,
       overInMs,
       soonerByMs: Math.round(soonerByMs),
     });
-    requestPass();
+    requestCycle();
   }
 
   /**
    * Removes hosts of the roster that never reported and hold no lease any more, so that
    * the next leader need not wait for them.
    */
-  private dropExpiredHosts(now: Monotonic): void {
+  private removeExpiredHosts(now: Monotonic): void {
     const { options, hosts } = this.parts;
     for (const host of options.gate.takeExpired(now)) {
       if (hosts.get(host)) continue;
@@ -136,64 +138,64 @@
     entry: HostEntry,
     { worker, lostRuns }: Pick<HostReport, "worker" | "lostRuns">,
   ): void {
-    const { crashes, ejector } = this.parts;
-    const { ledger } = entry;
-    crashes.handleLostRuns(entry, "crashed", "worker-replaced", lostRuns);
-    ledger.replaceWorker(worker);
-    ejector.forget(ledger.host);
+    const { crashTracker, ejector } = this.parts;
+    const { hostState } = entry;
+    crashTracker.handleLostRuns(entry, "crashed", "worker-replaced", lostRuns);
+    hostState.replaceWorker(worker);
+    ejector.forget(hostState.host);
   }
 
-  private watchRuns(entry: HostEntry, now: Monotonic): void {
-    const { options, stops, ejector } = this.parts;
-    const { host, runs: active } = entry.ledger;
+  private checkRuns(entry: HostEntry, now: Monotonic): void {
+    const { options, runStopper, ejector } = this.parts;
+    const { host, runs: activeRuns } = entry.hostState;
     if (!options.mayDecide() || !entry.session) return;
     const { policy } = options;
-    stops.orderDueStops(entry);
+    runStopper.orderDueStops(entry);
     if (policy.movesFromSlowHosts && this.hasFasterHost(entry)) {
       this.moveFromSlowHost(entry, now);
     }
-    const shownUntil = lastShownAt(entry, now);
-    for (const run of active.values()) {
+    const knownUntil = lastKnownActivityAt(entry, now);
+    for (const run of activeRuns.values()) {
       if (run.phase !== "running") continue;
-      if (policy.movesCrawling && shouldLeave(run, host, shownUntil)) {
+      if (policy.movesCrawling && shouldMove(run, host, knownUntil)) {
         avoidHost(run.task, host);
-        stops.stop(entry, run, "crawling");
+        runStopper.stop(entry, run, "crawling");
         continue;
       }
-      if (policy.movesStalled && hasStalled(run, shownUntil)) {
+      if (policy.movesStalled && hasStalled(run, knownUntil)) {
         avoidHost(run.task, host);
         ejector.report({ host, ok: false });
-        stops.stop(entry, run, "stalled");
+        runStopper.stop(entry, run, "stalled");
       }
     }
   }
 
-  private hasFasterHost({ ledger }: HostEntry): boolean {
+  private hasFasterHost({ hostState }: HostEntry): boolean {
     return [...this.parts.hosts.all()].some(
       (other) =>
         other.session !== undefined &&
-        !other.ledger.worker.draining &&
-        !this.parts.options.isEvacuated(other.ledger.availabilityZone) &&
-        other.ledger.slowness + SLOWNESS.minAdvantage < ledger.slowness,
+        !other.hostState.worker.draining &&
+        !this.parts.options.isEvacuated(other.hostState.availabilityZone) &&
+        other.hostState.slowness + SLOWNESS.minAdvantage < hostState.slowness,
     );
   }
 
   private moveFromSlowHost(entry: HostEntry, now: Monotonic): void {
-    const { hosts, stops } = this.parts;
+    const { hosts, runStopper } = this.parts;
     for (const run of runsToMove(entry, hosts, now)) {
-      avoidHost(run.task, entry.ledger.host);
-      stops.stop(entry, run, "slow-host");
+      avoidHost(run.task, entry.hostState.host);
+      runStopper.stop(entry, run, "slow-host");
     }
   }
 }
 
 /** Lasting tasks of a silent host have been without a run since its last report. */
-const noteUnplaced = ({ ledger }: HostEntry): void => {
-  for (const { task } of ledger.runs.values()) {
+const recordUnplaced = ({ hostState }: HostEntry): void => {
+  for (const { task } of hostState.runs.values()) {
     const { step } = task;
     if (!step.spec.lasting) continue;
     const since = step.unplacedSince ?? Infinity;
-    step.unplacedSince = Math.min(since, ledger.reportReceivedAt);
+    step.unplacedSince = Math.min(since, hostState.reportReceivedAt);
   }
 };
 
@@ -202,30 +204,33 @@
  * may still make progress; measured against the current time, its runs would be stopped
  * as stalled.
  */
-const lastShownAt = ({ ledger }: HostEntry, now: Monotonic): Monotonic =>
-  now - ledger.reportReceivedAt < ENGINE.missedReportMs
+const lastKnownActivityAt = (
+  { hostState }: HostEntry,
+  now: Monotonic,
+): Monotonic =>
+  now - hostState.reportReceivedAt < ENGINE.missedReportMs
     ? now
-    : ledger.reportReceivedAt;
+    : hostState.reportReceivedAt;
 
 /**
  * Whether the task crawls on the host, saves checkpoints, and was not moved off that
  * host before.
  */
-const shouldLeave = (
+const shouldMove = (
   run: ActiveRun,
   host: HostId,
-  shownUntil: Monotonic,
+  knownUntil: Monotonic,
 ): boolean => {
   const { task, crawlingSince } = run;
   if (!task.step.spec.checkpointing || crawlingSince === undefined)
     return false;
   if (task.avoidedHosts.includes(host)) return false;
-  return shownUntil - crawlingSince > ENGINE.crawlMs;
+  return knownUntil - crawlingSince > ENGINE.crawlMs;
 };
 
-const hasStalled = (run: ActiveRun, shownUntil: Monotonic): boolean => {
+const hasStalled = (run: ActiveRun, knownUntil: Monotonic): boolean => {
   const { kind } = natureOf(run.task);
   if (run.task.step.spec.lasting) return false;
   const limit = kind === "filling" ? ENGINE.fillingStallMs : ENGINE.stallMs;
-  return shownUntil - run.progressedAt > limit;
+  return knownUntil - run.progressedAt > limit;
 };
--- a/packages/scheduling/src/HostRegistrar.ts
+++ b/packages/scheduling/src/HostRegistrar.ts
@@ -23,17 +23,17 @@
 
   attach(host: HostId, session: HostSession): void {
     this.sessions.set(host, session);
-    this.forgetSilent(host);
+    this.clearSilence(host);
     const entry = this.parts.hosts.get(host);
     if (!entry) return;
     entry.session = session;
     // Orders that were sent over the old connection may or may not have arrived.
-    for (const run of entry.ledger.runs.values()) {
+    for (const run of entry.hostState.runs.values()) {
       if (run.phase === "starting") run.phase = "unsure";
     }
-    for (const { stop } of entry.ledger.stopping) stop.sentAt = undefined;
+    for (const { stop } of entry.hostState.stopping) stop.sentAt = undefined;
     // A side that was restarted has no descriptions of the tasks that run on its host.
-    const runs = [...entry.ledger.runs.values()];
+    const runs = [...entry.hostState.runs.values()];
     if (runs.length === 0) return;
     session.describe(runs.map(({ task }) => describeTask(task)));
   }
@@ -41,7 +41,7 @@
   detach(host: HostId, session: HostSession): void {
     if (this.sessions.get(host) !== session) return;
     this.sessions.delete(host);
-    this.forgetSilent(host);
+    this.clearSilence(host);
     const entry = this.parts.hosts.get(host);
     if (entry) entry.session = undefined;
   }
@@ -50,9 +50,9 @@
    * Discards the reported silence. A side guarantees its report of a silent worker only
    * while the connection lasts.
    */
-  private forgetSilent(host: HostId): void {
+  private clearSilence(host: HostId): void {
     this.parts.options.gate.clearSilence(host);
-    this.parts.hosts.get(host)?.ledger.clearSilence();
+    this.parts.hosts.get(host)?.hostState.clearSilence();
   }
 
   /** Returns the host's entry and registers a host that is not known yet. */
@@ -66,16 +66,16 @@
     const { logger } = options;
     const known = hosts.get(host);
     if (known) return known;
-    const ledger = new HostState(host, zone, worker);
+    const hostState = new HostState(host, zone, worker);
     const entry: HostEntry = {
-      ledger,
+      hostState,
       session: this.sessions.get(host),
       endsRecorded: Promise.resolve(),
       rostered: false,
     };
     hosts.set(entry);
     // Until its first report the host may hold leases of a previous leader.
-    ledger.recordGrant(latestLeaseExpiry(now, options.leaseMs));
+    hostState.recordGrant(latestLeaseExpiry(now, options.leaseMs));
     logger.info("host.joined", {
       host,
       instance: worker.instance,
@@ -87,15 +87,15 @@
   }
 
   updateWorker(entry: HostEntry, { worker }: HostReport): void {
-    const { ledger } = entry;
-    const beganDraining = worker.draining && !ledger.worker.draining;
-    ledger.worker = worker;
-    if (beganDraining) {
+    const { hostState } = entry;
+    const startedDraining = worker.draining && !hostState.worker.draining;
+    hostState.worker = worker;
+    if (startedDraining) {
       const { logger } = this.parts.options;
-      const { host } = ledger;
+      const { host } = hostState;
       logger.info("host.draining", { host, leavesInMs: worker.leavesInMs });
     }
-    if (worker.draining) this.emptyHost(entry);
+    if (worker.draining) this.stopRunsBeforeLeave(entry);
   }
 
   /**
@@ -104,15 +104,15 @@
    * the end of all that may run there.
    */
   addToRoster(entry: HostEntry): void {
-    const { options, requestCycle: requestPass } = this.parts;
+    const { options, requestCycle } = this.parts;
     const { roster, logger } = options;
-    const { host, instance } = entry.ledger;
+    const { host, instance } = entry.hostState;
     this.refreshRostered(entry);
     if (entry.rostered) return;
     roster.persist(host, instance).then(
       () => {
         this.refreshRostered(entry);
-        requestPass();
+        requestCycle();
       },
       (err: unknown) =>
         logger.warn("host.not-rostered", {
@@ -125,7 +125,7 @@
 
   /** Updates whether the store has recorded the incarnation that the host reports now. */
   refreshRostered(entry: HostEntry): void {
-    const { host, instance } = entry.ledger;
+    const { host, instance } = entry.hostState;
     entry.rostered =
       this.parts.options.roster.recordedInstance(host) === instance;
   }
@@ -134,21 +134,22 @@
    * Stops the runs that would not end before the worker leaves, so that they start
    * elsewhere.
    */
-  private emptyHost(entry: HostEntry): void {
-    const { options, stops, estimates } = this.parts;
+  private stopRunsBeforeLeave(entry: HostEntry): void {
+    const { options, runStopper, estimates } = this.parts;
     const { clock, stopMs } = options;
-    const { leavesInMs } = entry.ledger.worker;
-    for (const run of [...entry.ledger.runs.values()]) {
+    const { leavesInMs } = entry.hostState.worker;
+    for (const run of [...entry.hostState.runs.values()]) {
       if (run.phase !== "running") continue;
       const { step } = run.task;
       if (step.spec.lasting) {
-        stops.stop(entry, run, "draining");
+        runStopper.stop(entry, run, "draining");
         continue;
       }
       if (leavesInMs === undefined) continue;
       const ranMs = clock.monotonic() - run.startedAt;
       const expectedMs = Math.max(0, estimates.taskMs(step) - ranMs);
-      if (expectedMs + stopMs > leavesInMs) stops.stop(entry, run, "draining");
+      if (expectedMs + stopMs > leavesInMs)
+        runStopper.stop(entry, run, "draining");
     }
   }
 }
--- a/packages/scheduling/src/HostRegistry.ts
+++ b/packages/scheduling/src/HostRegistry.ts
@@ -10,15 +10,15 @@
 
 export class HostRegistry {
   private readonly entries = new Map<HostId, HostEntry>();
-  private readonly placed = new Map<JobTask, PlacedRun>();
-  private readonly runsOfJob = new Map<JobRun, number>();
+  private readonly placements = new Map<JobTask, PlacedRun>();
+  private readonly runCountByJob = new Map<JobRun, number>();
 
   get(host: HostId): HostEntry | undefined {
     return this.entries.get(host);
   }
 
   set(entry: HostEntry): void {
-    this.entries.set(entry.ledger.host, entry);
+    this.entries.set(entry.hostState.host, entry);
   }
 
   delete(host: HostId): void {
@@ -30,20 +30,20 @@
   }
 
   placementOf(task: JobTask): PlacedRun | undefined {
-    return this.placed.get(task);
+    return this.placements.get(task);
   }
 
   /** Whether the run is the current run of its task. */
   isCurrent(run: ActiveRun): boolean {
-    return this.placed.get(run.task)?.run === run;
+    return this.placements.get(run.task)?.run === run;
   }
 
   /** @returns false, without any effect, if the task already has a run */
   place(host: HostEntry, run: ActiveRun): boolean {
     const { task } = run;
-    if (this.placed.has(task)) return false;
-    host.ledger.add(run);
-    this.placed.set(task, { host, run });
+    if (this.placements.has(task)) return false;
+    host.hostState.add(run);
+    this.placements.set(task, { host, run });
     this.countRun(run, 1);
     task.step.job.markPlaced(task);
     return true;
@@ -59,31 +59,31 @@
   release(host: HostEntry, run: ActiveRun): boolean {
     if (!this.isCurrent(run)) return false;
     const { task } = run;
-    host.ledger.remove(run);
-    this.placed.delete(task);
+    host.hostState.remove(run);
+    this.placements.delete(task);
     this.countRun(run, -1);
     task.step.job.markWaiting(task);
     return true;
   }
 
   hasRunsOf(job: JobRun): boolean {
-    return this.runsOfJob.has(job);
+    return this.runCountByJob.has(job);
   }
 
   /** Returns the placed runs of the given tasks. */
   placedRunsOf(tasks: Iterable<JobTask>): PlacedRun[] {
     const runs: PlacedRun[] = [];
     for (const task of tasks) {
-      const placed = this.placed.get(task);
-      if (placed) runs.push(placed);
+      const placements = this.placements.get(task);
+      if (placements) runs.push(placements);
     }
     return runs;
   }
 
   private countRun({ task }: ActiveRun, by: 1 | -1): void {
     const { job } = task.step;
-    const count = (this.runsOfJob.get(job) ?? 0) + by;
-    if (count === 0) this.runsOfJob.delete(job);
-    else this.runsOfJob.set(job, count);
+    const count = (this.runCountByJob.get(job) ?? 0) + by;
+    if (count === 0) this.runCountByJob.delete(job);
+    else this.runCountByJob.set(job, count);
   }
 }
--- a/packages/scheduling/src/IsolatedStartQueue.ts
+++ b/packages/scheduling/src/IsolatedStartQueue.ts
@@ -9,31 +9,31 @@
 
 export class IsolatedStartQueue {
   /** Start of each task's wait, the longest wait first. */
-  private readonly since = new Map<JobTask, Monotonic>();
+  private readonly waitingSince = new Map<JobTask, Monotonic>();
   /** Tasks that go before others in this scheduling cycle and have not been taken yet. */
   private overdue: JobTask[] = [];
 
   startCycle(now: Monotonic): void {
-    for (const task of [...this.since.keys()]) {
-      if (!isWaiting(task)) this.since.delete(task);
+    for (const task of [...this.waitingSince.keys()]) {
+      if (!isWaiting(task)) this.waitingSince.delete(task);
     }
-    this.overdue = [...this.since.keys()].filter((task) =>
+    this.overdue = [...this.waitingSince.keys()].filter((task) =>
       this.hasWaitedLong(task, now),
     );
   }
 
   enqueue(task: JobTask, now: Monotonic): void {
-    if (!this.since.has(task)) this.since.set(task, now);
+    if (!this.waitingSince.has(task)) this.waitingSince.set(task, now);
   }
 
   remove(task: JobTask): void {
-    this.since.delete(task);
+    this.waitingSince.delete(task);
   }
 
   hasWaitedLong(task: JobTask, now: Monotonic): boolean {
-    const since = this.since.get(task);
-    if (since === undefined) return false;
-    return now - since >= CRASH_LIMITS.isolationGraceMs;
+    const waitingSince = this.waitingSince.get(task);
+    if (waitingSince === undefined) return false;
+    return now - waitingSince >= CRASH_LIMITS.isolationGraceMs;
   }
 
   /**
--- a/packages/scheduling/src/JobEngine.ts
+++ b/packages/scheduling/src/JobEngine.ts
@@ -71,18 +71,18 @@
   private readonly hosts = new HostRegistry();
   private readonly interference: InterferenceEstimator;
   private readonly checkpoints: CheckpointWriter;
-  private readonly learnt: LearnedStateStore;
+  private readonly learnedState: LearnedStateStore;
   private readonly permits: PermitTracker;
-  private readonly runs: RunStarter;
-  private readonly stops: RunStopper;
+  private readonly runStarter: RunStarter;
+  private readonly runStopper: RunStopper;
   private readonly dispatcher: Dispatcher;
-  private readonly intake: HostRegistrar;
-  private readonly watch: HostMonitor;
-  private readonly waits: WaitMonitor;
+  private readonly registrar: HostRegistrar;
+  private readonly hostMonitor: HostMonitor;
+  private readonly waitMonitor: WaitMonitor;
   private readonly adopter: RunAdopter;
-  private readonly closer: JobFinisher;
-  private readonly ends: RunEndHandler;
-  private readonly crashes: CrashTracker;
+  private readonly jobFinisher: JobFinisher;
+  private readonly endHandler: RunEndHandler;
+  private readonly crashTracker: CrashTracker;
   private timer: Timer | undefined;
   /** When the next tick is due. */
   private tickAt: Monotonic = Infinity;
@@ -99,31 +99,31 @@
       ? EJECTION.failuresToEject
       : Infinity;
     const ejector = new OutlierEjector({ clock, ...EJECTION, failuresToEject });
-    const requestPass = () => this.dispatcher.requestCycle();
-    const onWaiting = (job: JobRun) => {
-      if (jobs.activate(job)) requestPass();
+    const requestCycle = () => this.dispatcher.requestCycle();
+    const onTaskWaiting = (job: JobRun) => {
+      if (jobs.activate(job)) requestCycle();
     };
     const permits = new PermitTracker({
       ...options,
       service: options.permits,
-      onTickets: requestPass,
+      onTickets: requestCycle,
     });
     this.permits = permits;
     const forecast = new TailForecast({ interference, policy });
-    const runs = new RunStarter({
+    const runStarter = new RunStarter({
       ...options,
       hosts,
       forecast,
       permitTracker: permits,
-      onTaskWaiting: onWaiting,
-      onNeverStarted: (run) => this.crashes.handleNeverStarted(run),
+      onTaskWaiting,
+      onNeverStarted: (run) => this.crashTracker.handleNeverStarted(run),
     });
-    this.runs = runs;
-    this.stops = new RunStopper(options);
+    this.runStarter = runStarter;
+    this.runStopper = new RunStopper(options);
     this.dispatcher = new Dispatcher({
       engine: options,
       hosts,
-      runs,
+      runStarter,
       order: stepOrders.create(order, { estimates }),
       placer: taskPlacers.create(placer, { forecast, policy }),
       ejector,
@@ -132,22 +132,23 @@
       runLog: new RunWriteAheadLog({
         journal,
         logger,
-        nextRunNumber: () => runs.nextRunNumber(),
-        onRecorded: requestPass,
-        resolvePreviousRun: (task) => this.crashes.resolvePreviousRun(task),
+        nextRunNumber: () => runStarter.nextRunNumber(),
+        onRecorded: requestCycle,
+        resolvePreviousRun: (task) =>
+          this.crashTracker.resolvePreviousRun(task),
       }),
     });
     const parts: EngineParts = {
       options,
       jobs,
       hosts,
-      runs,
-      stops: this.stops,
+      runStarter,
+      runStopper: this.runStopper,
       estimates,
       ejector,
-      requestCycle: requestPass,
+      requestCycle,
     };
-    this.learnt = new LearnedStateStore({
+    this.learnedState = new LearnedStateStore({
       interference,
       estimates,
       clock,
@@ -163,26 +164,29 @@
       logger,
       intervalMs: everyMs,
     });
-    this.intake = new HostRegistrar(parts);
+    this.registrar = new HostRegistrar(parts);
     this.adopter = new RunAdopter(parts);
-    this.closer = new JobFinisher({
+    this.jobFinisher = new JobFinisher({
       ...parts,
-      progressRecorder: progressRecorder,
+      progressRecorder,
     });
-    const closing = {
+    const finishing = {
       ...parts,
-      progressRecorder: progressRecorder,
-      closer: this.closer,
+      progressRecorder,
+      jobFinisher: this.jobFinisher,
     };
-    this.ends = new RunEndHandler(closing);
-    this.crashes = new CrashTracker(closing);
-    this.watch = new HostMonitor({ ...parts, crashes: this.crashes });
-    this.waits = new WaitMonitor(parts);
+    this.endHandler = new RunEndHandler(finishing);
+    this.crashTracker = new CrashTracker(finishing);
+    this.hostMonitor = new HostMonitor({
+      ...parts,
+      crashTracker: this.crashTracker,
+    });
+    this.waitMonitor = new WaitMonitor(parts);
   }
 
   start(): void {
     this.schedule();
-    this.learnt.start();
+    this.learnedState.start();
     this.dispatcher.requestCycle();
   }
 
@@ -191,14 +195,14 @@
     this.stopped = true;
     this.permits.stop();
     this.checkpoints.stop();
-    this.learnt.stop();
-    this.waits.stop();
+    this.learnedState.stop();
+    this.waitMonitor.stop();
     this.timer?.cancel();
   }
 
   /** Restores what a previous leader has learned. May be called at any time. */
   restoreLearned(records: readonly LearnedRecord[]): void {
-    this.learnt.restore(records);
+    this.learnedState.restore(records);
   }
 
   addJob(accepted: AcceptedJob, progress: ProgressRecord | undefined): void {
@@ -219,9 +223,9 @@
   }
 
   cancelJob(id: JobId): void {
-    const live = this.jobs.get(id);
-    if (!live || live.job.isEnded) return;
-    this.closer.finish(live, "cancelled", "cancelled-by-caller");
+    const tracked = this.jobs.get(id);
+    if (!tracked || tracked.job.isEnded) return;
+    this.jobFinisher.finish(tracked, "cancelled", "cancelled-by-caller");
   }
 
   /**
@@ -246,12 +250,12 @@
   }
 
   attach(host: HostId, session: HostSession): void {
-    this.intake.attach(host, session);
+    this.registrar.attach(host, session);
   }
 
   /** Does nothing if the host has another session by now. */
   detach(host: HostId, session: HostSession): void {
-    this.intake.detach(host, session);
+    this.registrar.detach(host, session);
   }
 
   /**
@@ -269,13 +273,13 @@
     lostRuns: readonly LostRun[] = [],
     unheardEnds: readonly RunRef[] = [],
   ): Promise<boolean> {
-    this.crashes.recordUnreportedEnds(unheardEnds);
+    this.crashTracker.recordUnreportedEnds(unheardEnds);
     const { roster, mayDecide } = this.options;
     const entry = this.hosts.get(host);
-    if (entry?.ledger.instance === instance)
-      this.watch.removeHost(entry, "crashed", "worker-gone", lostRuns);
-    this.crashes.handleReportedLosses(host, lostRuns);
-    if (!entry) this.watch.removeUnreported(host, instance);
+    if (entry?.hostState.instance === instance)
+      this.hostMonitor.removeHost(entry, "crashed", "worker-gone", lostRuns);
+    this.crashTracker.handleReportedLosses(host, lostRuns);
+    if (!entry) this.hostMonitor.removeUnreported(host, instance);
     return (await roster.removalPersisted(host)) && mayDecide();
   }
 
@@ -294,8 +298,8 @@
     overInMs: number | undefined,
     neverBegun: readonly RunRef[] = [],
   ): boolean {
-    this.crashes.handleNeverStartedRuns(neverBegun);
-    if (overInMs !== undefined) this.watch.recordSilence(host, overInMs);
+    this.crashTracker.handleNeverStartedRuns(neverBegun);
+    if (overInMs !== undefined) this.hostMonitor.recordSilence(host, overInMs);
     if (this.nextTickAt() < this.tickAt) this.schedule();
     return this.options.mayDecide();
   }
@@ -308,33 +312,36 @@
   ): Grant {
     const { clock, gate, logger } = this.options;
     const now = clock.monotonic();
-    const entry = this.intake.getOrRegister(host, zone, report, now);
-    const { ledger } = entry;
-    this.crashes.recordUnreportedEnds(report.unheardEnds ?? []);
-    if (ledger.instance !== report.worker.instance) {
-      this.watch.replaceWorker(entry, report);
-      this.intake.addToRoster(entry);
+    const entry = this.registrar.getOrRegister(host, zone, report, now);
+    const { hostState } = entry;
+    this.crashTracker.recordUnreportedEnds(report.unheardEnds ?? []);
+    if (hostState.instance !== report.worker.instance) {
+      this.hostMonitor.replaceWorker(entry, report);
+      this.registrar.addToRoster(entry);
     }
-    if (ledger.reportedAt !== undefined && report.at <= ledger.reportedAt) {
+    if (
+      hostState.reportedAt !== undefined &&
+      report.at <= hostState.reportedAt
+    ) {
       // The worker has not answered since the last report, so this one contains nothing
       // new.
       logger.warn("report.stale", { host, at: report.at });
-      return { acknowledged: ledger.acknowledgedEnds };
+      return { acknowledged: hostState.acknowledgedEnds };
     }
-    this.noteFormerStarts(entry, report, now);
-    this.crashes.handleReportedLosses(host, report.lostRuns);
-    this.crashes.handleNeverStartedRuns(report.neverBegun ?? []);
-    this.intake.updateWorker(entry, report);
-    this.takeChanges(entry, reconcileReport(ledger, report, now));
-    const tasks = [...ledger.runs.values()].map(({ task }) => task);
+    this.recordPreviousStarts(entry, report, now);
+    this.crashTracker.handleReportedLosses(host, report.lostRuns);
+    this.crashTracker.handleNeverStartedRuns(report.neverBegun ?? []);
+    this.registrar.updateWorker(entry, report);
+    this.applyChanges(entry, reconcileReport(hostState, report, now));
+    const tasks = [...hostState.runs.values()].map(({ task }) => task);
     this.checkpoints.trackTasks(tasks);
-    learnInterference(ledger, this.interference, now);
+    learnInterference(hostState, this.interference, now);
     updateSlowness(entry, this.hosts, now);
     // Ends that are not listed yet may belong to runs that a previous leader started.
     if (report.hasMoreEnds) gate.clearSilence(host);
     else gate.recordReport(host);
     this.dispatcher.requestCycle();
-    this.intake.refreshRostered(entry);
+    this.registrar.refreshRostered(entry);
     this.dispatcher.runCycleIfOverdue();
     return this.grant(entry, report, now);
   }
@@ -344,18 +351,18 @@
    * decide.
    */
   private grant(
-    { ledger, rostered }: HostEntry,
+    { hostState, rostered }: HostEntry,
     report: HostReport,
     now: number,
   ): Grant {
     const { mayDecide, leaseMs } = this.options;
-    const acknowledged = ledger.acknowledgedEnds;
+    const acknowledged = hostState.acknowledgedEnds;
     if (!mayDecide() || !rostered) return { acknowledged };
-    ledger.recordGrant(latestLeaseExpiry(now, leaseMs));
+    hostState.recordGrant(latestLeaseExpiry(now, leaseMs));
     return {
       leaseUntil: (report.at + leaseMs) as WorkerTime,
       acknowledged,
-      disturbances: disturbancesFor(ledger, this.interference),
+      disturbances: disturbancesFor(hostState, this.interference),
     };
   }
 
@@ -363,32 +370,32 @@
    * Such a start carries a lease by the clock of another incarnation, so it may expire
    * later than every other lease.
    */
-  private noteFormerStarts(
-    { ledger }: HostEntry,
+  private recordPreviousStarts(
+    { hostState }: HostEntry,
     { formerStartsForMs = 0 }: HostReport,
     now: Monotonic,
   ): void {
     if (formerStartsForMs === 0) return;
     const latestAt = now + formerStartsForMs;
-    ledger.recordPreviousStarts(
+    hostState.recordPreviousStarts(
       latestLeaseExpiry(latestAt, this.options.leaseMs),
     );
   }
 
-  private takeChanges(entry: HostEntry, changes: ReportChanges): void {
-    const { ledger } = entry;
+  private applyChanges(entry: HostEntry, changes: ReportChanges): void {
+    const { hostState } = entry;
     for (const run of changes.vanished) {
       this.options.logger.warn("task.vanished", {
         task: run.task.id,
         run: run.run,
-        host: ledger.host,
+        host: hostState.host,
         phase: run.phase,
       });
-      this.runs.returnRun(entry, run, "vanished");
+      this.runStarter.returnRun(entry, run, "vanished");
     }
     this.adopter.adopt(entry, changes.unknown);
-    this.ends.handleEnds(entry, changes.ended);
-    this.stops.orderDueStops(entry);
+    this.endHandler.handleEnds(entry, changes.ended);
+    this.runStopper.orderDueStops(entry);
   }
 
   /** Schedules the next tick and replaces one that is due later. */
@@ -401,7 +408,7 @@
     this.timer = clock.after(dueAt - clock.monotonic(), () => {
       if (this.stopped) return;
       this.lastTickAt = clock.monotonic();
-      this.noteLateness(this.lastTickAt - dueAt);
+      this.recordLateness(this.lastTickAt - dueAt);
       this.tick();
       this.schedule();
     });
@@ -413,17 +420,17 @@
    */
   private nextTickAt(): Monotonic {
     const now = this.options.clock.monotonic();
-    const overBy = Math.max(now, this.watch.nextLeaseExpiry());
-    const leastAt = this.lastTickAt + ENGINE.minCycleIntervalMs;
-    const soonest = Math.max(leastAt, overBy + ENGINE.timerResolutionMs);
-    return Math.min(now + ENGINE.tickMs, soonest);
+    const expiresBy = Math.max(now, this.hostMonitor.nextLeaseExpiry());
+    const earliestAt = this.lastTickAt + ENGINE.minCycleIntervalMs;
+    const dueAt = Math.max(earliestAt, expiresBy + ENGINE.timerResolutionMs);
+    return Math.min(now + ENGINE.tickMs, dueAt);
   }
 
   /**
    * Records how late the timers of this process are. Late timers suggest that it lacks
    * processor time.
    */
-  private noteLateness(lateMs: number): void {
+  private recordLateness(lateMs: number): void {
     const { logger, metrics } = this.options;
     metrics.latency("timer_lag").record(lateMs);
     if (lateMs < ENGINE.lateTimerMs) return;
@@ -431,8 +438,8 @@
   }
 
   private tick(): void {
-    this.watch.check();
-    this.waits.check();
+    this.hostMonitor.check();
+    this.waitMonitor.check();
     if (this.jobs.active.size > 0) this.dispatcher.requestCycle();
   }
 }
--- a/packages/scheduling/src/JobFinisher.ts
+++ b/packages/scheduling/src/JobFinisher.ts
@@ -18,22 +18,22 @@
 
   /** @param task the task whose run ended last */
   finishIfEnded(job: JobRun, task: JobTask): void {
-    const live = this.parts.jobs.get(job.id);
-    if (!live) return;
-    if (job.isComplete) this.finish(live, "completed", "all-tasks-done");
+    const tracked = this.parts.jobs.get(job.id);
+    if (!tracked) return;
+    if (job.isComplete) this.finish(tracked, "completed", "all-tasks-done");
     else if (job.hasReachedAttemptLimit(task)) {
-      this.finish(live, "failed", `attempts-spent:${task.id}`);
+      this.finish(tracked, "failed", `attempts-spent:${task.id}`);
     } else if (job.hasReachedCrashLimit(task)) {
-      this.finish(live, "failed", `crashed-its-workers:${task.id}`);
+      this.finish(tracked, "failed", `crashed-its-workers:${task.id}`);
     }
   }
 
-  finish(live: TrackedJob, state: JobStateName, reason: string): void {
-    const { options, jobs, progressRecorder: keeper } = this.parts;
+  finish(tracked: TrackedJob, state: JobStateName, reason: string): void {
+    const { options, jobs, progressRecorder } = this.parts;
     const { clock, logger, metrics } = options;
-    const { job } = live;
+    const { job } = tracked;
     job.end(state, clock.now());
-    jobs.active.delete(live);
+    jobs.active.delete(tracked);
     metrics.count("job_ends", { state });
     logger.info("job.ended", {
       job: job.id,
@@ -42,14 +42,14 @@
       ageMs: Math.round(clock.now() - job.accepted.acceptedAt),
     });
     this.stopRuns(job, `job-${state}`);
-    keeper.recordJob(job);
+    progressRecorder.recordJob(job);
   }
 
   private stopRuns(job: JobRun, reason: string): void {
-    const { hosts, stops } = this.parts;
+    const { hosts, runStopper } = this.parts;
     for (const { tasks } of job.steps) {
       for (const { host, run } of hosts.placedRunsOf(tasks)) {
-        stops.stop(host, run, reason);
+        runStopper.stop(host, run, reason);
       }
     }
   }
--- a/packages/scheduling/src/JobRegistry.ts
+++ b/packages/scheduling/src/JobRegistry.ts
@@ -16,32 +16,32 @@
     return this.entries.get(id);
   }
 
-  add(live: TrackedJob): void {
-    this.entries.set(live.job.id, live);
-    if (!live.job.isEnded) this.active.add(live);
+  add(tracked: TrackedJob): void {
+    this.entries.set(tracked.job.id, tracked);
+    if (!tracked.job.isEnded) this.active.add(tracked);
   }
 
   delete(id: JobId): void {
-    const live = this.entries.get(id);
-    if (!live) return;
+    const tracked = this.entries.get(id);
+    if (!tracked) return;
     this.entries.delete(id);
-    this.active.delete(live);
+    this.active.delete(tracked);
   }
 
   /** @returns whether the job may have tasks to start now */
   activate(job: JobRun): boolean {
-    const live = this.entries.get(job.id);
-    if (!live || job.isEnded) return false;
-    this.active.add(live);
+    const tracked = this.entries.get(job.id);
+    if (!tracked || job.isEnded) return false;
+    this.active.add(tracked);
     return true;
   }
 
   findTask(id: JobTaskId): JobTask | undefined {
     const position = parseTaskId(id);
-    const live = position && this.entries.get(position.job);
-    if (!live) return undefined;
+    const tracked = position && this.entries.get(position.job);
+    if (!tracked) return undefined;
     const { occurrence, step, index } = position;
-    return live.job.task(occurrence, step, index);
+    return tracked.job.task(occurrence, step, index);
   }
 
   /** Returns the jobs that ended before the given wall-clock time. */
--- a/packages/scheduling/src/LearnedStateStore.ts
+++ b/packages/scheduling/src/LearnedStateStore.ts
@@ -14,7 +14,7 @@
 import type { RuntimeEstimator } from "./RuntimeEstimator.js";
 
 /** Older records do not describe the current workload, milliseconds. */
-const MAX_AGE_MS = 600_000;
+const MAX_RECORD_AGE_MS = 600_000;
 
 export interface LearnedStateStoreOptions {
   readonly interference: InterferenceEstimator;
@@ -32,10 +32,10 @@
   constructor(private readonly options: LearnedStateStoreOptions) {}
 
   start(): void {
-    const { clock, intervalMs: everyMs } = this.options;
-    if (everyMs === 0) return;
-    this.timer = clock.after(everyMs, () => {
-      this.keep();
+    const { clock, intervalMs } = this.options;
+    if (intervalMs === 0) return;
+    this.timer = clock.after(intervalMs, () => {
+      this.persist();
       this.start();
     });
   }
@@ -49,18 +49,12 @@
    * yet.
    */
   restore(records: readonly LearnedRecord[]): void {
-    const {
-      interference,
-      estimates,
-      clock,
-      logger,
-      intervalMs: everyMs,
-    } = this.options;
-    if (everyMs === 0) return;
+    const { interference, estimates, clock, logger, intervalMs } = this.options;
+    if (intervalMs === 0) return;
     for (const record of records) {
       const age = learnedRecordAgeMs(record, clock.now());
       const taken =
-        age <= MAX_AGE_MS &&
+        age <= MAX_RECORD_AGE_MS &&
         (record.kind === "tail"
           ? interference.restore(record, age)
           : estimates.restore(record));
@@ -69,7 +63,7 @@
     }
   }
 
-  private keep(): void {
+  private persist(): void {
     const { interference, estimates, clock, write } = this.options;
     const now = clock.now();
     for (const record of interference.takeChanged(now)) write(record);
--- a/packages/scheduling/src/PermitTracker.ts
+++ b/packages/scheduling/src/PermitTracker.ts
@@ -59,12 +59,12 @@
 }
 
 export class PermitTracker {
-  private readonly steps = new WeakMap<StepRun, StepPermits>();
+  private readonly permitsByStep = new WeakMap<StepRun, StepPermits>();
   private readonly queue = new PQueue({
     concurrency: PERMIT_REQUESTS.concurrency,
   });
   private stopped = false;
-  private loggedNoService = false;
+  private hasLoggedNoService = false;
 
   constructor(private readonly options: PermitTrackerOptions) {}
 
@@ -79,42 +79,45 @@
    */
   ticketFor(step: StepRun, host: HostState): string | undefined {
     const now = this.options.clock.monotonic();
-    return this.steps.get(step)?.ticketFor(host.instance, now);
+    return this.permitsByStep.get(step)?.ticketFor(host.instance, now);
   }
 
   /** Discards a ticket that the worker refused, so that a new one is requested. */
   discardTicket(step: StepRun, host: HostState): void {
-    this.steps.get(step)?.discardTicket(host.instance);
+    this.permitsByStep.get(step)?.discardTicket(host.instance);
   }
 
   /** Requests more permits for the step, unless a request is in progress. */
-  request(wish: StepPermitRequest): void {
+  request(permitRequest: StepPermitRequest): void {
     const { service } = this.options;
-    const { step, rule } = wish;
+    const { step, rule } = permitRequest;
     if (!service) {
       this.logNoService(step);
       return;
     }
     const permits = this.permitsOf(step);
-    if (!this.mayAsk(permits)) return;
-    const instances = this.toName(wish, permits);
+    if (!this.mayRequest(permits)) return;
+    const instances = this.selectWorkers(permitRequest, permits);
     if (instances.length === 0) return;
     permits.isRequesting = true;
     const priority = -step.job.terms.priority;
-    void this.queue.add(() => this.ask(service, step, rule, instances), {
-      priority,
-    });
+    void this.queue.add(
+      () => this.sendRequest(service, step, rule, instances),
+      {
+        priority,
+      },
+    );
   }
 
   /** Logged once: without a service, steps that require a permit never start. */
   private logNoService(step: StepRun): void {
-    if (this.loggedNoService) return;
-    this.loggedNoService = true;
-    this.options.logger.error("permits.no-service", { step: nameOf(step) });
+    if (this.hasLoggedNoService) return;
+    this.hasLoggedNoService = true;
+    this.options.logger.error("permits.no-service", { step: stepNameOf(step) });
   }
 
-  private mayAsk({ isRequesting: asking, pausedUntil }: StepPermits): boolean {
-    if (asking || this.stopped) return false;
+  private mayRequest({ isRequesting, pausedUntil }: StepPermits): boolean {
+    if (isRequesting || this.stopped) return false;
     if (this.options.clock.monotonic() < pausedUntil) return false;
     if (this.queue.size < PERMIT_REQUESTS.maxQueued) return true;
     // The step requests again in a later scheduling cycle.
@@ -126,12 +129,12 @@
    * Returns the workers that have no ticket and may get one, up to the number that is
    * useful to name.
    */
-  private toName(
+  private selectWorkers(
     { step, hosts }: StepPermitRequest,
     permits: StepPermits,
   ): WorkerInstance[] {
     const now = this.options.clock.monotonic();
-    const most = Math.min(
+    const limit = Math.min(
       PERMIT_LIMITS.maxWorkersPerRequest,
       Math.max(
         PERMIT_REQUESTS.minHosts,
@@ -141,72 +144,72 @@
     return hosts
       .map(({ instance }) => instance)
       .filter((instance) => permits.needsTicket(instance, now))
-      .slice(0, most);
+      .slice(0, limit);
   }
 
-  private async ask(
+  private async sendRequest(
     service: PermitService,
     step: StepRun,
     { decideMs, eachMs }: PermitRule,
     instances: readonly WorkerInstance[],
   ): Promise<void> {
-    const { clock, onTickets: onPermits } = this.options;
-    const began = clock.monotonic();
+    const { clock, onTickets } = this.options;
+    const sentAt = clock.monotonic();
     const permits = this.permitsOf(step);
-    const takesMs = decideMs + eachMs * instances.length;
+    const processingMs = decideMs + eachMs * instances.length;
     try {
-      const answer = await service.requestPermits({
-        step: nameOf(step),
+      const response = await service.requestPermits({
+        step: stepNameOf(step),
         instances,
         timeoutMs:
-          PERMIT_REQUESTS.concurrency * takesMs + PERMIT_REQUESTS.slackMs,
+          PERMIT_REQUESTS.concurrency * processingMs + PERMIT_REQUESTS.slackMs,
       });
-      permits.applyAnswer(instances, answer, began);
-      this.noteAnswer(step, instances.length, answer, began);
+      permits.applyResponse(instances, response, sentAt);
+      this.logResponse(step, instances.length, response, sentAt);
     } catch (err) {
       permits.pausedUntil = clock.monotonic() + PERMIT_REQUESTS.retryMs;
-      this.noteFailure(step, err);
+      this.logFailure(step, err);
     } finally {
       permits.isRequesting = false;
     }
-    if (!this.stopped) onPermits();
+    if (!this.stopped) onTickets();
   }
 
-  private noteAnswer(
+  private logResponse(
     step: StepRun,
-    asked: number,
+    requestedCount: number,
     { permits, validMs }: PermitResponse,
-    began: Monotonic,
+    sentAt: Monotonic,
   ): void {
     const { clock, logger, metrics } = this.options;
-    const tookMs = clock.monotonic() - began;
+    const tookMs = clock.monotonic() - sentAt;
     metrics.count("permit_requests", { result: "answered" });
     metrics.latency("permit_request").record(tookMs);
     logger.info("permits.taken", {
-      step: nameOf(step),
-      asked,
+      step: stepNameOf(step),
+      asked: requestedCount,
       permitted: permits.length,
       validMs,
       tookMs: Math.round(tookMs),
     });
   }
 
-  private noteFailure(step: StepRun, err: unknown): void {
+  private logFailure(step: StepRun, err: unknown): void {
     const { logger, metrics } = this.options;
     metrics.count("permit_requests", { result: "failed" });
     const error = describeError(err);
-    logger.warn("permits.unavailable", { step: nameOf(step), error });
+    logger.warn("permits.unavailable", { step: stepNameOf(step), error });
   }
 
   private permitsOf(step: StepRun): StepPermits {
-    const known = this.steps.get(step);
+    const known = this.permitsByStep.get(step);
     if (known) return known;
     const permits = new StepPermits();
-    this.steps.set(step, permits);
+    this.permitsByStep.set(step, permits);
     return permits;
   }
 }
 
 /** The prefix of the task ids of the step. */
-const nameOf = ({ job, occurrence, number }: StepRun): string =>
+const stepNameOf = ({ job, occurrence, number }: StepRun): string =>
   `${job.id}.${occurrence}.${number}`;
--- a/packages/scheduling/src/ProgressRecorder.ts
+++ b/packages/scheduling/src/ProgressRecorder.ts
@@ -10,14 +10,14 @@
 }
 
 export class ProgressRecorder {
-  private isLost = false;
+  private hasLoggedFailure = false;
 
   constructor(private readonly options: ProgressRecorderOptions) {}
 
   recordJob(job: JobRun): void {
     this.options.journal
       .persist(job)
-      .catch((err: unknown) => this.noteLost(err));
+      .catch((err: unknown) => this.logFailure(err));
   }
 
   /**
@@ -32,8 +32,8 @@
     changed: ReadonlySet<JobRun>,
   ): void {
     const { journal } = this.options;
-    const { ledger } = entry;
-    const { instance, processedEnds: notedEnds } = ledger;
+    const { hostState } = entry;
+    const { instance, processedEnds } = hostState;
     // An end without changes still waits until earlier changes of its job are
     // persisted: the same end may have been processed before, through an entry of the
     // host that was removed.
@@ -42,17 +42,20 @@
     );
     entry.endsRecorded = Promise.all([entry.endsRecorded, ...writes]).then(
       () => {
-        if (ledger.instance !== instance) return;
-        ledger.acknowledgedEnds = Math.max(ledger.acknowledgedEnds, notedEnds);
-        entry.session?.acknowledge(instance, ledger.acknowledgedEnds);
+        if (hostState.instance !== instance) return;
+        hostState.acknowledgedEnds = Math.max(
+          hostState.acknowledgedEnds,
+          processedEnds,
+        );
+        entry.session?.acknowledge(instance, hostState.acknowledgedEnds);
       },
     );
-    entry.endsRecorded.catch((err: unknown) => this.noteLost(err));
+    entry.endsRecorded.catch((err: unknown) => this.logFailure(err));
   }
 
-  private noteLost(err: unknown): void {
-    if (this.isLost) return;
-    this.isLost = true;
+  private logFailure(err: unknown): void {
+    if (this.hasLoggedFailure) return;
+    this.hasLoggedFailure = true;
     this.options.logger.warn("journal.lost", { error: describeError(err) });
   }
 }
--- a/packages/scheduling/src/RunAdopter.ts
+++ b/packages/scheduling/src/RunAdopter.ts
@@ -19,13 +19,13 @@
   adopt(entry: HostEntry, rows: readonly RunningTask[]): void {
     const { hosts } = this.parts;
     const adopted: JobTask[] = [];
-    const strays: OrphanRun[] = [];
+    const orphans: OrphanRun[] = [];
     // Of two runs of one task the later one is adopted, since it was ordered last.
     const latestFirst = [...rows].sort((a, b) => b.run - a.run);
     for (const row of latestFirst) {
       const task = this.findWaitingTask(row);
       if (!task) {
-        strays.push(this.strayOf(entry, row));
+        orphans.push(this.orphanOf(entry, row));
         continue;
       }
       this.log("task.adopted", entry, row);
@@ -33,7 +33,7 @@
       hosts.place(entry, this.runOf(entry, task, row));
       adopted.push(task);
     }
-    entry.ledger.replaceOrphans(strays);
+    entry.hostState.replaceOrphans(orphans);
     if (adopted.length === 0) return;
     entry.session?.describe(adopted.map(describeTask));
   }
@@ -45,7 +45,7 @@
   }
 
   private runOf(
-    { ledger }: HostEntry,
+    { hostState }: HostEntry,
     task: JobTask,
     { run, progressPercent, reading }: RunningTask,
   ): ActiveRun {
@@ -57,9 +57,9 @@
       startedAt: now,
       // It is not known how long a write-ahead run of a previous leader has worked.
       isolationMs: task.writeAheadRun === run ? task.crashLog.isolationMs : 0,
-      firstSeenAt: ledger.reportedAt,
-      lastSeenAt: ledger.reportedAt,
-      orderExpiresAt: ledger.reportedAt ?? (0 as unknown as WorkerTime),
+      firstSeenAt: hostState.reportedAt,
+      lastSeenAt: hostState.reportedAt,
+      orderExpiresAt: hostState.reportedAt ?? (0 as unknown as WorkerTime),
       progressPercent,
       progressedAt: now,
       reading,
@@ -72,8 +72,8 @@
    * Creates the orphan of a listed run and retains the stop order of an earlier report.
    * The task is looked up again: its job may have been read, or forgotten, since then.
    */
-  private strayOf(entry: HostEntry, row: RunningTask): OrphanRun {
-    const known = entry.ledger.orphanOf(row);
+  private orphanOf(entry: HostEntry, row: RunningTask): OrphanRun {
+    const known = entry.hostState.orphanOf(row);
     if (!known) this.log("task.stray", entry, row);
     return {
       run: { task: row.task, run: row.run },
@@ -84,10 +84,10 @@
 
   private log(
     event: "task.adopted" | "task.stray",
-    { ledger }: HostEntry,
+    { hostState }: HostEntry,
     { task, run }: RunningTask,
   ): void {
-    const { host } = ledger;
+    const { host } = hostState;
     this.parts.options.logger.info(event, { task, run, host });
   }
 }
--- a/packages/scheduling/src/RunEndHandler.ts
+++ b/packages/scheduling/src/RunEndHandler.ts
@@ -10,7 +10,7 @@
 const NO_CHECKPOINT = "";
 
 export interface RunEndHandlerOptions extends EngineParts {
-  readonly closer: JobFinisher;
+  readonly jobFinisher: JobFinisher;
   readonly progressRecorder: ProgressRecorder;
 }
 
@@ -20,8 +20,8 @@
   handleEnds(entry: HostEntry, ended: readonly EndedRun[]): void {
     if (ended.length === 0) return;
     const changed = new Set<JobRun>();
-    for (const end of voidOutlived(ended)) {
-      const job = this.takeOne(entry, end);
+    for (const end of voidEndsBeforeLapse(ended)) {
+      const job = this.handleEnd(entry, end);
       if (job) changed.add(job);
     }
     this.parts.progressRecorder.recordEnds(entry, this.jobsOf(ended), changed);
@@ -35,26 +35,26 @@
   }
 
   /** @returns the job if its progress has changed and must be persisted */
-  private takeOne(entry: HostEntry, end: EndedRun): JobRun | undefined {
-    const { jobs, hosts, runs, closer } = this.parts;
+  private handleEnd(entry: HostEntry, end: EndedRun): JobRun | undefined {
+    const { jobs, hosts, runStarter, jobFinisher } = this.parts;
     const task = jobs.findTask(end.task);
     const placed = task && hosts.placementOf(task);
     const active =
       placed?.host === entry && placed.run.run === end.run ? placed : undefined;
     this.logEnd(entry, end, active);
-    entry.ledger.removeOrphan(end);
+    entry.hostState.removeOrphan(end);
     if (!task) return undefined;
     const { job } = task.step;
     if (active) hosts.release(entry, active.run);
     if (job.isEnded) return undefined;
-    if (!active && placed) return this.takeEarlier(task, end);
+    if (!active && placed) return this.handleEarlierRunEnd(task, end);
     const changed = job.recordEnd(task, end.run, end.outcome, end.checkpoint);
-    this.learn(entry, task, end, active);
+    this.recordOutcome(entry, task, end, active);
     if (end.outcome === "done" && task.step.spec.gang) {
       job.markGangDone(task.step);
     }
-    runs.notifyWaiting(task);
-    closer.finishIfEnded(job, task);
+    runStarter.notifyWaiting(task);
+    jobFinisher.finishIfEnded(job, task);
     return changed || job.isEnded ? job : undefined;
   }
 
@@ -64,16 +64,19 @@
    * failure would allow a start beyond the task's attempt limit. The checkpoint of the
    * earlier run does not count, since the later run may have saved a newer one.
    */
-  private takeEarlier(task: JobTask, end: EndedRun): JobRun | undefined {
+  private handleEarlierRunEnd(
+    task: JobTask,
+    end: EndedRun,
+  ): JobRun | undefined {
     if (end.outcome !== "failed") return undefined;
     const { job } = task.step;
     const changed = job.recordEnd(task, end.run, end.outcome, NO_CHECKPOINT);
-    this.parts.closer.finishIfEnded(job, task);
+    this.parts.jobFinisher.finishIfEnded(job, task);
     return changed ? job : undefined;
   }
 
   private logEnd(
-    { ledger }: HostEntry,
+    { hostState }: HostEntry,
     { task, run, outcome, number }: EndedRun,
     active: PlacedRun | undefined,
   ): void {
@@ -82,7 +85,7 @@
     logger.info("task.ended", {
       task,
       run,
-      host: ledger.host,
+      host: hostState.host,
       outcome,
       number,
       ranMs: active
@@ -91,14 +94,14 @@
     });
   }
 
-  private learn(
-    { ledger }: HostEntry,
+  private recordOutcome(
+    { hostState }: HostEntry,
     task: JobTask,
     { outcome }: EndedRun,
     active: PlacedRun | undefined,
   ): void {
     const { options, ejector, estimates } = this.parts;
-    const { host } = ledger;
+    const { host } = hostState;
     if (outcome === "done") {
       ejector.report({ host, ok: true });
       // A run that continued from a checkpoint took less time than the whole task.
@@ -116,7 +119,7 @@
  * Marks ends that were listed before the last lapse as lapsed: the lease expired before
  * they were processed, so they are void. Failures still count.
  */
-const voidOutlived = (ended: readonly EndedRun[]): EndedRun[] => {
+const voidEndsBeforeLapse = (ended: readonly EndedRun[]): EndedRun[] => {
   const lastLapse = ended.findLastIndex(({ outcome }) => outcome === "lapsed");
   return ended.map((end, at) =>
     at < lastLapse && end.outcome !== "failed"
--- a/packages/scheduling/src/RunStarter.ts
+++ b/packages/scheduling/src/RunStarter.ts
@@ -46,7 +46,7 @@
 }
 
 /** Fields of a start order beside the task. */
-interface StartTerms {
+interface StartOrderFields {
   /** The step's permit for the host, if its queue requires one. */
   readonly ticket: string | undefined;
   /** Pace at which the task starts, percent. */
@@ -62,42 +62,44 @@
 }
 
 /** Answers to a start order which show that the run has not started and never will. */
-const NOT_BEGUN: readonly HostCallResult["kind"][] = [
+const NEVER_STARTED: readonly HostCallResult["kind"][] = [
   "refused",
   "replaced",
   "draining",
 ];
 
 export class RunStarter {
-  private started = 0;
+  private startedRuns = 0;
 
   constructor(private readonly options: RunStarterOptions) {}
 
   nextRunNumber(): RunNumber {
-    this.started += 1;
+    this.startedRuns += 1;
     const { epoch } = this.options;
-    return (epoch * ENGINE.runsPerEpoch + this.started) as unknown as RunNumber;
+    return (epoch * ENGINE.runsPerEpoch +
+      this.startedRuns) as unknown as RunNumber;
   }
 
   start(
     host: HostEntry,
     task: JobTask,
-    number: RunNumber,
-    { ticket, isolationMs: apartMs }: RunStartOptions,
+    runNumber: RunNumber,
+    { ticket, isolationMs }: RunStartOptions,
   ): void {
     const { clock, hosts, leaseMs } = this.options;
     const now = clock.monotonic();
-    const { ledger } = host;
-    const orderMs = Math.min(ENGINE.startLeaseMs, leaseMs);
+    const { hostState } = host;
+    const orderLeaseMs = Math.min(ENGINE.startLeaseMs, leaseMs);
     const run: ActiveRun = {
       task,
-      run: number,
+      run: runNumber,
       phase: "starting",
       startedAt: now,
-      isolationMs: apartMs,
+      isolationMs,
       firstSeenAt: undefined,
       lastSeenAt: undefined,
-      orderExpiresAt: (workerClock(ledger, now) + orderMs) as WorkerTime,
+      orderExpiresAt: (workerTimeAt(hostState, now) +
+        orderLeaseMs) as WorkerTime,
       progressPercent: 0,
       progressedAt: now,
       reading: 0,
@@ -106,12 +108,12 @@
     };
     // Computed before the run is added to the host, because the forecast counts the
     // runs that are placed there.
-    const firstPercent = this.firstPercent(ledger, task);
+    const firstPercent = this.firstPercent(hostState, task);
     if (!hosts.place(host, run)) {
       this.logAlreadyPlaced(host, run);
       return;
     }
-    ledger.recordOrder(latestLeaseExpiry(now, orderMs));
+    hostState.recordOrder(latestLeaseExpiry(now, orderLeaseMs));
     void this.orderStart(host, run, { ticket, firstPercent });
   }
 
@@ -120,7 +122,7 @@
    * @param reason what showed that the run will never start, for logs
    */
   returnRun(host: HostEntry, run: ActiveRun, reason: string): void {
-    this.logGivenBack(host, run, reason);
+    this.logReturned(host, run, reason);
     if (!this.options.hosts.release(host, run)) return;
     const { task } = run;
     if (task.writeAheadRun === run.run) task.writeAheadRun = undefined;
@@ -136,11 +138,11 @@
    * Logs the returned run and the run that the task has at that moment. They should be
    * the same.
    */
-  private logGivenBack(host: HostEntry, run: ActiveRun, reason: string): void {
+  private logReturned(host: HostEntry, run: ActiveRun, reason: string): void {
     const { logger, metrics } = this.options;
     metrics.count("runs_given_back", { reason });
     const { phase } = run;
-    const fields = { ...this.whereabouts(host, run), reason, phase };
+    const fields = { ...this.placementFields(host, run), reason, phase };
     logger.info("task.given-back", fields);
   }
 
@@ -148,18 +150,18 @@
   private logAlreadyPlaced(host: HostEntry, run: ActiveRun): void {
     const { logger, metrics } = this.options;
     metrics.count("starts_beside_a_run");
-    logger.error("task.already-placed", this.whereabouts(host, run));
+    logger.error("task.already-placed", this.placementFields(host, run));
   }
 
   /** Log fields of a run and of the run that its task has at that moment. */
-  private whereabouts({ ledger }: HostEntry, { task, run }: ActiveRun) {
+  private placementFields({ hostState }: HostEntry, { task, run }: ActiveRun) {
     const current = this.options.hosts.placementOf(task);
     return {
       task: task.id,
       run,
-      host: ledger.host,
+      host: hostState.host,
       currentRun: current?.run.run,
-      currentHost: current?.host.ledger.host,
+      currentHost: current?.host.hostState.host,
     };
   }
 
@@ -174,17 +176,18 @@
   private async orderStart(
     host: HostEntry,
     run: ActiveRun,
-    terms: StartTerms,
+    orderFields: StartOrderFields,
   ): Promise<void> {
     const { clock, metrics } = this.options;
     const sentAt = clock.monotonic();
-    const result = await this.callStart(host, run, terms);
+    const result = await this.callStart(host, run, orderFields);
     metrics.latency("task_start").record(clock.monotonic() - sentAt);
     metrics.count("task_starts", { result: result.kind });
     const isAwaited = this.awaitsAnswer(run);
     this.logStart(host, run, { result, sentAt, isAwaited });
-    if (isAwaited) this.noteStartResult(host, run, result);
-    else if (NOT_BEGUN.includes(result.kind)) this.options.onNeverStarted(run);
+    if (isAwaited) this.applyStartResult(host, run, result);
+    else if (NEVER_STARTED.includes(result.kind))
+      this.options.onNeverStarted(run);
   }
 
   /**
@@ -192,29 +195,29 @@
    * worker.
    */
   private async callStart(
-    { ledger, session }: HostEntry,
-    { task, run, orderExpiresAt: orderLapsesAt }: ActiveRun,
-    terms: StartTerms,
+    { hostState, session }: HostEntry,
+    { task, run, orderExpiresAt }: ActiveRun,
+    orderFields: StartOrderFields,
   ): Promise<HostCallResult> {
     const { epoch, logger } = this.options;
     try {
       if (!session) throw new Error("the host is not attached");
       return await session.startTask({
-        instance: ledger.instance,
+        instance: hostState.instance,
         epoch,
         task: task.id,
         run,
         spec: task.step.job.accepted.spec.payload,
-        leaseUntil: orderLapsesAt,
+        leaseUntil: orderExpiresAt,
         checkpoint: task.checkpoint,
-        ...terms,
+        ...orderFields,
         nature: natureOf(task),
       });
     } catch (err) {
       logger.warn("task.start-unanswered", {
         task: task.id,
         run,
-        host: ledger.host,
+        host: hostState.host,
         error: describeError(err),
       });
       return { kind: "silent" };
@@ -230,7 +233,7 @@
   }
 
   private logStart(
-    { ledger }: HostEntry,
+    { hostState }: HostEntry,
     { task, run }: ActiveRun,
     { result, sentAt, isAwaited }: StartAnswer,
   ): void {
@@ -238,17 +241,17 @@
     logger.info("task.start", {
       task: task.id,
       run,
-      host: ledger.host,
+      host: hostState.host,
       result: result.kind,
       reason: result.kind === "refused" ? result.reason : undefined,
       checkpoint: task.checkpoint === "" ? undefined : task.checkpoint,
-      reportAge: Math.round(sentAt - ledger.reportReceivedAt),
+      reportAge: Math.round(sentAt - hostState.reportReceivedAt),
       tookMs: Math.round(clock.monotonic() - sentAt),
       passedOver: isAwaited ? undefined : true,
     });
   }
 
-  private noteStartResult(
+  private applyStartResult(
     host: HostEntry,
     run: ActiveRun,
     result: HostCallResult,
@@ -268,7 +271,7 @@
         return;
       case "refused":
         if (result.reason === "unhealthy")
-          avoidHost(run.task, host.ledger.host);
+          avoidHost(run.task, host.hostState.host);
         this.pauseAfterRefusal(host, run, result.reason);
         this.returnRun(host, run, `start-${result.reason}`);
         return;
@@ -281,12 +284,12 @@
     { task }: ActiveRun,
     reason: StartRefusal,
   ): void {
-    const { clock, permitTracker: permitBook } = this.options;
+    const { clock, permitTracker } = this.options;
     if (reason !== "bad-ticket") {
       this.pauseHost(host);
       return;
     }
-    permitBook.discardTicket(task.step, host.ledger);
+    permitTracker.discardTicket(task.step, host.hostState);
     task.step.heldUntil = clock.monotonic() + ENGINE.badTicketPauseMs;
   }
 
@@ -295,12 +298,12 @@
    * the host, and the next scheduling cycle would send the same order again, for some
    * tasks several times before that report.
    */
-  private pauseHost({ ledger }: HostEntry): void {
+  private pauseHost({ hostState }: HostEntry): void {
     const { clock } = this.options;
-    ledger.pausedUntil = clock.monotonic() + ENGINE.refusedPauseMs;
+    hostState.pausedUntil = clock.monotonic() + ENGINE.refusedPauseMs;
   }
 }
 
 /** Returns the worker's clock, extrapolated from its last report. */
-const workerClock = (ledger: HostState, now: number): number =>
-  Math.floor((ledger.reportedAt ?? 0) + (now - ledger.reportReceivedAt));
+const workerTimeAt = (hostState: HostState, now: number): number =>
+  Math.floor((hostState.reportedAt ?? 0) + (now - hostState.reportReceivedAt));
--- a/packages/scheduling/src/RunStopper.ts
+++ b/packages/scheduling/src/RunStopper.ts
@@ -36,7 +36,7 @@
     const { clock, stopMs } = this.options;
     const now = clock.monotonic();
     const times = { answerMs: ENGINE.orderTimeoutMs, stopMs };
-    for (const run of host.ledger.stopping) {
+    for (const run of host.hostState.stopping) {
       if (isStopDue(run, now, times)) {
         void this.orderStop(host, run.ref, run.stop);
       }
@@ -45,13 +45,13 @@
 
   /** Sends the order. Without a session the stop stays due. */
   private async orderStop(
-    { ledger, session }: HostEntry,
+    { hostState, session }: HostEntry,
     ref: RunRef,
     stop: StopOrder,
   ): Promise<void> {
     const { clock, epoch, logger } = this.options;
     if (!session) return;
-    const { host, instance } = ledger;
+    const { host, instance } = hostState;
     const { reason } = stop;
     const sentAt = clock.monotonic();
     stop.sentAt = sentAt;
--- a/packages/scheduling/src/RunWriteAheadLog.ts
+++ b/packages/scheduling/src/RunWriteAheadLog.ts
@@ -19,14 +19,14 @@
   readonly resolvePreviousRun: (task: JobTask) => void;
 }
 
-interface Announcement {
+interface WriteAheadRecord {
   readonly run: RunNumber;
-  isKept: boolean;
+  isPersisted: boolean;
 }
 
 export class RunWriteAheadLog {
   /** Runs that this leader has recorded and not ordered yet. */
-  private readonly open = new Map<JobTask, Announcement>();
+  private readonly unordered = new Map<JobTask, WriteAheadRecord>();
 
   constructor(private readonly options: RunWriteAheadLogOptions) {}
 
@@ -46,15 +46,15 @@
       return this.options.nextRunNumber();
     }
     const [first] = tasks;
-    const announcement = first && this.open.get(first);
+    const record = first && this.unordered.get(first);
     const isShared = tasks.every(
-      (task) => this.open.get(task)?.run === announcement?.run,
+      (task) => this.unordered.get(task)?.run === record?.run,
     );
-    if (!announcement || !isShared) {
-      this.announce(tasks);
+    if (!record || !isShared) {
+      this.persistRun(tasks);
       return undefined;
     }
-    return announcement.isKept ? announcement.run : undefined;
+    return record.isPersisted ? record.run : undefined;
   }
 
   /**
@@ -62,46 +62,43 @@
    * own.
    */
   markOrdered(task: JobTask): void {
-    this.open.delete(task);
+    this.unordered.delete(task);
   }
 
-  private announce(tasks: readonly JobTask[]): void {
-    const {
-      journal,
-      nextRunNumber: nextRun,
-      resolvePreviousRun: settleFormer,
-    } = this.options;
-    for (const task of tasks) if (!this.open.has(task)) settleFormer(task);
+  private persistRun(tasks: readonly JobTask[]): void {
+    const { journal, nextRunNumber, resolvePreviousRun } = this.options;
+    for (const task of tasks)
+      if (!this.unordered.has(task)) resolvePreviousRun(task);
     if (tasks.some(({ step }) => step.job.isEnded)) return;
-    this.forgetEnded();
-    const announcement = { run: nextRun(), isKept: false };
+    this.removeEnded();
+    const record = { run: nextRunNumber(), isPersisted: false };
     const jobs = new Set(tasks.map(({ step }) => step.job));
     for (const task of tasks) {
-      task.writeAheadRun = announcement.run;
-      this.open.set(task, announcement);
+      task.writeAheadRun = record.run;
+      this.unordered.set(task, record);
     }
     Promise.all([...jobs].map((job) => journal.persist(job))).then(
-      () => this.noteKept(announcement),
-      (err: unknown) => this.noteNotKept(tasks, err),
+      () => this.markPersisted(record),
+      (err: unknown) => this.logFailure(tasks, err),
     );
   }
 
   /**
    * Removes runs of jobs that were cancelled or failed before their runs were ordered.
    */
-  private forgetEnded(): void {
-    for (const task of this.open.keys()) {
-      if (task.step.job.isEnded) this.open.delete(task);
+  private removeEnded(): void {
+    for (const task of this.unordered.keys()) {
+      if (task.step.job.isEnded) this.unordered.delete(task);
     }
   }
 
-  private noteKept(announcement: Announcement): void {
-    announcement.isKept = true;
+  private markPersisted(record: WriteAheadRecord): void {
+    record.isPersisted = true;
     this.options.onRecorded();
   }
 
   /** Another leader has taken over, so this one starts nothing more. */
-  private noteNotKept(tasks: readonly JobTask[], err: unknown): void {
+  private logFailure(tasks: readonly JobTask[], err: unknown): void {
     this.options.logger.warn("task.not-announced", {
       task: tasks[0]?.id,
       error: describeError(err),
--- a/packages/scheduling/src/RuntimeEstimator.ts
+++ b/packages/scheduling/src/RuntimeEstimator.ts
@@ -23,7 +23,10 @@
    * Mean run time of the finished tasks of a step, milliseconds, and their number.
    * Tasks of a step are alike, and callers' estimates are often far off.
    */
-  private readonly seen = new WeakMap<StepRun, { ms: number; tasks: number }>();
+  private readonly observed = new WeakMap<
+    StepRun,
+    { ms: number; tasks: number }
+  >();
 
   private changed = false;
 
@@ -33,11 +36,11 @@
   /** @param tookMs run time of one task that ended as done */
   recordRunTime(step: StepRun, tookMs: number): void {
     if (!this.corrects || tookMs <= 0) return;
-    this.noteSeen(step, tookMs);
+    this.recordObserved(step, tookMs);
     if (step.spec.estimateMs <= 0) return;
     const limit = Math.log(ESTIMATES.maxFactor);
-    const seen = Math.log(tookMs / step.spec.estimateMs);
-    const bounded = Math.max(-limit, Math.min(limit, seen));
+    const observed = Math.log(tookMs / step.spec.estimateMs);
+    const bounded = Math.max(-limit, Math.min(limit, observed));
     const { queue } = step.job.accepted.spec;
     const before = this.corrections.get(queue) ?? 0;
     this.corrections.set(queue, before + ESTIMATES.weight * (bounded - before));
@@ -66,16 +69,16 @@
     return true;
   }
 
-  private noteSeen(step: StepRun, tookMs: number): void {
-    const { ms, tasks } = this.seen.get(step) ?? { ms: 0, tasks: 0 };
+  private recordObserved(step: StepRun, tookMs: number): void {
+    const { ms, tasks } = this.observed.get(step) ?? { ms: 0, tasks: 0 };
     const mean = ms + (tookMs - ms) / (tasks + 1);
-    this.seen.set(step, { ms: mean, tasks: tasks + 1 });
+    this.observed.set(step, { ms: mean, tasks: tasks + 1 });
   }
 
   /** Returns the expected run time of one task, milliseconds. */
   taskMs(step: StepRun): number {
-    const seen = this.seen.get(step);
-    if (seen) return seen.ms;
+    const observed = this.observed.get(step);
+    if (observed) return observed.ms;
     const { queue } = step.job.accepted.spec;
     const correction = Math.exp(this.corrections.get(queue) ?? 0);
     return step.estimateMs * correction;
--- a/packages/scheduling/src/SchedulingCycleTimer.ts
+++ b/packages/scheduling/src/SchedulingCycleTimer.ts
@@ -14,7 +14,7 @@
 
 export class SchedulingCycleTimer {
   /** When the pending cycle was requested; undefined if none is pending. */
-  private dueSince: Monotonic | undefined;
+  private pendingSince: Monotonic | undefined;
 
   constructor(private readonly options: SchedulingCycleTimerOptions) {}
 
@@ -23,10 +23,10 @@
    * synchronously.
    */
   request(): void {
-    if (this.dueSince !== undefined) return;
+    if (this.pendingSince !== undefined) return;
     const { clock } = this.options;
-    this.dueSince = clock.monotonic();
-    clock.after(ENGINE.minCycleIntervalMs, () => this.passIfDue());
+    this.pendingSince = clock.monotonic();
+    clock.after(ENGINE.minCycleIntervalMs, () => this.runIfDue());
   }
 
   /**
@@ -36,17 +36,17 @@
    * attempt limit, or beside a run that the report lists.
    */
   runIfOverdue(): void {
-    if (this.dueSince === undefined) return;
+    if (this.pendingSince === undefined) return;
     const { clock, logger } = this.options;
-    const overdueMs = clock.monotonic() - this.dueSince;
+    const overdueMs = clock.monotonic() - this.pendingSince;
     if (overdueMs < ENGINE.cycleOverdueMs) return;
     logger.warn("dispatch.overdue", { overdueMs: Math.round(overdueMs) });
-    this.passIfDue();
+    this.runIfDue();
   }
 
-  private passIfDue(): void {
-    if (this.dueSince === undefined) return;
-    this.dueSince = undefined;
+  private runIfDue(): void {
+    if (this.pendingSince === undefined) return;
+    this.pendingSince = undefined;
     this.options.runCycle();
   }
 }
--- a/packages/scheduling/src/StepPermits.ts
+++ b/packages/scheduling/src/StepPermits.ts
@@ -22,9 +22,10 @@
 
   /** Returns the worker's ticket if it is valid for long enough. */
   ticketFor(instance: WorkerInstance, now: Monotonic): string | undefined {
-    const known = this.tickets.get(instance);
-    if (!known || now + TICKET_MARGIN_MS >= known.validUntil) return undefined;
-    return known.ticket;
+    const cached = this.tickets.get(instance);
+    if (!cached || now + TICKET_MARGIN_MS >= cached.validUntil)
+      return undefined;
+    return cached.ticket;
   }
 
   /** Whether the worker has no usable ticket and the service may still issue one. */
@@ -41,19 +42,19 @@
    * Applies a response. Workers that were named in the request and are missing in the
    * response are refused.
    *
-   * @param askedAt when the request was sent; the validity of tickets is counted from
+   * @param requestedAt when the request was sent; the validity of tickets is counted from
    *   then, so that it is never overestimated
    */
-  applyAnswer(
-    asked: readonly WorkerInstance[],
+  applyResponse(
+    requested: readonly WorkerInstance[],
     { permits, validMs }: PermitResponse,
-    askedAt: Monotonic,
+    requestedAt: Monotonic,
   ): void {
     const tickets = new Map(
       permits.map(({ instance, ticket }) => [instance, ticket]),
     );
-    const validUntil = askedAt + validMs;
-    for (const instance of asked) {
+    const validUntil = requestedAt + validMs;
+    for (const instance of requested) {
       const ticket = tickets.get(instance);
       if (ticket === undefined) this.refused.add(instance);
       else this.tickets.set(instance, { ticket, validUntil });
--- a/packages/scheduling/src/TailForecast.ts
+++ b/packages/scheduling/src/TailForecast.ts
@@ -11,10 +11,10 @@
  * Minimum first pace as a share of full pace. Some progress is needed to observe what
  * the task disturbs.
  */
-const LEAST_FIRST_SHARE = 0.15;
+const MIN_FIRST_SHARE = 0.15;
 
 /** Additions to the logarithm of a tail below this are ignored. */
-const NEGLIGIBLE = 0.02;
+const MIN_ADDED_TAIL = 0.02;
 
 export interface TailForecastOptions {
   readonly interference: InterferenceEstimator;
@@ -53,16 +53,16 @@
     filling: ImageName,
     cores: number,
   ): number | undefined {
-    let most = 0;
+    let max = 0;
     for (const serving of host.servingImages) {
-      const added = this.cautiousWeight(serving, filling) * cores;
-      if (added > NEGLIGIBLE) {
-        const tail = this.atFullPace(host, serving) + added;
+      const added = this.weightUpperBound(serving, filling) * cores;
+      if (added > MIN_ADDED_TAIL) {
+        const tail = this.tailAtFullPace(host, serving) + added;
         if (tail > this.limit) return undefined;
       }
-      most = Math.max(most, added);
+      max = Math.max(max, added);
     }
-    return most;
+    return max;
   }
 
   /**
@@ -73,12 +73,12 @@
     if (!this.policy.startsSlowly) return 1;
     let share = 1;
     for (const serving of host.servingImages) {
-      const added = this.cautiousWeight(serving, filling) * cores;
-      if (added <= NEGLIGIBLE) continue;
-      const headroom = this.limit - this.atFullPace(host, serving);
+      const added = this.weightUpperBound(serving, filling) * cores;
+      if (added <= MIN_ADDED_TAIL) continue;
+      const headroom = this.limit - this.tailAtFullPace(host, serving);
       share = Math.min(share, headroom / added);
     }
-    return Math.max(LEAST_FIRST_SHARE, share);
+    return Math.max(MIN_FIRST_SHARE, share);
   }
 
   /**
@@ -86,7 +86,7 @@
    * host at the same time. If such an image were assumed harmless until it is seen to
    * disturb, tails would exceed their targets by far before the next poll.
    */
-  private cautiousWeight(serving: ImageName, filling: ImageName): number {
+  private weightUpperBound(serving: ImageName, filling: ImageName): number {
     const { weightCaution } = this.policy;
     return this.interference.weightBound(serving, filling, weightCaution);
   }
@@ -96,16 +96,16 @@
    * pace: the last reading, plus the addition of tasks that used less than their demand
    * at that time.
    */
-  private atFullPace(host: HostState, serving: ImageName): number {
+  private tailAtFullPace(host: HostState, serving: ImageName): number {
     const { tails, usedCores } = host.readings;
-    const read = tails.get(serving);
-    if (read === undefined) {
+    const reading = tails.get(serving);
+    if (reading === undefined) {
       return this.interference.predict(serving, host.fillingCores);
     }
-    let tail = read;
-    for (const [image, asked] of host.fillingCores) {
-      const unused = Math.max(0, asked - (usedCores.get(image) ?? 0));
-      tail += this.cautiousWeight(serving, image) * unused;
+    let tail = reading;
+    for (const [image, demand] of host.fillingCores) {
+      const unused = Math.max(0, demand - (usedCores.get(image) ?? 0));
+      tail += this.weightUpperBound(serving, image) * unused;
     }
     return tail;
   }
--- a/packages/scheduling/src/WaitMonitor.ts
+++ b/packages/scheduling/src/WaitMonitor.ts
@@ -12,15 +12,15 @@
 
 const WAIT = {
   /** Interval of the checks, milliseconds. */
-  lookEveryMs: 1_000,
+  checkIntervalMs: 1_000,
   /** A wait is logged once it is this long, milliseconds. */
-  tellAfterMs: 3_000,
+  logAfterMs: 3_000,
   /** Interval at which the same wait is logged again, milliseconds. */
-  tellEveryMs: 5_000,
+  logIntervalMs: 5_000,
   /** Maximum waits logged in one check; the longest are logged. */
-  mostTold: 6,
+  maxLogged: 6,
   /** Maximum hosts named that have not reported since the takeover. */
-  mostNamed: 4,
+  maxNamedHosts: 4,
 } as const;
 
 const KINDS = ["lasting", "gang", "filling", "plain"] as const;
@@ -35,15 +35,15 @@
 
 /** The task of a step that is to be placed next. */
 interface NextTask {
-  readonly live: TrackedJob;
+  readonly tracked: TrackedJob;
   readonly task: JobTask;
   readonly since: Monotonic;
-  toldAt: Monotonic;
+  loggedAt: Monotonic;
 }
 
 export class WaitMonitor {
-  private readonly next = new Map<StepRun, NextTask>();
-  private lookedAt: Monotonic = -Infinity;
+  private readonly nextTasks = new Map<StepRun, NextTask>();
+  private checkedAt: Monotonic = -Infinity;
 
   constructor(private readonly parts: EngineParts) {}
 
@@ -51,16 +51,16 @@
   check(): void {
     const { clock } = this.parts.options;
     const now = clock.monotonic();
-    if (now - this.lookedAt < WAIT.lookEveryMs) return;
-    this.lookedAt = now;
-    this.note(now);
+    if (now - this.checkedAt < WAIT.checkIntervalMs) return;
+    this.checkedAt = now;
+    this.updateWaits(now);
     this.setGauges(now);
-    const due = [...this.next.values()]
-      .filter(({ since }) => now - since >= WAIT.tellAfterMs)
-      .filter(({ toldAt }) => now - toldAt >= WAIT.tellEveryMs)
+    const due = [...this.nextTasks.values()]
+      .filter(({ since }) => now - since >= WAIT.logAfterMs)
+      .filter(({ loggedAt }) => now - loggedAt >= WAIT.logIntervalMs)
       .sort((a, b) => a.since - b.since)
-      .slice(0, WAIT.mostTold);
-    for (const wait of due) this.tell(wait, now);
+      .slice(0, WAIT.maxLogged);
+    for (const wait of due) this.log(wait, now);
   }
 
   /**
@@ -68,31 +68,36 @@
    * the waits.
    */
   stop(): void {
-    this.next.clear();
+    this.nextTasks.clear();
     this.setGauges(this.parts.options.clock.monotonic());
   }
 
-  private note(now: Monotonic): void {
+  private updateWaits(now: Monotonic): void {
     const { jobs, options } = this.parts;
     const seen = new Set<StepRun>();
-    for (const live of jobs.active) {
-      for (const step of live.job.runnableSteps(options.clock.now())) {
+    for (const tracked of jobs.active) {
+      for (const step of tracked.job.runnableSteps(options.clock.now())) {
         const [task] = step.waiting;
         if (!task) continue;
         seen.add(step);
-        if (this.next.get(step)?.task === task) continue;
-        this.next.set(step, { live, task, since: now, toldAt: -Infinity });
+        if (this.nextTasks.get(step)?.task === task) continue;
+        this.nextTasks.set(step, {
+          tracked,
+          task,
+          since: now,
+          loggedAt: -Infinity,
+        });
       }
     }
-    for (const step of this.next.keys()) {
-      if (!seen.has(step)) this.next.delete(step);
+    for (const step of this.nextTasks.keys()) {
+      if (!seen.has(step)) this.nextTasks.delete(step);
     }
   }
 
   private setGauges(now: Monotonic): void {
     const { metrics } = this.parts.options;
     const longest = new Map<WaitKind, number>();
-    for (const [step, { since }] of this.next) {
+    for (const [step, { since }] of this.nextTasks) {
       const kind = kindOf(step);
       longest.set(kind, Math.max(longest.get(kind) ?? 0, now - since));
     }
@@ -101,22 +106,22 @@
     }
   }
 
-  private tell(wait: NextTask, now: Monotonic): void {
+  private log(wait: NextTask, now: Monotonic): void {
     const { options, hosts, ejector } = this.parts;
-    const { live, task, since } = wait;
+    const { tracked, task, since } = wait;
     const { step } = task;
     const { gate } = options;
-    const queue = options.queueOf(live.job.accepted.spec.queue);
+    const queue = options.queueOf(tracked.job.accepted.spec.queue);
     const { cause, hosts: counts } = explainWait({
       step,
-      service: queue?.service ?? live.job.terms.service,
-      mayStart: gate.mayStart(live.firstSeenAt, now),
+      service: queue?.service ?? tracked.job.terms.service,
+      mayStart: gate.mayStart(tracked.firstSeenAt, now),
       entries: [...hosts.all()],
       ejector,
       isEvacuated: options.isEvacuated,
       now,
     });
-    wait.toldAt = now;
+    wait.loggedAt = now;
     options.logger.info("task.waits", {
       task: task.id,
       kind: kindOf(step),
@@ -125,12 +130,14 @@
       cause,
       ...counts,
       unheard:
-        cause === "take-over" ? unheardHosts(gate.unreported(now)) : undefined,
+        cause === "take-over"
+          ? describeUnreported(gate.unreported(now))
+          : undefined,
     });
   }
 }
 
-const unheardHosts = (hosts: readonly HostId[]): string => {
-  const named = hosts.slice(0, WAIT.mostNamed).join(",");
+const describeUnreported = (hosts: readonly HostId[]): string => {
+  const named = hosts.slice(0, WAIT.maxNamedHosts).join(",");
   return `${hosts.length}: ${named}`;
 };
--- a/packages/scheduling/src/byUtilityOrder.ts
+++ b/packages/scheduling/src/byUtilityOrder.ts
@@ -26,25 +26,25 @@
  * Utility of a job, in units of a job of its queue with the mean work (users' pages,
  * "Credit").
  */
-const WORTH = {
+const UTILITY = {
   /** Part that does not depend on the work. */
   fixed: 0.3,
   /** Part that is proportional to the work, for a job with the mean work. */
-  byWork: 0.7,
-  most: 4,
+  proportional: 0.7,
+  max: 4,
 } as const;
 
 /**
  * Share of the utility that is left by deadline feasibility, where 1 is an end in time.
  */
-const WORTH_OF_HOPE: Readonly<Record<DeadlineFeasibility, number>> = {
+const REMAINING_UTILITY: Readonly<Record<DeadlineFeasibility, number>> = {
   [DeadlineFeasibility.InTime]: 1,
   [DeadlineFeasibility.Late]: 0.15,
   [DeadlineFeasibility.TooLate]: 0,
 };
 
 /** Minimum estimate of work, core-milliseconds. */
-const LEAST_WORK = 1;
+const MIN_WORK = 1;
 
 /** Mean work of the jobs of one queue that this leader has seen. */
 interface MeanWork {
@@ -63,24 +63,27 @@
 
   sort(candidates: readonly Candidate[], now: Instant): readonly Candidate[] {
     const density = new Map<JobRun, number>();
-    for (const { job } of candidates) this.noteWork(job);
+    for (const { job } of candidates) this.recordWork(job);
     for (const { job } of candidates) {
       if (!density.has(job)) density.set(job, this.densityOf(job));
     }
     return sortByKeys(candidates, (candidate) => [
       candidate.job.terms.priority,
       candidate.step.spec.lasting ? 0 : 1,
-      -this.hopeWorth(candidate, now) * (density.get(candidate.job) ?? 0),
+      -this.remainingUtility(candidate, now) *
+        (density.get(candidate.job) ?? 0),
       -(density.get(candidate.job) ?? 0),
       candidate.step.number,
     ]);
   }
 
-  private hopeWorth(candidate: Candidate, now: Instant): number {
-    return WORTH_OF_HOPE[deadlineFeasibilityOf(candidate, this.estimates, now)];
+  private remainingUtility(candidate: Candidate, now: Instant): number {
+    return REMAINING_UTILITY[
+      deadlineFeasibilityOf(candidate, this.estimates, now)
+    ];
   }
 
-  private noteWork(job: JobRun): void {
+  private recordWork(job: JobRun): void {
     if (this.seen.has(job)) return;
     this.seen.add(job);
     const { queue } = job.accepted.spec;
@@ -92,12 +95,12 @@
 
   /** Returns the utility per core-millisecond of unplaced work. */
   private densityOf(job: JobRun): number {
-    const { fixed, byWork, most } = WORTH;
+    const { fixed, proportional, max } = UTILITY;
     const mean = this.means.get(job.accepted.spec.queue);
-    const meanWork = Math.max(LEAST_WORK, mean ? mean.total / mean.jobs : 0);
+    const meanWork = Math.max(MIN_WORK, mean ? mean.total / mean.jobs : 0);
     const size = this.estimates.totalWork(job) / meanWork;
-    const worth = Math.min(most, fixed + byWork * size);
-    return worth / Math.max(LEAST_WORK, this.estimates.unplacedWork(job));
+    const utility = Math.min(max, fixed + proportional * size);
+    return utility / Math.max(MIN_WORK, this.estimates.unplacedWork(job));
   }
 }
 
--- a/packages/scheduling/src/chooseGangHosts.ts
+++ b/packages/scheduling/src/chooseGangHosts.ts
@@ -10,41 +10,41 @@
   waiting: readonly JobTask[],
   hosts: readonly HostState[],
 ): Map<JobTask, HostState> | undefined => {
-  if (!step.spec.sameRack) return spread(waiting, hosts);
+  if (!step.spec.sameRack) return assignHosts(waiting, hosts);
   const racks = groupBy(hosts, ({ worker }) => worker.rack);
   for (const group of racks.values()) {
-    const chosen = spread(waiting, group);
+    const chosen = assignHosts(waiting, group);
     if (chosen) return chosen;
   }
-  return spread(waiting, hosts);
+  return assignHosts(waiting, hosts);
 };
 
 /**
  * Assigns each task to the first host with enough free resources after the assignments
  * before.
  */
-const spread = (
+const assignHosts = (
   tasks: readonly JobTask[],
   hosts: readonly HostState[],
 ): Map<JobTask, HostState> | undefined => {
-  const left = new Map(
+  const freeByHost = new Map(
     hosts.map((host) => [host, { ...freeCapacityOf(host), ofStep: 0 }]),
   );
   const chosen = new Map<JobTask, HostState>();
   for (const task of tasks) {
     const { demand, filling, requiredLabel, maxPerHost } = task.step.spec;
     const host = hosts.find((candidate) => {
-      const room = left.get(candidate);
-      if (!room || !candidate.hasLabel(requiredLabel)) return false;
-      if (maxPerHost > 0 && room.ofStep >= maxPerHost) return false;
-      return fitsInto(task, room);
+      const free = freeByHost.get(candidate);
+      if (!free || !candidate.hasLabel(requiredLabel)) return false;
+      if (maxPerHost > 0 && free.ofStep >= maxPerHost) return false;
+      return fitsInto(task, free);
     });
-    const room = host && left.get(host);
-    if (!host || !room) return undefined;
-    room.milliCores -= filling ? 0 : demand.milliCores;
-    room.memoryMiB -= demand.memoryMiB;
-    room.accelerators -= demand.accelerators;
-    room.ofStep += 1;
+    const free = host && freeByHost.get(host);
+    if (!host || !free) return undefined;
+    free.milliCores -= filling ? 0 : demand.milliCores;
+    free.memoryMiB -= demand.memoryMiB;
+    free.accelerators -= demand.accelerators;
+    free.ofStep += 1;
     chosen.set(task, host);
   }
   return chosen;
--- a/packages/scheduling/src/colocatingTaskPlacer.ts
+++ b/packages/scheduling/src/colocatingTaskPlacer.ts
@@ -19,9 +19,9 @@
 
 const COLOCATION = {
   /** Assumed use of a serving task as a share of its reservation, including peaks. */
-  servingUse: 0.6,
+  assumedServingUse: 0.6,
   /** A filling task is started if at least this share of its demand is available. */
-  leastFillShare: 0.7,
+  minFillShare: 0.7,
   /** Share of a host that serving tasks leave free for urgent plain tasks. */
   plainReserve: 0.08,
   /** Score penalty of hosts with serving tasks, for filling tasks. */
@@ -55,11 +55,11 @@
  * Returns the processor time that filling tasks can be expected to get, thousandths of
  * a core.
  */
-const fillableMilliCores = ({ worker, allocated: room }: HostState): number =>
+const fillableMilliCores = ({ worker, allocated }: HostState): number =>
   worker.milliCores -
-  room.plainMilliCores -
-  COLOCATION.servingUse * room.servingMilliCores -
-  room.fillingMilliCores;
+  allocated.plainMilliCores -
+  COLOCATION.assumedServingUse * allocated.servingMilliCores -
+  allocated.fillingMilliCores;
 
 export class ColocatingTaskPlacer implements TaskPlacer {
   private readonly forecast: TailForecast;
@@ -104,12 +104,12 @@
    */
   private servingScore(task: JobTask, host: HostState): number {
     const { image } = task.step.spec;
-    const { worker, allocated: room } = host;
-    const packed = room.servingMilliCores / worker.milliCores;
+    const { worker, allocated } = host;
+    const packedShare = allocated.servingMilliCores / worker.milliCores;
     const bonus = host.servesOnly(image) ? COLOCATION.sameImageBonus : 0;
     const excess = this.forecast.excessOverLimit(host, image);
-    if (!this.policy.packsServing) return -packed - excess;
-    return COLOCATION.packedBonus * packed + bonus - excess;
+    if (!this.policy.packsServing) return -packedShare - excess;
+    return COLOCATION.packedBonus * packedShare + bonus - excess;
   }
 
   private isWorthFilling(task: JobTask, host: HostState): boolean {
@@ -118,8 +118,9 @@
       isFree && this.policy.overfillsFreeHosts
         ? COLOCATION.freeHostExcess * host.worker.milliCores
         : 0;
-    const least = COLOCATION.leastFillShare * task.step.spec.demand.milliCores;
-    return fillableMilliCores(host) + excess >= least;
+    const minMilliCores =
+      COLOCATION.minFillShare * task.step.spec.demand.milliCores;
+    return fillableMilliCores(host) + excess >= minMilliCores;
   }
 
   /** @returns -Infinity if a serving task would be disturbed too much */
@@ -142,12 +143,12 @@
 
 const bonusOf = (task: JobTask, host: HostState): number => {
   const { dataRack } = task.step.spec;
-  const near = dataRack !== "" && host.worker.rack === dataRack;
-  const avoided = task.avoidedHosts.includes(host.host);
+  const isNear = dataRack !== "" && host.worker.rack === dataRack;
+  const isAvoided = task.avoidedHosts.includes(host.host);
   return (
-    (near ? COLOCATION.dataRackBonus : 0) -
+    (isNear ? COLOCATION.dataRackBonus : 0) -
     slownessPenalty(host) -
-    (avoided ? COLOCATION.avoidedPenalty : 0)
+    (isAvoided ? COLOCATION.avoidedPenalty : 0)
   );
 };
 
--- a/packages/scheduling/src/deadlineFeasibility.ts
+++ b/packages/scheduling/src/deadlineFeasibility.ts
@@ -11,7 +11,7 @@
  * A job that ends later than this many times its objective has no utility to its
  * caller.
  */
-const WORTHLESS_AFTER = 3;
+const TOO_LATE_FACTOR = 3;
 
 /** Lower is better. */
 export const enum DeadlineFeasibility {
@@ -32,7 +32,7 @@
   const leftMs = estimates.remainingChainMs(job, step.occurrence);
   const endsAfterMs = now + leftMs - job.dueAt(step.occurrence);
   if (endsAfterMs <= objectiveMs) return DeadlineFeasibility.InTime;
-  return endsAfterMs <= WORTHLESS_AFTER * objectiveMs
+  return endsAfterMs <= TOO_LATE_FACTOR * objectiveMs
     ? DeadlineFeasibility.Late
     : DeadlineFeasibility.TooLate;
 };
--- a/packages/scheduling/src/engineParts.ts
+++ b/packages/scheduling/src/engineParts.ts
@@ -12,8 +12,8 @@
   readonly options: EngineOptions;
   readonly jobs: JobRegistry;
   readonly hosts: HostRegistry;
-  readonly runs: RunStarter;
-  readonly stops: RunStopper;
+  readonly runStarter: RunStarter;
+  readonly runStopper: RunStopper;
   readonly estimates: RuntimeEstimator;
   readonly ejector: OutlierEjector;
   /** Requests a scheduling cycle soon. */
--- a/packages/scheduling/src/engineTypes.ts
+++ b/packages/scheduling/src/engineTypes.ts
@@ -145,7 +145,7 @@
 
 /** A host with the session to its side, if there is one. */
 export interface HostEntry {
-  readonly ledger: HostState;
+  readonly hostState: HostState;
   session: HostSession | undefined;
   /** Settles once all ends that were processed so far are persisted. */
   endsRecorded: Promise<void>;
--- a/packages/scheduling/src/explainWait.ts
+++ b/packages/scheduling/src/explainWait.ts
@@ -59,10 +59,10 @@
 export const explainWait = (waiting: WaitingStep): WaitExplanation => {
   const { step, service, now } = waiting;
   const { ejected } = usableHosts(waiting).get(service) ?? NO_HOSTS;
-  const passedOver = new Set(isOverdueLasting(step, now) ? [] : ejected);
+  const skipped = new Set(isOverdueLasting(step, now) ? [] : ejected);
   const counts = new Map<keyof HostCounts, number>();
   for (const entry of waiting.entries) {
-    const rule = ruleFor(entry, waiting, passedOver);
+    const rule = ruleFor(entry, waiting, skipped);
     counts.set(rule, (counts.get(rule) ?? 0) + 1);
   }
   return { cause: causeOf(waiting), hosts: Object.fromEntries(counts) };
@@ -84,20 +84,20 @@
   return "hosts";
 };
 
-/** @param passedOver usable hosts of the service that the step does not try */
+/** @param skipped usable hosts of the service that the step does not try */
 const ruleFor = (
   entry: HostEntry,
   waiting: WaitingStep,
-  passedOver: ReadonlySet<HostState>,
+  skipped: ReadonlySet<HostState>,
 ): keyof HostCounts => {
   const { step, service } = waiting;
-  const { ledger } = entry;
-  if ((ledger.worker.service as string) !== service) return "other-service";
+  const { hostState } = entry;
+  if ((hostState.worker.service as string) !== service) return "other-service";
   const closed = closedReason(entry, waiting);
   if (closed) return closed;
-  if (passedOver.has(ledger)) return "ejected";
+  if (skipped.has(hostState)) return "ejected";
   const [task] = step.waiting;
   if (!task) return "placer";
-  if (!isAllowedOn(task, ledger)) return "label-or-limit";
-  return fitsInto(task, freeCapacityOf(ledger)) ? "placer" : "room";
+  if (!isAllowedOn(task, hostState)) return "label-or-limit";
+  return fitsInto(task, freeCapacityOf(hostState)) ? "placer" : "room";
 };
--- a/packages/scheduling/src/learnInterference.ts
+++ b/packages/scheduling/src/learnInterference.ts
@@ -20,34 +20,34 @@
 
 const FULL_PROGRESS = 100;
 /** Weights are sent with three decimal places. */
-const TOLD_STEPS = 1_000;
+const WEIGHT_STEPS = 1_000;
 /** Minimum tail as a share of its target; differences below it are noise. */
-const LEAST_TAIL = 0.05;
+const MIN_TAIL_SHARE = 0.05;
 /** Pairs with lower weights are not sent. */
-const LEAST_TOLD_WEIGHT = 0.01;
+const MIN_SENT_WEIGHT = 0.01;
 
 /** Reads the host's runs as of its last report. */
 export const learnInterference = (
-  ledger: HostState,
-  book: InterferenceEstimator,
+  hostState: HostState,
+  estimator: InterferenceEstimator,
   now: Monotonic,
 ): void => {
-  const runs = [...ledger.runs.values()];
+  const runs = [...hostState.runs.values()];
   const usedCores = usedCoresOf(runs);
   const tails = new Map<ImageName, number>();
   for (const [image, serving] of groupBy(runs.filter(hasTail), imageOf)) {
     const readings = serving.map(logarithmOfTail);
     const mean = readings.reduce((a, b) => a + b) / readings.length;
-    const tasks = serving.length;
-    book.learn(image, {
+    const taskCount = serving.length;
+    estimator.learn(image, {
       at: now,
       tail: mean,
-      taskCount: tasks,
+      taskCount,
       colocatedCores: usedCores,
     });
     tails.set(image, Math.max(...readings));
   }
-  ledger.readings = { tails, usedCores };
+  hostState.readings = { tails, usedCores };
 };
 
 const imageOf = ({ task }: ActiveRun): ImageName => task.step.spec.image;
@@ -70,22 +70,23 @@
 /** Returns the natural logarithm of the tail as a share of its target. */
 const logarithmOfTail = ({ task, reading }: ActiveRun): number => {
   const tail = reading / task.step.spec.tailTargetMs;
-  return Math.log(Math.max(LEAST_TAIL, tail));
+  return Math.log(Math.max(MIN_TAIL_SHARE, tail));
 };
 
 /** Returns the learned weights of the pairs of images that run on the host now. */
 export const disturbancesFor = (
-  ledger: HostState,
-  book: InterferenceEstimator,
+  hostState: HostState,
+  estimator: InterferenceEstimator,
 ): InterferenceWeight[] => {
-  const told: InterferenceWeight[] = [];
-  for (const serving of ledger.servingImages) {
-    for (const filling of ledger.fillingCores.keys()) {
+  const weights: InterferenceWeight[] = [];
+  for (const serving of hostState.servingImages) {
+    for (const filling of hostState.fillingCores.keys()) {
       const weight =
-        Math.round(book.weight(serving, filling) * TOLD_STEPS) / TOLD_STEPS;
-      if (weight < LEAST_TOLD_WEIGHT) continue;
-      told.push({ serving, filling, weight });
+        Math.round(estimator.weight(serving, filling) * WEIGHT_STEPS) /
+        WEIGHT_STEPS;
+      if (weight < MIN_SENT_WEIGHT) continue;
+      weights.push({ serving, filling, weight });
     }
   }
-  return told;
+  return weights;
 };
--- a/packages/scheduling/src/pickIsolatedHost.ts
+++ b/packages/scheduling/src/pickIsolatedHost.ts
@@ -10,27 +10,30 @@
  * long must leave them one: if all hosts were reserved, jobs without suspect tasks
  * would wait for as long as new suspects arrive.
  *
- * @param open hosts of the service that accept new tasks
+ * @param openHosts hosts of the service that accept new tasks
  */
 export const mayIsolate = (
-  open: readonly HostState[],
+  openHosts: readonly HostState[],
   all: Iterable<HostEntry>,
   hasWaitedLong: boolean,
 ): boolean => {
-  const [host] = open;
+  const [host] = openHosts;
   if (!host) return false;
   const { service } = host.worker;
-  const held = [...all].filter(
-    ({ ledger }) => ledger.hasIsolatedRun && ledger.worker.service === service,
+  const reserved = [...all].filter(
+    ({ hostState }) =>
+      hostState.hasIsolatedRun && hostState.worker.service === service,
   );
-  if (held.length === 0) return true;
-  return hasWaitedLong ? open.length > 1 : held.length < open.length;
+  if (reserved.length === 0) return true;
+  return hasWaitedLong
+    ? openHosts.length > 1
+    : reserved.length < openHosts.length;
 };
 
 export interface IsolatedHostOptions {
   readonly task: JobTask;
   /** Hosts that accept new tasks, including those without free resources. */
-  readonly open: readonly HostState[];
+  readonly openHosts: readonly HostState[];
   readonly placer: TaskPlacer;
   /** See TaskPlacer. */
   readonly mustPlace: boolean;
@@ -42,12 +45,16 @@
  */
 export const pickIsolatedHost = ({
   task,
-  open,
+  openHosts,
   placer,
   mustPlace,
 }: IsolatedHostOptions): HostState | undefined => {
-  const ranked = open
-    .map((host) => ({ host, young: youngRuns(host), runs: host.runs.size }))
+  const ranked = openHosts
+    .map((host) => ({
+      host,
+      young: countYoungRuns(host),
+      runs: host.runs.size,
+    }))
     .sort((a, b) => a.young - b.young || a.runs - b.runs);
   for (const { host } of ranked) {
     if (placer.pick(task, [host], mustPlace)) return host;
@@ -55,5 +62,5 @@
   return undefined;
 };
 
-const youngRuns = ({ runs }: HostState): number =>
+const countYoungRuns = ({ runs }: HostState): number =>
   [...runs.values()].filter((run) => !isSettled(run)).length;
--- a/packages/scheduling/src/slowHosts.ts
+++ b/packages/scheduling/src/slowHosts.ts
@@ -66,8 +66,8 @@
   hosts: HostRegistry,
   now: Monotonic,
 ): void => {
-  const { ledger } = host;
-  for (const run of ledger.runs.values()) {
+  const { hostState } = host;
+  for (const run of hostState.runs.values()) {
     if (!isMeasured(run, now)) continue;
     const expectedMs = siblingMs(run, host, hosts, now);
     if (expectedMs === undefined) continue;
@@ -76,7 +76,7 @@
       -SLOWNESS.maxReading,
       Math.min(SLOWNESS.maxReading, reading),
     );
-    ledger.slowness += SLOWNESS.weight * (bounded - ledger.slowness);
+    hostState.slowness += SLOWNESS.weight * (bounded - hostState.slowness);
   }
 };
 
@@ -93,11 +93,11 @@
   hosts: HostRegistry,
   now: Monotonic,
 ): ActiveRun[] => {
-  const { ledger } = host;
-  if (ledger.slowness < SLOWNESS.slowThreshold) return [];
-  return [...ledger.runs.values()].filter((run) => {
+  const { hostState } = host;
+  if (hostState.slowness < SLOWNESS.slowThreshold) return [];
+  return [...hostState.runs.values()].filter((run) => {
     if (!isMeasured(run, now)) return false;
-    if (run.task.avoidedHosts.includes(ledger.host)) return false;
+    if (run.task.avoidedHosts.includes(hostState.host)) return false;
     const freshMs = siblingMs(run, host, hosts, now);
     if (freshMs === undefined) return false;
     const leftMs = projectedMs(run, now) - (now - run.startedAt);
--- a/packages/scheduling/src/spreadPlacer.ts
+++ b/packages/scheduling/src/spreadPlacer.ts
@@ -17,7 +17,7 @@
 const RACK_WEIGHT = 10;
 const HOST_WEIGHT = 100;
 
-class Census {
+class ReplicaCounts {
   readonly byHost = new Map<string, number>();
   readonly byRack = new Map<string, number>();
   readonly byZone = new Map<string, number>();
@@ -27,8 +27,8 @@
       const running = tasks.filter(
         ({ unit, state }) => state !== "ended" && unit.startsWith(family),
       ).length;
-      const coming = placing.filter((unit) => unit.startsWith(family)).length;
-      const count = running + coming;
+      const pending = placing.filter((unit) => unit.startsWith(family)).length;
+      const count = running + pending;
       if (count === 0) continue;
       add(this.byHost, host, count);
       add(this.byRack, rack, count);
@@ -55,10 +55,10 @@
     if (unit.spec.kind === "job") {
       return sortByScore(fitting, (host) => -freeShare(host));
     }
-    const census = new Census(replicaGroupOf(unit), hosts);
+    const counts = new ReplicaCounts(replicaGroupOf(unit), hosts);
     return sortByScore(
       fitting,
-      (host) => census.crowding(host) - freeShare(host),
+      (host) => counts.crowding(host) - freeShare(host),
     );
   }
 }
--- a/packages/scheduling/src/taskPlacers.ts
+++ b/packages/scheduling/src/taskPlacers.ts
@@ -33,9 +33,9 @@
  */
 export const unreservedMilliCores = ({
   worker,
-  allocated: room,
+  allocated,
 }: HostState): number =>
-  worker.milliCores - room.plainMilliCores - room.servingMilliCores;
+  worker.milliCores - allocated.plainMilliCores - allocated.servingMilliCores;
 
 /**
  * Resources of a host that are not reserved; negative if the host's capacity was
@@ -48,11 +48,11 @@
 }
 
 export const freeCapacityOf = (host: HostState): FreeCapacity => {
-  const { worker, allocated: room } = host;
+  const { worker, allocated } = host;
   return {
     milliCores: unreservedMilliCores(host),
-    memoryMiB: worker.memoryMiB - room.memoryMiB,
-    accelerators: worker.accelerators - room.accelerators,
+    memoryMiB: worker.memoryMiB - allocated.memoryMiB,
+    accelerators: worker.accelerators - allocated.accelerators,
   };
 };
 
--- a/packages/scheduling/src/usableHosts.ts
+++ b/packages/scheduling/src/usableHosts.ts
@@ -28,26 +28,29 @@
 const HOST_RULES = [
   { reason: "detached", closes: ({ session }) => !session },
   { reason: "not-rostered", closes: ({ rostered }) => !rostered },
-  { reason: "draining", closes: ({ ledger }) => ledger.worker.draining },
-  { reason: "unknown-run", closes: ({ ledger }) => ledger.mayBeFull },
-  { reason: "holds-suspect", closes: ({ ledger }) => ledger.hasIsolatedRun },
+  { reason: "draining", closes: ({ hostState }) => hostState.worker.draining },
+  { reason: "unknown-run", closes: ({ hostState }) => hostState.mayBeFull },
+  {
+    reason: "holds-suspect",
+    closes: ({ hostState }) => hostState.hasIsolatedRun,
+  },
   {
     reason: "not-reported",
-    closes: ({ ledger }) => ledger.reportedAt === undefined,
+    closes: ({ hostState }) => hostState.reportedAt === undefined,
   },
   {
     reason: "refused-a-start",
-    closes: ({ ledger }, { now }) => now < ledger.pausedUntil,
+    closes: ({ hostState }, { now }) => now < hostState.pausedUntil,
   },
   {
     reason: "quiet",
-    closes: ({ ledger }, { now }) =>
-      now - ledger.reportReceivedAt >= ENGINE.quietMs,
+    closes: ({ hostState }, { now }) =>
+      now - hostState.reportReceivedAt >= ENGINE.quietMs,
   },
   {
     reason: "evacuated",
-    closes: ({ ledger }, { isEvacuated }) =>
-      isEvacuated(ledger.availabilityZone),
+    closes: ({ hostState }, { isEvacuated }) =>
+      isEvacuated(hostState.availabilityZone),
   },
 ] as const satisfies readonly HostRule[];
 
@@ -84,14 +87,17 @@
 }: UsableHostsOptions): ReadonlyMap<string, ServiceHosts> => {
   const usable = [...entries]
     .filter((entry) => closedReason(entry, context) === undefined)
-    .map(({ ledger }) => ledger);
+    .map(({ hostState }) => hostState);
   const byService = groupBy(usable, ({ worker }) => worker.service as string);
   return new Map(
-    [...byService].map(([service, hosts]) => [service, split(hosts, ejector)]),
+    [...byService].map(([service, hosts]) => [
+      service,
+      splitByEjection(hosts, ejector),
+    ]),
   );
 };
 
-const split = (
+const splitByEjection = (
   hosts: readonly HostState[],
   ejector: OutlierEjector,
 ): ServiceHosts => {
