--- a/packages/policies/tests/policies.test.ts
+++ b/packages/policies/tests/policies.test.ts
@@ -75,12 +75,12 @@
   const metrics = new Metrics();
   return {
     metrics,
-    book: new PolicyEvaluator({ metrics, logger: silentLogger }),
+    evaluator: new PolicyEvaluator({ metrics, logger: silentLogger }),
   };
 };
 
 test("findRefusingPolicy returns the first policy that refuses a request", () => {
-  const { book: evaluator } = createEvaluator();
+  const { evaluator } = createEvaluator();
   evaluator.replace([
     { name: "roomy", point: "admission", program: "queued < 100.0" },
     {
@@ -96,7 +96,7 @@
 });
 
 test("the penalties of all policies are added up", () => {
-  const { book: evaluator } = createEvaluator();
+  const { evaluator } = createEvaluator();
   evaluator.replace([
     {
       name: "a",
@@ -109,7 +109,7 @@
 });
 
 test("a policy that fails at run time is counted, and the built-in rule applies", async () => {
-  const { book: evaluator, metrics } = createEvaluator();
+  const { evaluator, metrics } = createEvaluator();
   evaluator.replace([
     {
       name: "bad-index",
--- a/packages/scheduling/src/Dispatcher.ts
+++ b/packages/scheduling/src/Dispatcher.ts
@@ -32,7 +32,7 @@
   readonly order: StepOrder;
   readonly placer: TaskPlacer;
   readonly ejector: OutlierEjector;
-  readonly permits: PermitTracker;
+  readonly permitTracker: PermitTracker;
   readonly runLog: RunWriteAheadLog;
   /**
    * Jobs that may have tasks to start. A scheduling cycle removes those that have none.
@@ -138,7 +138,7 @@
     { inService, ejected }: ServiceHosts,
     rule: PermitRule,
   ): void {
-    const { permits } = this.options;
+    const { permitTracker } = this.options;
     const { step } = candidate;
     const permitted = {
       inService: this.permittedHosts(step, inService),
@@ -150,15 +150,17 @@
     if (isAnyPermitted) this.placeTasks(candidate, permitted);
     if (step.waiting.size === 0) return;
     const wanted = [...inService, ...this.lastResortHosts(step, ejected)];
-    permits.request({ step, rule, hosts: eligibleHosts(step, wanted) });
+    permitTracker.request({ step, rule, hosts: eligibleHosts(step, wanted) });
   }
 
   private permittedHosts(
     step: StepRun,
     hosts: readonly HostState[],
   ): readonly HostState[] {
-    const { permits } = this.options;
-    return hosts.filter((host) => permits.ticketFor(step, host) !== undefined);
+    const { permitTracker } = this.options;
+    return hosts.filter(
+      (host) => permitTracker.ticketFor(step, host) !== undefined,
+    );
   }
 
   private placeTasks(
@@ -301,9 +303,9 @@
     runNumber: RunNumber,
     isIsolated = false,
   ): void {
-    const { hosts, runStarter, permits, runLog } = this.options;
+    const { hosts, runStarter, permitTracker, runLog } = this.options;
     const entry = hosts.get(host.host);
-    const ticket = permits.ticketFor(task.step, host);
+    const ticket = permitTracker.ticketFor(task.step, host);
     runLog.markOrdered(task);
     this.isolatedStarts.remove(task);
     const isolationMs = isIsolated ? task.crashLog.isolationMs : 0;
--- a/packages/scheduling/src/JobEngine.ts
+++ b/packages/scheduling/src/JobEngine.ts
@@ -72,7 +72,7 @@
   private readonly interference: InterferenceEstimator;
   private readonly checkpoints: CheckpointWriter;
   private readonly learnedState: LearnedStateStore;
-  private readonly permits: PermitTracker;
+  private readonly permitTracker: PermitTracker;
   private readonly runStarter: RunStarter;
   private readonly runStopper: RunStopper;
   private readonly dispatcher: Dispatcher;
@@ -103,18 +103,18 @@
     const onTaskWaiting = (job: JobRun) => {
       if (jobs.activate(job)) requestCycle();
     };
-    const permits = new PermitTracker({
+    const permitTracker = new PermitTracker({
       ...options,
       service: options.permits,
       onTickets: requestCycle,
     });
-    this.permits = permits;
+    this.permitTracker = permitTracker;
     const forecast = new TailForecast({ interference, policy });
     const runStarter = new RunStarter({
       ...options,
       hosts,
       forecast,
-      permitTracker: permits,
+      permitTracker,
       onTaskWaiting,
       onNeverStarted: (run) => this.crashTracker.handleNeverStarted(run),
     });
@@ -127,7 +127,7 @@
       order: stepOrders.create(order, { estimates }),
       placer: taskPlacers.create(placer, { forecast, policy }),
       ejector,
-      permits,
+      permitTracker,
       active: jobs.active,
       runLog: new RunWriteAheadLog({
         journal,
@@ -157,12 +157,12 @@
       write: options.persistLearned,
     });
     const progressRecorder = new ProgressRecorder({ journal, logger });
-    const everyMs = policy.checkpointEveryMs;
+    const intervalMs = policy.checkpointEveryMs;
     this.checkpoints = new CheckpointWriter({
       journal,
       clock,
       logger,
-      intervalMs: everyMs,
+      intervalMs,
     });
     this.registrar = new HostRegistrar(parts);
     this.adopter = new RunAdopter(parts);
@@ -170,13 +170,13 @@
       ...parts,
       progressRecorder,
     });
-    const finishing = {
+    const partsWithFinisher = {
       ...parts,
       progressRecorder,
       jobFinisher: this.jobFinisher,
     };
-    this.endHandler = new RunEndHandler(finishing);
-    this.crashTracker = new CrashTracker(finishing);
+    this.endHandler = new RunEndHandler(partsWithFinisher);
+    this.crashTracker = new CrashTracker(partsWithFinisher);
     this.hostMonitor = new HostMonitor({
       ...parts,
       crashTracker: this.crashTracker,
@@ -193,7 +193,7 @@
   /** Stops sending orders. Workers continue their runs until their leases expire. */
   stop(): void {
     this.stopped = true;
-    this.permits.stop();
+    this.permitTracker.stop();
     this.checkpoints.stop();
     this.learnedState.stop();
     this.waitMonitor.stop();
@@ -231,10 +231,10 @@
   /**
    * Returns the ended jobs whose records the store may delete.
    *
-   * @param keepMs how long records of ended jobs are retained, milliseconds
+   * @param retentionMs how long records of ended jobs are retained, milliseconds
    */
-  expiredJobs(keepMs: number): JobId[] {
-    return this.jobs.endedBefore(this.options.clock.now() - keepMs);
+  expiredJobs(retentionMs: number): JobId[] {
+    return this.jobs.endedBefore(this.options.clock.now() - retentionMs);
   }
 
   forgetJob(id: JobId): void {
@@ -263,7 +263,7 @@
    * another incarnation answering in its place.
    *
    * @param lostRuns runs of ended incarnations that may have been at work at that time
-   * @param unheardEnds runs of ended incarnations that had ended before
+   * @param unreportedEnds runs of ended incarnations that had ended before
    * @returns whether this leader has persisted the removal, so that the next leader
    *   does not wait for the worker
    */
@@ -271,9 +271,9 @@
     host: HostId,
     instance: WorkerInstance,
     lostRuns: readonly LostRun[] = [],
-    unheardEnds: readonly RunRef[] = [],
+    unreportedEnds: readonly RunRef[] = [],
   ): Promise<boolean> {
-    this.crashTracker.recordUnreportedEnds(unheardEnds);
+    this.crashTracker.recordUnreportedEnds(unreportedEnds);
     const { roster, mayDecide } = this.options;
     const entry = this.hosts.get(host);
     if (entry?.hostState.instance === instance)
@@ -289,16 +289,16 @@
    *
    * @param overInMs time until every lease of the worker has expired, as computed by
    *   its side; undefined when the side cannot compute it
-   * @param neverBegun lost runs that never started, according to the answers to their
+   * @param neverStarted lost runs that never started, according to the answers to their
    *   start orders
    * @returns whether this leader may still decide
    */
   handleWorkerSilent(
     host: HostId,
     overInMs: number | undefined,
-    neverBegun: readonly RunRef[] = [],
+    neverStarted: readonly RunRef[] = [],
   ): boolean {
-    this.crashTracker.handleNeverStartedRuns(neverBegun);
+    this.crashTracker.handleNeverStartedRuns(neverStarted);
     if (overInMs !== undefined) this.hostMonitor.recordSilence(host, overInMs);
     if (this.nextTickAt() < this.tickAt) this.schedule();
     return this.options.mayDecide();
--- a/packages/scheduling/src/RuntimeEstimator.ts
+++ b/packages/scheduling/src/RuntimeEstimator.ts
@@ -30,20 +30,23 @@
 
   private changed = false;
 
-  /** @param corrects whether observed run times correct the estimates */
-  constructor(private readonly corrects: boolean) {}
+  /** @param isEnabled whether observed run times correct the estimates */
+  constructor(private readonly isEnabled: boolean) {}
 
   /** @param tookMs run time of one task that ended as done */
   recordRunTime(step: StepRun, tookMs: number): void {
-    if (!this.corrects || tookMs <= 0) return;
+    if (!this.isEnabled || tookMs <= 0) return;
     this.recordObserved(step, tookMs);
     if (step.spec.estimateMs <= 0) return;
     const limit = Math.log(ESTIMATES.maxFactor);
     const observed = Math.log(tookMs / step.spec.estimateMs);
     const bounded = Math.max(-limit, Math.min(limit, observed));
     const { queue } = step.job.accepted.spec;
-    const before = this.corrections.get(queue) ?? 0;
-    this.corrections.set(queue, before + ESTIMATES.weight * (bounded - before));
+    const previous = this.corrections.get(queue) ?? 0;
+    this.corrections.set(
+      queue,
+      previous + ESTIMATES.weight * (bounded - previous),
+    );
     this.changed = true;
   }
 
@@ -63,7 +66,7 @@
    * @returns whether it was used; it is ignored if something was learned here already
    */
   restore({ corrections }: LearnedEstimates): boolean {
-    if (!this.corrects || this.corrections.size > 0) return false;
+    if (!this.isEnabled || this.corrections.size > 0) return false;
     for (const [queue, value] of corrections)
       this.corrections.set(queue, value);
     return true;
@@ -141,9 +144,9 @@
     const steps = job.steps.filter((step) => step.occurrence === occurrence);
     const ends: number[] = [];
     for (const step of steps) {
-      const before = step.spec.after.map((number) => ends[number] ?? 0);
-      const own = counts(step) ? this.taskMs(step) : 0;
-      ends[step.number] = Math.max(0, ...before) + own;
+      const previous = step.spec.after.map((number) => ends[number] ?? 0);
+      const ownMs = counts(step) ? this.taskMs(step) : 0;
+      ends[step.number] = Math.max(0, ...previous) + ownMs;
     }
     return Math.max(0, ...ends);
   }
