--- a/packages/scheduling/src/HostRegistry.ts
+++ b/packages/scheduling/src/HostRegistry.ts
@@ -74,8 +74,8 @@
   placedRunsOf(tasks: Iterable<JobTask>): PlacedRun[] {
     const runs: PlacedRun[] = [];
     for (const task of tasks) {
-      const placements = this.placements.get(task);
-      if (placements) runs.push(placements);
+      const placement = this.placements.get(task);
+      if (placement) runs.push(placement);
     }
     return runs;
   }
--- a/packages/scheduling/src/JobEngine.ts
+++ b/packages/scheduling/src/JobEngine.ts
@@ -106,7 +106,7 @@
     const permitTracker = new PermitTracker({
       ...options,
       service: options.permits,
-      onTickets: requestCycle,
+      onRequestFinished: requestCycle,
     });
     this.permitTracker = permitTracker;
     const forecast = new TailForecast({ interference, policy });
--- a/packages/scheduling/src/PermitTracker.ts
+++ b/packages/scheduling/src/PermitTracker.ts
@@ -48,7 +48,7 @@
   readonly logger: Logger;
   readonly metrics: Metrics;
   /** Called when a permit request has finished. */
-  readonly onTickets: () => void;
+  readonly onRequestFinished: () => void;
 }
 
 export interface StepPermitRequest {
@@ -153,7 +153,7 @@
     { decideMs, eachMs }: PermitRule,
     instances: readonly WorkerInstance[],
   ): Promise<void> {
-    const { clock, onTickets } = this.options;
+    const { clock, onRequestFinished } = this.options;
     const sentAt = clock.monotonic();
     const permits = this.permitsOf(step);
     const processingMs = decideMs + eachMs * instances.length;
@@ -172,7 +172,7 @@
     } finally {
       permits.isRequesting = false;
     }
-    if (!this.stopped) onTickets();
+    if (!this.stopped) onRequestFinished();
   }
 
   private logResponse(
