--- a/packages/scheduling/src/CheckpointWriter.ts
+++ b/packages/scheduling/src/CheckpointWriter.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps checkpoints of running tasks in the store at an interval, so that work
- * survives when all processes and workers are lost at once.
+ * Persists checkpoints of running tasks at an interval, so that their work survives
+ * when all processes and workers are lost at once.
  */
 
 import {
@@ -20,7 +20,7 @@
 }
 
 export class CheckpointWriter {
-  /** Jobs with checkpoints that the store does not keep yet. */
+  /** Jobs with checkpoints that are not persisted yet. */
   private readonly changed = new Set<JobRun>();
   private timer: Timer | undefined;
 
@@ -30,32 +30,33 @@
     this.timer?.cancel();
   }
 
-  /** Takes tasks of which a host has just reported. */
+  /** Tracks tasks that a host has just reported. */
   trackTasks(tasks: Iterable<JobTask>): void {
-    const { clock, intervalMs: everyMs } = this.options;
-    if (everyMs === 0) return;
+    const { clock, intervalMs } = this.options;
+    if (intervalMs === 0) return;
     for (const { step } of tasks) {
       if (step.job.hasUnpersistedProgress) this.changed.add(step.job);
     }
     if (this.changed.size === 0 || this.timer) return;
-    this.timer = clock.after(everyMs, () => {
+    this.timer = clock.after(intervalMs, () => {
       this.timer = undefined;
-      this.keep();
+      this.writeChanged();
     });
   }
 
-  private keep(): void {
+  private writeChanged(): void {
     const { journal, logger } = this.options;
     const jobs = [...this.changed].filter(
-      ({ isEnded, hasUnpersistedProgress: hasUnkeptProgress }) =>
-        hasUnkeptProgress && !isEnded,
+      ({ isEnded, hasUnpersistedProgress }) =>
+        hasUnpersistedProgress && !isEnded,
     );
     this.changed.clear();
     if (jobs.length === 0) return;
     logger.debug("checkpoints.kept", { jobs: jobs.length });
     for (const job of jobs) {
       journal.persist(job).catch((err: unknown) =>
-        // Another leader has taken over, and keeps what it sees itself.
+        // Another leader has taken over, and persists the checkpoints that it receives
+        // itself.
         logger.warn("checkpoints.not-kept", {
           job: job.id,
           error: describeError(err),
--- a/packages/scheduling/src/Dispatcher.ts
+++ b/packages/scheduling/src/Dispatcher.ts
@@ -1,4 +1,7 @@
-/** Starts waiting tasks on hosts with room, in the order of work. */
+/**
+ * Starts waiting tasks on hosts with free resources, in the order that the plug-in for
+ * the order of work returns.
+ */
 
 import type { RunNumber } from "@rackspan/common";
 import type { HostState, JobRun, JobTask, StepRun } from "@rackspan/jobs";
@@ -25,21 +28,23 @@
 export interface DispatcherOptions {
   readonly engine: EngineOptions;
   readonly hosts: HostRegistry;
-  readonly runs: RunStarter;
+  readonly runStarter: RunStarter;
   readonly order: StepOrder;
   readonly placer: TaskPlacer;
   readonly ejector: OutlierEjector;
-  readonly permits: PermitTracker;
+  readonly permitTracker: PermitTracker;
   readonly runLog: RunWriteAheadLog;
-  /** Jobs that may have tasks to start; a pass drops those that have none. */
+  /**
+   * Jobs that may have tasks to start. A scheduling cycle removes those that have none.
+   */
   readonly active: Set<TrackedJob>;
 }
 
 export class Dispatcher {
   private readonly timer: SchedulingCycleTimer;
-  private readonly heldBack: CycleHostFilter;
-  private readonly turns = new IsolatedStartQueue();
-  /** Of the present pass. */
+  private readonly hostFilter: CycleHostFilter;
+  private readonly isolatedStarts = new IsolatedStartQueue();
+  /** Usable hosts by service, computed at the start of each scheduling cycle. */
   private hostsByService: ReturnType<typeof usableHosts> = new Map();
 
   constructor(private readonly options: DispatcherOptions) {
@@ -47,27 +52,27 @@
     this.timer = new SchedulingCycleTimer({
       clock,
       logger,
-      runCycle: () => this.pass(),
+      runCycle: () => this.runCycle(),
     });
-    this.heldBack = new CycleHostFilter(clock);
+    this.hostFilter = new CycleHostFilter(clock);
   }
 
-  /** See PassTimer. */
+  /** See SchedulingCycleTimer. */
   requestCycle(): void {
     this.timer.request();
   }
 
-  /** See PassTimer. */
+  /** See SchedulingCycleTimer. */
   runCycleIfOverdue(): void {
     this.timer.runIfOverdue();
   }
 
-  private pass(): void {
+  private runCycle(): void {
     const { engine, order, hosts, ejector } = this.options;
     if (!engine.mayDecide()) return;
-    const began = engine.clock.monotonic();
-    this.heldBack.startCycle();
-    this.turns.startCycle(began);
+    const startedAt = engine.clock.monotonic();
+    this.hostFilter.startCycle();
+    this.isolatedStarts.startCycle(startedAt);
     const now = engine.clock.now();
     const candidates = order.sort(this.candidates(now), now);
     this.hostsByService = usableHosts({
@@ -81,29 +86,32 @@
     }
     engine.metrics
       .latency("dispatch_pass")
-      .record(engine.clock.monotonic() - began);
+      .record(engine.clock.monotonic() - startedAt);
   }
 
   private candidates(now: number): Candidate[] {
     const { engine, active } = this.options;
     const monotonic = engine.clock.monotonic();
     const candidates: Candidate[] = [];
-    for (const live of active) {
-      const { job, firstSeenAt } = live;
+    for (const tracked of active) {
+      const { job, firstSeenAt } = tracked;
       const steps = job.runnableSteps(now);
       if (steps.length === 0) {
-        if (job.nextDueAt(now) === undefined) active.delete(live);
+        if (job.nextDueAt(now) === undefined) active.delete(tracked);
         continue;
       }
       if (!engine.gate.mayStart(firstSeenAt, monotonic)) continue;
-      if (this.options.hosts.hasRunsOf(job)) live.lastRunSeenAt = monotonic;
-      const isStarved = monotonic - live.lastRunSeenAt > ENGINE.starvedMs;
+      if (this.options.hosts.hasRunsOf(job)) tracked.lastRunSeenAt = monotonic;
+      const isStarved = monotonic - tracked.lastRunSeenAt > ENGINE.starvedMs;
       candidates.push(...steps.map((step) => ({ job, step, isStarved })));
     }
     return candidates;
   }
 
-  /** What holds of the job's queue now; what held at first when it is dropped. */
+  /**
+   * Returns the current settings of the job's queue, or those at submission if the
+   * queue was deleted.
+   */
   private termsOf(job: JobRun): QueueSpec | JobTerms {
     return this.options.engine.queueOf(job.accepted.spec.queue) ?? job.terms;
   }
@@ -121,33 +129,38 @@
     else this.placeTasks(candidate, hosts);
   }
 
-  /** Places what it can on hosts with a permit, and asks for more when some is left. */
+  /**
+   * Places as many tasks as possible on hosts with a permit, and requests more permits
+   * if tasks are left.
+   */
   private placePermitted(
     candidate: Candidate,
     { inService, ejected }: ServiceHosts,
     rule: PermitRule,
   ): void {
-    const { permits } = this.options;
+    const { permitTracker } = this.options;
     const { step } = candidate;
     const permitted = {
-      inService: this.permittedOf(step, inService),
-      ejected: this.permittedOf(step, ejected),
+      inService: this.permittedHosts(step, inService),
+      ejected: this.permittedHosts(step, ejected),
     };
     const isAnyPermitted = Object.values(permitted).some(
       ({ length }) => length,
     );
     if (isAnyPermitted) this.placeTasks(candidate, permitted);
     if (step.waiting.size === 0) return;
-    const wanted = [...inService, ...this.lastResortOf(step, ejected)];
-    permits.request({ step, rule, hosts: ableHosts(step, wanted) });
+    const wanted = [...inService, ...this.lastResortHosts(step, ejected)];
+    permitTracker.request({ step, rule, hosts: eligibleHosts(step, wanted) });
   }
 
-  private permittedOf(
+  private permittedHosts(
     step: StepRun,
     hosts: readonly HostState[],
   ): readonly HostState[] {
-    const { permits } = this.options;
-    return hosts.filter((host) => permits.ticketFor(step, host) !== undefined);
+    const { permitTracker } = this.options;
+    return hosts.filter(
+      (host) => permitTracker.ticketFor(step, host) !== undefined,
+    );
   }
 
   private placeTasks(
@@ -158,23 +171,25 @@
       this.placeGang(step, hosts);
       return;
     }
-    const { placer, runs, runLog: announcer } = this.options;
-    let open = this.heldBack.hostsOpenTo(step, hosts);
+    const { placer, runStarter, runLog } = this.options;
+    let openHosts = this.hostFilter.hostsOpenTo(step, hosts);
     let isUnplaced = false;
     for (const task of [...step.waiting]) {
-      if (announcer.needsRecord(task)) {
+      if (runLog.needsRecord(task)) {
         if (this.placeOverdue(job))
-          open = this.heldBack.hostsOpenTo(step, hosts);
+          openHosts = this.hostFilter.hostsOpenTo(step, hosts);
         if (job.isEnded) return;
         if (!step.waiting.has(task)) continue;
-        let outcome = this.placeApart(task, open);
+        let outcome = this.placeIsolated(task, openHosts);
         if (outcome === "no-host") {
-          const rest = this.lastResortOf(step, ejected);
-          if (rest.length > 0) outcome = this.placeApart(task, rest);
+          const ejectedHosts = this.lastResortHosts(step, ejected);
+          if (ejectedHosts.length > 0)
+            outcome = this.placeIsolated(task, ejectedHosts);
         }
         if (outcome === "no-host") isUnplaced = true;
-        // No other begins where it did.
-        if (outcome === "placed") open = this.heldBack.hostsOpenTo(step, hosts);
+        // No other task may start on the host of an isolated run.
+        if (outcome === "placed")
+          openHosts = this.hostFilter.hostsOpenTo(step, hosts);
         if (job.isEnded) return;
         continue;
       }
@@ -182,78 +197,88 @@
         ? isOverdueLasting(step, this.options.engine.clock.monotonic())
         : isStarved && !this.options.hosts.hasRunsOf(job);
       const host =
-        placer.pick(task, open, mustPlace) ??
-        placer.pick(task, this.lastResortOf(step, ejected), mustPlace);
-      // Tasks of a step ask for the same, but each avoids hosts of its own.
+        placer.pick(task, openHosts, mustPlace) ??
+        placer.pick(task, this.lastResortHosts(step, ejected), mustPlace);
+      // All tasks of a step have the same demand, but each avoids the hosts on which it
+      // failed.
       if (!host) {
-        this.heldBack.recordUnplaced(step, hosts);
+        this.hostFilter.recordUnplaced(step, hosts);
         return;
       }
-      this.startOn(host, task, runs.nextRunNumber());
+      this.startOn(host, task, runStarter.nextRunNumber());
     }
-    if (isUnplaced) this.heldBack.recordUnplaced(step, hosts);
+    if (isUnplaced) this.hostFilter.recordUnplaced(step, hosts);
     else step.unplacedSince = undefined;
   }
 
-  /** Hosts that the step tries although they are ejected. */
-  private lastResortOf(
+  /** Returns ejected hosts that the step may use although they are ejected. */
+  private lastResortHosts(
     step: StepRun,
     ejected: readonly HostState[],
   ): readonly HostState[] {
     if (!isOverdueLasting(step, this.options.engine.clock.monotonic()))
       return [];
-    return this.heldBack.hostsOpenTo(step, ejected);
+    return this.hostFilter.hostsOpenTo(step, ejected);
   }
 
   /**
-   * Starts a task under which a worker has crashed: announced, and where it takes
-   * the fewest others along if it crashes this one too.
-   * @returns `not-now` while it waits for proof, for its announcement or for its turn
+   * Starts a task under which a worker has crashed. The run is recorded in the
+   * write-ahead log first, and starts on the host where the fewest other runs would be
+   * lost if it crashes that worker, too.
+   * @returns `not-now` while the task waits for the crash evidence to be judged, for
+   *   its write-ahead record or for its turn
    */
-  private placeApart(
+  private placeIsolated(
     task: JobTask,
-    open: readonly HostState[],
+    openHosts: readonly HostState[],
   ): "placed" | "not-now" | "no-host" {
-    const { runLog: announcer, hosts: book, placer, engine } = this.options;
+    const { runLog, hosts: hostRegistry, placer, engine } = this.options;
     const now = engine.clock.monotonic();
     if (now < task.heldUntil) return "not-now";
-    const run = announcer.recordedRunFor([task]);
+    const run = runLog.recordedRunFor([task]);
     if (run === undefined || task.step.job.isEnded) return "not-now";
-    this.turns.enqueue(task, now);
-    // Users want a lasting task to have a run again soon, and it has lost its last one.
+    this.isolatedStarts.enqueue(task, now);
+    // A lasting task has lost its only run, and its users need a new one soon.
     const { lasting } = task.step.spec;
-    const takesTurn = lasting || this.turns.hasWaitedLong(task, now);
-    const isApart = mayIsolate(open, book.all(), takesTurn);
-    // Where no host more may be held, a lasting task whose workers outlived its start shares one.
+    const takesTurn = lasting || this.isolatedStarts.hasWaitedLong(task, now);
+    const isIsolated = mayIsolate(openHosts, hostRegistry.all(), takesTurn);
+    // A lasting task may share a host if no further host may be reserved and none of
+    // its runs crashed a worker just after its start.
     const mayShare = lasting && task.crashLog.hasNoCrashAtStart;
-    if (!isApart && !mayShare) return "not-now";
-    const host = pickIsolatedHost({ task, open, placer, mustPlace: takesTurn });
-    if (!host) return isApart ? "no-host" : "not-now";
-    this.startOn(host, task, run, isApart);
+    if (!isIsolated && !mayShare) return "not-now";
+    const host = pickIsolatedHost({
+      task,
+      openHosts,
+      placer,
+      mustPlace: takesTurn,
+    });
+    if (!host) return isIsolated ? "no-host" : "not-now";
+    this.startOn(host, task, run, isIsolated);
     return "placed";
   }
 
   /**
-   * Before a suspect of this job gets its turn, those of its priority that have waited long do.
+   * Before a suspect task of this job gets its turn, places overdue suspect tasks with
+   * the same priority and service.
    * @returns whether any was placed
    */
   private placeOverdue(job: JobRun): boolean {
     const { priority } = job.terms;
     const { service } = this.termsOf(job);
-    const isBeside = (other: JobRun): boolean =>
+    const competes = (other: JobRun): boolean =>
       other.terms.priority === priority &&
       this.termsOf(other).service === service;
     const { inService: hosts } = this.hostsOf(job);
     let isAnyPlaced = false;
-    for (const task of this.turns.takeOverdue(({ step }) =>
-      isBeside(step.job),
+    for (const task of this.isolatedStarts.takeOverdue(({ step }) =>
+      competes(step.job),
     )) {
       const { step } = task;
       if (this.options.engine.clock.monotonic() < step.heldUntil) continue;
       const { permitRule } = this.termsOf(step.job);
-      const allowed = permitRule ? this.permittedOf(step, hosts) : hosts;
-      const open = this.heldBack.hostsOpenTo(step, allowed);
-      if (this.placeApart(task, open) === "placed") isAnyPlaced = true;
+      const allowed = permitRule ? this.permittedHosts(step, hosts) : hosts;
+      const openHosts = this.hostFilter.hostsOpenTo(step, allowed);
+      if (this.placeIsolated(task, openHosts) === "placed") isAnyPlaced = true;
     }
     return isAnyPlaced;
   }
@@ -262,35 +287,38 @@
   private placeGang(step: StepRun, hosts: readonly HostState[]): void {
     const waiting = [...step.waiting];
     if (waiting.length < step.tasks.length - step.doneCount) return;
-    const open = this.heldBack.hostsOpenTo(step, hosts);
-    const chosen = chooseGangHosts(step, waiting, open);
+    const openHosts = this.hostFilter.hostsOpenTo(step, hosts);
+    const chosen = chooseGangHosts(step, waiting, openHosts);
     if (!chosen) return;
-    const number = this.options.runLog.recordedRunFor(waiting);
-    if (number === undefined || step.job.isEnded) return;
+    const runNumber = this.options.runLog.recordedRunFor(waiting);
+    if (runNumber === undefined || step.job.isEnded) return;
     step.job.shareCheckpoint(step);
-    for (const [task, host] of chosen) this.startOn(host, task, number);
+    for (const [task, host] of chosen) this.startOn(host, task, runNumber);
   }
 
-  /** @param isApart whether a suspected task begins apart from others */
+  /** @param isIsolated whether a suspect task gets an isolated start */
   private startOn(
     host: HostState,
     task: JobTask,
-    number: RunNumber,
-    isApart = false,
+    runNumber: RunNumber,
+    isIsolated = false,
   ): void {
-    const { hosts, runs, permits, runLog: announcer } = this.options;
+    const { hosts, runStarter, permitTracker, runLog } = this.options;
     const entry = hosts.get(host.host);
-    const ticket = permits.ticketFor(task.step, host);
-    announcer.markOrdered(task);
-    this.turns.remove(task);
-    const apartMs = isApart ? task.crashLog.isolationMs : 0;
+    const ticket = permitTracker.ticketFor(task.step, host);
+    runLog.markOrdered(task);
+    this.isolatedStarts.remove(task);
+    const isolationMs = isIsolated ? task.crashLog.isolationMs : 0;
     if (entry)
-      runs.start(entry, task, number, { ticket, isolationMs: apartMs });
+      runStarter.start(entry, task, runNumber, { ticket, isolationMs });
   }
 }
 
-/** Hosts that could run the step's first waiting task, those with most left first. */
-const ableHosts = (
+/**
+ * Returns the hosts that could run the step's first waiting task, those with the most
+ * unreserved processor time first.
+ */
+const eligibleHosts = (
   step: StepRun,
   hosts: readonly HostState[],
 ): readonly HostState[] => {
--- a/packages/scheduling/src/IsolatedStartQueue.ts
+++ b/packages/scheduling/src/IsolatedStartQueue.ts
@@ -1,43 +1,45 @@
 /**
- * Whose turn it is among suspected tasks that wait for a host where they may begin
- * apart. The order of work goes by worth, and hosts that are held come free one at a
- * time: by worth alone a task of little worth would wait for as long as suspects of
- * more come.
+ * Waiting order of suspect tasks that need an isolated start. The order of work goes by
+ * utility, and reserved hosts become free one at a time: by utility alone a task of low
+ * utility would wait for as long as suspect tasks with a higher one arrive.
  */
 
 import type { Monotonic } from "@rackspan/common";
 import { CRASH_LIMITS, type JobTask } from "@rackspan/jobs";
 
 export class IsolatedStartQueue {
-  /** Since when each has waited, the one that has waited longest first. */
-  private readonly since = new Map<JobTask, Monotonic>();
-  /** Those whose turn is before others in this pass, and has not come yet. */
+  /** Start of each task's wait, the longest wait first. */
+  private readonly waitingSince = new Map<JobTask, Monotonic>();
+  /** Tasks that go before others in this scheduling cycle and have not been taken yet. */
   private overdue: JobTask[] = [];
 
   startCycle(now: Monotonic): void {
-    for (const task of [...this.since.keys()]) {
-      if (!isWaiting(task)) this.since.delete(task);
+    for (const task of [...this.waitingSince.keys()]) {
+      if (!isWaiting(task)) this.waitingSince.delete(task);
     }
-    this.overdue = [...this.since.keys()].filter((task) =>
+    this.overdue = [...this.waitingSince.keys()].filter((task) =>
       this.hasWaitedLong(task, now),
     );
   }
 
   enqueue(task: JobTask, now: Monotonic): void {
-    if (!this.since.has(task)) this.since.set(task, now);
+    if (!this.waitingSince.has(task)) this.waitingSince.set(task, now);
   }
 
   remove(task: JobTask): void {
-    this.since.delete(task);
+    this.waitingSince.delete(task);
   }
 
   hasWaitedLong(task: JobTask, now: Monotonic): boolean {
-    const since = this.since.get(task);
-    if (since === undefined) return false;
-    return now - since >= CRASH_LIMITS.isolationGraceMs;
+    const waitingSince = this.waitingSince.get(task);
+    if (waitingSince === undefined) return false;
+    return now - waitingSince >= CRASH_LIMITS.isolationGraceMs;
   }
 
-  /** The overdue tasks among these, in the order of their turns; each is given once a pass. */
+  /**
+   * Returns the overdue tasks among these, the longest wait first. Each is returned
+   * once per scheduling cycle.
+   */
   takeOverdue(isAmong: (task: JobTask) => boolean): readonly JobTask[] {
     const taken = this.overdue.filter(isAmong);
     this.overdue = this.overdue.filter((task) => !isAmong(task));
--- a/packages/scheduling/src/JobEngine.ts
+++ b/packages/scheduling/src/JobEngine.ts
@@ -1,6 +1,6 @@
 /**
- * Runs all jobs of a site for as long as this process leads: decides which task
- * starts where, follows what hosts report, and keeps what ended in the store.
+ * Runs all jobs of a site while this process is the leader: decides which task starts
+ * on which host, processes the hosts' reports, and persists the ends of tasks and jobs.
  */
 
 import type {
@@ -56,9 +56,12 @@
 
 const EJECTION = {
   failuresToEject: 3,
-  /** First time out of service, milliseconds; it doubles up to the longest. */
+  /**
+   * Duration of the first ejection, milliseconds; each further one lasts twice as long,
+   * up to `maxEjectMs`.
+   */
   ejectMs: 3_000,
-  /** Longest time out of service, milliseconds. */
+  /** Longest ejection, milliseconds. */
   maxEjectMs: 12_000,
   maxEjectedShare: 0.5,
 } as const;
@@ -68,18 +71,18 @@
   private readonly hosts = new HostRegistry();
   private readonly interference: InterferenceEstimator;
   private readonly checkpoints: CheckpointWriter;
-  private readonly learnt: LearnedStateStore;
-  private readonly permits: PermitTracker;
-  private readonly runs: RunStarter;
-  private readonly stops: RunStopper;
+  private readonly learnedState: LearnedStateStore;
+  private readonly permitTracker: PermitTracker;
+  private readonly runStarter: RunStarter;
+  private readonly runStopper: RunStopper;
   private readonly dispatcher: Dispatcher;
-  private readonly intake: HostRegistrar;
-  private readonly watch: HostMonitor;
-  private readonly waits: WaitMonitor;
+  private readonly registrar: HostRegistrar;
+  private readonly hostMonitor: HostMonitor;
+  private readonly waitMonitor: WaitMonitor;
   private readonly adopter: RunAdopter;
-  private readonly closer: JobFinisher;
-  private readonly ends: RunEndHandler;
-  private readonly crashes: CrashTracker;
+  private readonly jobFinisher: JobFinisher;
+  private readonly endHandler: RunEndHandler;
+  private readonly crashTracker: CrashTracker;
   private timer: Timer | undefined;
   /** When the next tick is due. */
   private tickAt: Monotonic = Infinity;
@@ -96,55 +99,56 @@
       ? EJECTION.failuresToEject
       : Infinity;
     const ejector = new OutlierEjector({ clock, ...EJECTION, failuresToEject });
-    const requestPass = () => this.dispatcher.requestCycle();
-    const onWaiting = (job: JobRun) => {
-      if (jobs.activate(job)) requestPass();
+    const requestCycle = () => this.dispatcher.requestCycle();
+    const onTaskWaiting = (job: JobRun) => {
+      if (jobs.activate(job)) requestCycle();
     };
-    const permits = new PermitTracker({
+    const permitTracker = new PermitTracker({
       ...options,
       service: options.permits,
-      onTickets: requestPass,
+      onRequestFinished: requestCycle,
     });
-    this.permits = permits;
+    this.permitTracker = permitTracker;
     const forecast = new TailForecast({ interference, policy });
-    const runs = new RunStarter({
+    const runStarter = new RunStarter({
       ...options,
       hosts,
       forecast,
-      permitTracker: permits,
-      onTaskWaiting: onWaiting,
-      onNeverStarted: (run) => this.crashes.handleNeverStarted(run),
+      permitTracker,
+      onTaskWaiting,
+      onNeverStarted: (run) => this.crashTracker.handleNeverStarted(run),
     });
-    this.runs = runs;
-    this.stops = new RunStopper(options);
+    this.runStarter = runStarter;
+    this.runStopper = new RunStopper(options);
     this.dispatcher = new Dispatcher({
       engine: options,
       hosts,
-      runs,
+      runStarter,
       order: stepOrders.create(order, { estimates }),
       placer: taskPlacers.create(placer, { forecast, policy }),
       ejector,
-      permits,
+      permitTracker,
       active: jobs.active,
       runLog: new RunWriteAheadLog({
         journal,
         logger,
-        nextRunNumber: () => runs.nextRunNumber(),
-        onRecorded: requestPass,
-        resolvePreviousRun: (task) => this.crashes.resolvePreviousRun(task),
+        nextRunNumber: () => runStarter.nextRunNumber(),
+        onRecorded: requestCycle,
+        resolvePreviousRun: (task) =>
+          this.crashTracker.resolvePreviousRun(task),
       }),
     });
     const parts: EngineParts = {
       options,
       jobs,
       hosts,
-      runs,
-      stops: this.stops,
+      runStarter,
+      runStopper: this.runStopper,
       estimates,
       ejector,
-      requestCycle: requestPass,
+      requestCycle,
     };
-    this.learnt = new LearnedStateStore({
+    this.learnedState = new LearnedStateStore({
       interference,
       estimates,
       clock,
@@ -153,49 +157,52 @@
       write: options.persistLearned,
     });
     const progressRecorder = new ProgressRecorder({ journal, logger });
-    const everyMs = policy.checkpointEveryMs;
+    const intervalMs = policy.checkpointEveryMs;
     this.checkpoints = new CheckpointWriter({
       journal,
       clock,
       logger,
-      intervalMs: everyMs,
+      intervalMs,
     });
-    this.intake = new HostRegistrar(parts);
+    this.registrar = new HostRegistrar(parts);
     this.adopter = new RunAdopter(parts);
-    this.closer = new JobFinisher({
+    this.jobFinisher = new JobFinisher({
       ...parts,
-      progressRecorder: progressRecorder,
+      progressRecorder,
     });
-    const closing = {
+    const partsWithFinisher = {
       ...parts,
-      progressRecorder: progressRecorder,
-      closer: this.closer,
+      progressRecorder,
+      jobFinisher: this.jobFinisher,
     };
-    this.ends = new RunEndHandler(closing);
-    this.crashes = new CrashTracker(closing);
-    this.watch = new HostMonitor({ ...parts, crashes: this.crashes });
-    this.waits = new WaitMonitor(parts);
+    this.endHandler = new RunEndHandler(partsWithFinisher);
+    this.crashTracker = new CrashTracker(partsWithFinisher);
+    this.hostMonitor = new HostMonitor({
+      ...parts,
+      crashTracker: this.crashTracker,
+    });
+    this.waitMonitor = new WaitMonitor(parts);
   }
 
   start(): void {
     this.schedule();
-    this.learnt.start();
+    this.learnedState.start();
     this.dispatcher.requestCycle();
   }
 
-  /** Gives no more orders; hosts go on until their leases are over. */
+  /** Stops sending orders. Workers continue their runs until their leases expire. */
   stop(): void {
     this.stopped = true;
-    this.permits.stop();
+    this.permitTracker.stop();
     this.checkpoints.stop();
-    this.learnt.stop();
-    this.waits.stop();
+    this.learnedState.stop();
+    this.waitMonitor.stop();
     this.timer?.cancel();
   }
 
-  /** Takes what a former leader has learnt; it may come at any time. */
+  /** Restores what a previous leader has learned. May be called at any time. */
   restoreLearned(records: readonly LearnedRecord[]): void {
-    this.learnt.restore(records);
+    this.learnedState.restore(records);
   }
 
   addJob(accepted: AcceptedJob, progress: ProgressRecord | undefined): void {
@@ -216,82 +223,88 @@
   }
 
   cancelJob(id: JobId): void {
-    const live = this.jobs.get(id);
-    if (!live || live.job.isEnded) return;
-    this.closer.finish(live, "cancelled", "cancelled-by-caller");
+    const tracked = this.jobs.get(id);
+    if (!tracked || tracked.job.isEnded) return;
+    this.jobFinisher.finish(tracked, "cancelled", "cancelled-by-caller");
   }
 
   /**
-   * Jobs whose records the store need not keep any longer.
+   * Returns the ended jobs whose records the store may delete.
    *
-   * @param keepMs how long ended jobs are kept, milliseconds
+   * @param retentionMs how long records of ended jobs are retained, milliseconds
    */
-  expiredJobs(keepMs: number): JobId[] {
-    return this.jobs.endedBefore(this.options.clock.now() - keepMs);
+  expiredJobs(retentionMs: number): JobId[] {
+    return this.jobs.endedBefore(this.options.clock.now() - retentionMs);
   }
 
   forgetJob(id: JobId): void {
     this.jobs.delete(id);
   }
 
-  /** Queues may have another service, or a zone may be closed or open to starts. */
+  /**
+   * Called when the operator's configuration may have changed: a queue may use another
+   * service, or a zone may have been closed or opened for starts.
+   */
   handleOperatorChange(): void {
     this.dispatcher.requestCycle();
   }
 
   attach(host: HostId, session: HostSession): void {
-    this.intake.attach(host, session);
+    this.registrar.attach(host, session);
   }
 
-  /** Does nothing when the host has another session by now. */
+  /** Does nothing if the host has another session by now. */
   detach(host: HostId, session: HostSession): void {
-    this.intake.detach(host, session);
+    this.registrar.detach(host, session);
   }
 
   /**
-   * The worker has ended, by its own word or since another life answers for it.
+   * Handles the end of a worker, which the worker reported itself or which follows from
+   * another incarnation answering in its place.
    *
-   * @param lostRuns runs of ended lives that may have been at work then
-   * @param unheardEnds runs of ended lives that had ended before
-   * @returns whether this leader has taken note of it, and a next one will not wait for it
+   * @param lostRuns runs of ended incarnations that may have been at work at that time
+   * @param unreportedEnds runs of ended incarnations that had ended before
+   * @returns whether this leader has persisted the removal, so that the next leader
+   *   does not wait for the worker
    */
   async handleWorkerGone(
     host: HostId,
     instance: WorkerInstance,
     lostRuns: readonly LostRun[] = [],
-    unheardEnds: readonly RunRef[] = [],
+    unreportedEnds: readonly RunRef[] = [],
   ): Promise<boolean> {
-    this.crashes.recordUnreportedEnds(unheardEnds);
+    this.crashTracker.recordUnreportedEnds(unreportedEnds);
     const { roster, mayDecide } = this.options;
     const entry = this.hosts.get(host);
-    if (entry?.ledger.instance === instance)
-      this.watch.removeHost(entry, "crashed", "worker-gone", lostRuns);
-    this.crashes.handleReportedLosses(host, lostRuns);
-    if (!entry) this.watch.removeUnreported(host, instance);
+    if (entry?.hostState.instance === instance)
+      this.hostMonitor.removeHost(entry, "crashed", "worker-gone", lostRuns);
+    this.crashTracker.handleReportedLosses(host, lostRuns);
+    if (!entry) this.hostMonitor.removeUnreported(host, instance);
     return (await roster.removalPersisted(host)) && mayDecide();
   }
 
   /**
-   * The host's worker does not answer its side, which renews no lease until it has
-   * reported an answer.
+   * Handles the message that the host's worker does not answer its side. The side
+   * renews no lease until it has reported an answer.
    *
-   * @param overInMs until every lease of the worker is over, as its side knows them;
-   *   undefined when it does not
-   * @param neverBegun lost runs that never began, by the answers to their orders
+   * @param overInMs time until every lease of the worker has expired, as computed by
+   *   its side; undefined when the side cannot compute it
+   * @param neverStarted lost runs that never started, according to the answers to their
+   *   start orders
    * @returns whether this leader may still decide
    */
   handleWorkerSilent(
     host: HostId,
     overInMs: number | undefined,
-    neverBegun: readonly RunRef[] = [],
+    neverStarted: readonly RunRef[] = [],
   ): boolean {
-    this.crashes.handleNeverStartedRuns(neverBegun);
-    if (overInMs !== undefined) this.watch.recordSilence(host, overInMs);
+    this.crashTracker.handleNeverStartedRuns(neverStarted);
+    if (overInMs !== undefined) this.hostMonitor.recordSilence(host, overInMs);
     if (this.nextTickAt() < this.tickAt) this.schedule();
     return this.options.mayDecide();
   }
 
-  /** Takes a host's report. */
+  /** Processes a host's report and returns the lease for its worker. */
   handleReport(
     host: HostId,
     zone: AvailabilityZone,
@@ -299,83 +312,93 @@
   ): Grant {
     const { clock, gate, logger } = this.options;
     const now = clock.monotonic();
-    const entry = this.intake.getOrRegister(host, zone, report, now);
-    const { ledger } = entry;
-    this.crashes.recordUnreportedEnds(report.unheardEnds ?? []);
-    if (ledger.instance !== report.worker.instance) {
-      this.watch.replaceWorker(entry, report);
-      this.intake.addToRoster(entry);
+    const entry = this.registrar.getOrRegister(host, zone, report, now);
+    const { hostState } = entry;
+    this.crashTracker.recordUnreportedEnds(report.unheardEnds ?? []);
+    if (hostState.instance !== report.worker.instance) {
+      this.hostMonitor.replaceWorker(entry, report);
+      this.registrar.addToRoster(entry);
     }
-    if (ledger.reportedAt !== undefined && report.at <= ledger.reportedAt) {
-      // The worker has not answered since: nothing is known anew.
+    if (
+      hostState.reportedAt !== undefined &&
+      report.at <= hostState.reportedAt
+    ) {
+      // The worker has not answered since the last report, so this one contains nothing
+      // new.
       logger.warn("report.stale", { host, at: report.at });
-      return { acknowledged: ledger.acknowledgedEnds };
+      return { acknowledged: hostState.acknowledgedEnds };
     }
-    this.noteFormerStarts(entry, report, now);
-    this.crashes.handleReportedLosses(host, report.lostRuns);
-    this.crashes.handleNeverStartedRuns(report.neverBegun ?? []);
-    this.intake.updateWorker(entry, report);
-    this.takeChanges(entry, reconcileReport(ledger, report, now));
-    const tasks = [...ledger.runs.values()].map(({ task }) => task);
+    this.recordPreviousStarts(entry, report, now);
+    this.crashTracker.handleReportedLosses(host, report.lostRuns);
+    this.crashTracker.handleNeverStartedRuns(report.neverBegun ?? []);
+    this.registrar.updateWorker(entry, report);
+    this.applyChanges(entry, reconcileReport(hostState, report, now));
+    const tasks = [...hostState.runs.values()].map(({ task }) => task);
     this.checkpoints.trackTasks(tasks);
-    learnInterference(ledger, this.interference, now);
+    learnInterference(hostState, this.interference, now);
     updateSlowness(entry, this.hosts, now);
-    // What is still to be listed may have ended under a former leader.
+    // Ends that are not listed yet may belong to runs that a previous leader started.
     if (report.hasMoreEnds) gate.clearSilence(host);
     else gate.recordReport(host);
     this.dispatcher.requestCycle();
-    this.intake.refreshRostered(entry);
+    this.registrar.refreshRostered(entry);
     this.dispatcher.runCycleIfOverdue();
     return this.grant(entry, report, now);
   }
 
-  /** A lease for a host that the store keeps, while this process may decide. */
+  /**
+   * Grants a lease if the store has recorded the host's worker and this process may
+   * decide.
+   */
   private grant(
-    { ledger, rostered }: HostEntry,
+    { hostState, rostered }: HostEntry,
     report: HostReport,
     now: number,
   ): Grant {
     const { mayDecide, leaseMs } = this.options;
-    const acknowledged = ledger.acknowledgedEnds;
+    const acknowledged = hostState.acknowledgedEnds;
     if (!mayDecide() || !rostered) return { acknowledged };
-    ledger.recordGrant(latestLeaseExpiry(now, leaseMs));
+    hostState.recordGrant(latestLeaseExpiry(now, leaseMs));
     return {
       leaseUntil: (report.at + leaseMs) as WorkerTime,
       acknowledged,
-      disturbances: disturbancesFor(ledger, this.interference),
+      disturbances: disturbancesFor(hostState, this.interference),
     };
   }
 
-  /** Such a start brings a lease by the clock of another life, so it may be the longest. */
-  private noteFormerStarts(
-    { ledger }: HostEntry,
+  /**
+   * Such a start carries a lease by the clock of another incarnation, so it may expire
+   * later than every other lease.
+   */
+  private recordPreviousStarts(
+    { hostState }: HostEntry,
     { formerStartsForMs = 0 }: HostReport,
     now: Monotonic,
   ): void {
     if (formerStartsForMs === 0) return;
     const latestAt = now + formerStartsForMs;
-    ledger.recordPreviousStarts(
+    hostState.recordPreviousStarts(
       latestLeaseExpiry(latestAt, this.options.leaseMs),
     );
   }
 
-  private takeChanges(entry: HostEntry, changes: ReportChanges): void {
-    const { ledger } = entry;
+  private applyChanges(entry: HostEntry, changes: ReportChanges): void {
+    const { hostState } = entry;
     for (const run of changes.vanished) {
       this.options.logger.warn("task.vanished", {
         task: run.task.id,
         run: run.run,
-        host: ledger.host,
+        host: hostState.host,
         phase: run.phase,
       });
-      this.runs.returnRun(entry, run, "vanished");
+      this.runStarter.returnRun(entry, run, "vanished");
     }
     this.adopter.adopt(entry, changes.unknown);
-    this.ends.handleEnds(entry, changes.ended);
-    this.stops.orderDueStops(entry);
+    this.endHandler.handleEnds(entry, changes.ended);
+    this.runStopper.orderDueStops(entry);
   }
 
-  /** Sets the next tick, in place of one that is due later. */
+  /** Schedules the next tick and replaces one that is due later. */
   private schedule(): void {
     const { clock } = this.options;
     this.timer?.cancel();
@@ -385,23 +408,29 @@
     this.timer = clock.after(dueAt - clock.monotonic(), () => {
       if (this.stopped) return;
       this.lastTickAt = clock.monotonic();
-      this.noteLateness(this.lastTickAt - dueAt);
+      this.recordLateness(this.lastTickAt - dueAt);
       this.tick();
       this.schedule();
     });
   }
 
-  /** When a host's leases are over its tasks may start elsewhere, so no tick comes later. */
+  /**
+   * Computes when the next tick is due: no later than the expiry of a host's leases,
+   * because its tasks may then start elsewhere.
+   */
   private nextTickAt(): Monotonic {
     const now = this.options.clock.monotonic();
-    const overBy = Math.max(now, this.watch.nextLeaseExpiry());
-    const leastAt = this.lastTickAt + ENGINE.minCycleIntervalMs;
-    const soonest = Math.max(leastAt, overBy + ENGINE.timerResolutionMs);
-    return Math.min(now + ENGINE.tickMs, soonest);
+    const expiresBy = Math.max(now, this.hostMonitor.nextLeaseExpiry());
+    const earliestAt = this.lastTickAt + ENGINE.minCycleIntervalMs;
+    const dueAt = Math.max(earliestAt, expiresBy + ENGINE.timerResolutionMs);
+    return Math.min(now + ENGINE.tickMs, dueAt);
   }
 
-  /** Tells how late the timers of this process are: it may be short of processor time. */
-  private noteLateness(lateMs: number): void {
+  /**
+   * Records how late the timers of this process are. Late timers suggest that it lacks
+   * processor time.
+   */
+  private recordLateness(lateMs: number): void {
     const { logger, metrics } = this.options;
     metrics.latency("timer_lag").record(lateMs);
     if (lateMs < ENGINE.lateTimerMs) return;
@@ -409,8 +438,8 @@
   }
 
   private tick(): void {
-    this.watch.check();
-    this.waits.check();
+    this.hostMonitor.check();
+    this.waitMonitor.check();
     if (this.jobs.active.size > 0) this.dispatcher.requestCycle();
   }
 }
--- a/packages/scheduling/src/JobRegistry.ts
+++ b/packages/scheduling/src/JobRegistry.ts
@@ -1,4 +1,4 @@
-/** All jobs that the leader knows, and which of them may have tasks to start. */
+/** All jobs of the leader, and those that may have tasks to start. */
 
 import type { JobTaskId } from "@rackspan/common";
 import type { JobRun, JobTask } from "@rackspan/jobs";
@@ -6,7 +6,9 @@
 import type { TrackedJob } from "./engineTypes.js";
 
 export class JobRegistry {
-  /** Jobs that may have tasks to start; a pass drops those that have none. */
+  /**
+   * Jobs that may have tasks to start. A scheduling cycle removes those that have none.
+   */
   readonly active = new Set<TrackedJob>();
   private readonly entries = new Map<JobId, TrackedJob>();
 
@@ -14,35 +16,35 @@
     return this.entries.get(id);
   }
 
-  add(live: TrackedJob): void {
-    this.entries.set(live.job.id, live);
-    if (!live.job.isEnded) this.active.add(live);
+  add(tracked: TrackedJob): void {
+    this.entries.set(tracked.job.id, tracked);
+    if (!tracked.job.isEnded) this.active.add(tracked);
   }
 
   delete(id: JobId): void {
-    const live = this.entries.get(id);
-    if (!live) return;
+    const tracked = this.entries.get(id);
+    if (!tracked) return;
     this.entries.delete(id);
-    this.active.delete(live);
+    this.active.delete(tracked);
   }
 
   /** @returns whether the job may have tasks to start now */
   activate(job: JobRun): boolean {
-    const live = this.entries.get(job.id);
-    if (!live || job.isEnded) return false;
-    this.active.add(live);
+    const tracked = this.entries.get(job.id);
+    if (!tracked || job.isEnded) return false;
+    this.active.add(tracked);
     return true;
   }
 
   findTask(id: JobTaskId): JobTask | undefined {
     const position = parseTaskId(id);
-    const live = position && this.entries.get(position.job);
-    if (!live) return undefined;
+    const tracked = position && this.entries.get(position.job);
+    if (!tracked) return undefined;
     const { occurrence, step, index } = position;
-    return live.job.task(occurrence, step, index);
+    return tracked.job.task(occurrence, step, index);
   }
 
-  /** Jobs that ended before the given time, by the wall clock. */
+  /** Returns the jobs that ended before the given wall-clock time. */
   endedBefore(time: number): JobId[] {
     const ended: JobId[] = [];
     for (const { job } of this.entries.values()) {
--- a/packages/scheduling/src/LearnedStateStore.ts
+++ b/packages/scheduling/src/LearnedStateStore.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps in the store, at an interval, what this leader has learnt, and takes
- * over what the last one had: a new leader would disturb serving tasks for as
- * long as it takes to learn the pairs of images again.
+ * Persists learned state at an interval, and restores the state of the previous leader.
+ * Without it a new leader would disturb serving tasks until it has learned the pairs of
+ * images again.
  */
 
 import type { Clock, Logger, Timer } from "@rackspan/common";
@@ -13,8 +13,8 @@
 } from "@rackspan/state";
 import type { RuntimeEstimator } from "./RuntimeEstimator.js";
 
-/** Older records say nothing of what runs now, milliseconds. */
-const MAX_AGE_MS = 600_000;
+/** Older records do not describe the current workload, milliseconds. */
+const MAX_RECORD_AGE_MS = 600_000;
 
 export interface LearnedStateStoreOptions {
   readonly interference: InterferenceEstimator;
@@ -32,10 +32,10 @@
   constructor(private readonly options: LearnedStateStoreOptions) {}
 
   start(): void {
-    const { clock, intervalMs: everyMs } = this.options;
-    if (everyMs === 0) return;
-    this.timer = clock.after(everyMs, () => {
-      this.keep();
+    const { clock, intervalMs } = this.options;
+    if (intervalMs === 0) return;
+    this.timer = clock.after(intervalMs, () => {
+      this.persist();
       this.start();
     });
   }
@@ -44,20 +44,17 @@
     this.timer?.cancel();
   }
 
-  /** Takes what a former leader had learnt, where this one knows nothing yet. */
+  /**
+   * Restores what a previous leader has learned, where this one has learned nothing
+   * yet.
+   */
   restore(records: readonly LearnedRecord[]): void {
-    const {
-      interference,
-      estimates,
-      clock,
-      logger,
-      intervalMs: everyMs,
-    } = this.options;
-    if (everyMs === 0) return;
+    const { interference, estimates, clock, logger, intervalMs } = this.options;
+    if (intervalMs === 0) return;
     for (const record of records) {
       const age = learnedRecordAgeMs(record, clock.now());
       const taken =
-        age <= MAX_AGE_MS &&
+        age <= MAX_RECORD_AGE_MS &&
         (record.kind === "tail"
           ? interference.restore(record, age)
           : estimates.restore(record));
@@ -66,7 +63,7 @@
     }
   }
 
-  private keep(): void {
+  private persist(): void {
     const { interference, estimates, clock, write } = this.options;
     const now = clock.now();
     for (const record of interference.takeChanged(now)) write(record);
--- a/packages/scheduling/src/ProgressRecorder.ts
+++ b/packages/scheduling/src/ProgressRecorder.ts
@@ -1,4 +1,4 @@
-/** Keeps what changed of jobs, and only then lets workers forget their ends. */
+/** Persists changed jobs, and acknowledges ends to workers only afterwards. */
 
 import { describeError, type Logger } from "@rackspan/common";
 import type { JobRun, ProgressJournal } from "@rackspan/jobs";
@@ -10,21 +10,21 @@
 }
 
 export class ProgressRecorder {
-  private isLost = false;
+  private hasLoggedFailure = false;
 
   constructor(private readonly options: ProgressRecorderOptions) {}
 
   recordJob(job: JobRun): void {
     this.options.journal
       .persist(job)
-      .catch((err: unknown) => this.noteLost(err));
+      .catch((err: unknown) => this.logFailure(err));
   }
 
   /**
-   * Acknowledges the ends noted of the host so far once the jobs are kept.
+   * Acknowledges the processed ends of the host once the jobs are persisted.
    *
    * @param ended the jobs whose ends were listed
-   * @param changed those of them of which something new must be kept
+   * @param changed those of them whose progress has changed and must be persisted
    */
   recordEnds(
     entry: HostEntry,
@@ -32,26 +32,30 @@
     changed: ReadonlySet<JobRun>,
   ): void {
     const { journal } = this.options;
-    const { ledger } = entry;
-    const { instance, processedEnds: notedEnds } = ledger;
-    // An end that changes nothing waits for what its job has changed by: the same
-    // end may have been taken before, from an entry of the host that is gone.
+    const { hostState } = entry;
+    const { instance, processedEnds } = hostState;
+    // An end without changes still waits until earlier changes of its job are
+    // persisted: the same end may have been processed before, through an entry of the
+    // host that was removed.
     const writes = [...ended].map((job) =>
       changed.has(job) ? journal.persist(job) : journal.flushed(job),
     );
     entry.endsRecorded = Promise.all([entry.endsRecorded, ...writes]).then(
       () => {
-        if (ledger.instance !== instance) return;
-        ledger.acknowledgedEnds = Math.max(ledger.acknowledgedEnds, notedEnds);
-        entry.session?.acknowledge(instance, ledger.acknowledgedEnds);
+        if (hostState.instance !== instance) return;
+        hostState.acknowledgedEnds = Math.max(
+          hostState.acknowledgedEnds,
+          processedEnds,
+        );
+        entry.session?.acknowledge(instance, hostState.acknowledgedEnds);
       },
     );
-    entry.endsRecorded.catch((err: unknown) => this.noteLost(err));
+    entry.endsRecorded.catch((err: unknown) => this.logFailure(err));
   }
 
-  private noteLost(err: unknown): void {
-    if (this.isLost) return;
-    this.isLost = true;
+  private logFailure(err: unknown): void {
+    if (this.hasLoggedFailure) return;
+    this.hasLoggedFailure = true;
     this.options.logger.warn("journal.lost", { error: describeError(err) });
   }
 }
--- a/packages/scheduling/src/RunStarter.ts
+++ b/packages/scheduling/src/RunStarter.ts
@@ -1,4 +1,4 @@
-/** Orders hosts to start runs, and takes note of what they answer. */
+/** Orders hosts to start runs, and processes their answers. */
 
 import {
   describeError,
@@ -30,129 +30,138 @@
   readonly permitTracker: PermitTracker;
   /** Called when a task of the job waits again. */
   readonly onTaskWaiting: (job: JobRun) => void;
-  /** Called when the answer to an order shows that a run lost before it never began. */
+  /**
+   * Called when the answer to an order shows that a run that was counted as lost never
+   * started.
+   */
   readonly onNeverStarted: (run: ActiveRun) => void;
 }
 
-/** How a run is to begin. */
+/** Options for the start of a run. */
 export interface RunStartOptions {
-  /** The step's permit for the host, where its queue asks for one. */
+  /** The step's permit for the host, if its queue requires one. */
   readonly ticket: string | undefined;
-  /** For how long no other run begins beside it, milliseconds. */
+  /** For how long no other run may start on the same host, milliseconds. */
   readonly isolationMs: number;
 }
 
-/** What an order to start says beside the task. */
-interface StartTerms {
-  /** The step's permit for the host, where its queue asks for one. */
+/** Fields of a start order beside the task. */
+interface StartOrderFields {
+  /** The step's permit for the host, if its queue requires one. */
   readonly ticket: string | undefined;
-  /** Pace at which the task begins, percent. */
+  /** Pace at which the task starts, percent. */
   readonly firstPercent: number;
 }
 
-/** What came of an order to start. */
+/** Result of a start order. */
 interface StartAnswer {
   readonly result: HostCallResult;
   readonly sentAt: Monotonic;
-  /** Whether the run still waited for it. */
+  /** Whether the run was still waiting for the answer. */
   readonly isAwaited: boolean;
 }
 
-/** Answers to an order that tell that its run has not begun, and never will. */
-const NOT_BEGUN: readonly HostCallResult["kind"][] = [
+/** Answers to a start order which show that the run has not started and never will. */
+const NEVER_STARTED: readonly HostCallResult["kind"][] = [
   "refused",
   "replaced",
   "draining",
 ];
 
 export class RunStarter {
-  private started = 0;
+  private startedRuns = 0;
 
   constructor(private readonly options: RunStarterOptions) {}
 
   nextRunNumber(): RunNumber {
-    this.started += 1;
+    this.startedRuns += 1;
     const { epoch } = this.options;
-    return (epoch * ENGINE.runsPerEpoch + this.started) as unknown as RunNumber;
+    return (epoch * ENGINE.runsPerEpoch +
+      this.startedRuns) as unknown as RunNumber;
   }
 
   start(
     host: HostEntry,
     task: JobTask,
-    number: RunNumber,
-    { ticket, isolationMs: apartMs }: RunStartOptions,
+    runNumber: RunNumber,
+    { ticket, isolationMs }: RunStartOptions,
   ): void {
     const { clock, hosts, leaseMs } = this.options;
     const now = clock.monotonic();
-    const { ledger } = host;
-    const orderMs = Math.min(ENGINE.startLeaseMs, leaseMs);
+    const { hostState } = host;
+    const orderLeaseMs = Math.min(ENGINE.startLeaseMs, leaseMs);
     const run: ActiveRun = {
       task,
-      run: number,
+      run: runNumber,
       phase: "starting",
       startedAt: now,
-      isolationMs: apartMs,
+      isolationMs,
       firstSeenAt: undefined,
       lastSeenAt: undefined,
-      orderExpiresAt: (workerClock(ledger, now) + orderMs) as WorkerTime,
+      orderExpiresAt: (workerTimeAt(hostState, now) +
+        orderLeaseMs) as WorkerTime,
       progressPercent: 0,
       progressedAt: now,
       reading: 0,
       crawlingSince: undefined,
       stop: undefined,
     };
-    // Told before the run is in the ledger: the forecast counts what is there.
-    const firstPercent = this.firstPercent(ledger, task);
+    // Computed before the run is added to the host, because the forecast counts the
+    // runs that are placed there.
+    const firstPercent = this.firstPercent(hostState, task);
     if (!hosts.place(host, run)) {
       this.logAlreadyPlaced(host, run);
       return;
     }
-    ledger.recordOrder(latestLeaseExpiry(now, orderMs));
+    hostState.recordOrder(latestLeaseExpiry(now, orderLeaseMs));
     void this.orderStart(host, run, { ticket, firstPercent });
   }
 
   /**
-   * Frees a run that does not run and never will, and lets its task wait again.
-   * @param reason what showed that it never will, for logs
+   * Releases a run that is not running and never will, so that its task waits again.
+   * @param reason what showed that the run will never start, for logs
    */
   returnRun(host: HostEntry, run: ActiveRun, reason: string): void {
-    this.logGivenBack(host, run, reason);
+    this.logReturned(host, run, reason);
     if (!this.options.hosts.release(host, run)) return;
     const { task } = run;
     if (task.writeAheadRun === run.run) task.writeAheadRun = undefined;
     this.notifyWaiting(task);
   }
 
-  /** A task has no run any more: it may have its next one. */
+  /** Notifies the engine that the task has no run any more and may get its next one. */
   notifyWaiting(task: JobTask): void {
     this.options.onTaskWaiting(task.step.job);
   }
 
-  /** Tells which run the task has at that moment: it should be the one given back. */
-  private logGivenBack(host: HostEntry, run: ActiveRun, reason: string): void {
+  /**
+   * Logs the returned run and the run that the task has at that moment. They should be
+   * the same.
+   */
+  private logReturned(host: HostEntry, run: ActiveRun, reason: string): void {
     const { logger, metrics } = this.options;
     metrics.count("runs_given_back", { reason });
     const { phase } = run;
-    const fields = { ...this.whereabouts(host, run), reason, phase };
+    const fields = { ...this.placementFields(host, run), reason, phase };
     logger.info("task.given-back", fields);
   }
 
-  /** Only a fault of the caller's: waiting tasks have no run. */
+  /** Only a bug in the caller leads here, since a waiting task has no run. */
   private logAlreadyPlaced(host: HostEntry, run: ActiveRun): void {
     const { logger, metrics } = this.options;
     metrics.count("starts_beside_a_run");
-    logger.error("task.already-placed", this.whereabouts(host, run));
+    logger.error("task.already-placed", this.placementFields(host, run));
   }
 
-  /** A run, and the one that its task has at that moment. */
-  private whereabouts({ ledger }: HostEntry, { task, run }: ActiveRun) {
+  /** Log fields of a run and of the run that its task has at that moment. */
+  private placementFields({ hostState }: HostEntry, { task, run }: ActiveRun) {
     const current = this.options.hosts.placementOf(task);
     return {
       task: task.id,
       run,
-      host: ledger.host,
+      host: hostState.host,
       currentRun: current?.run.run,
-      currentHost: current?.host.ledger.host,
+      currentHost: current?.host.hostState.host,
     };
   }
 
@@ -167,57 +176,64 @@
   private async orderStart(
     host: HostEntry,
     run: ActiveRun,
-    terms: StartTerms,
+    orderFields: StartOrderFields,
   ): Promise<void> {
     const { clock, metrics } = this.options;
     const sentAt = clock.monotonic();
-    const result = await this.callStart(host, run, terms);
+    const result = await this.callStart(host, run, orderFields);
     metrics.latency("task_start").record(clock.monotonic() - sentAt);
     metrics.count("task_starts", { result: result.kind });
     const isAwaited = this.awaitsAnswer(run);
     this.logStart(host, run, { result, sentAt, isAwaited });
-    if (isAwaited) this.noteStartResult(host, run, result);
-    else if (NOT_BEGUN.includes(result.kind)) this.options.onNeverStarted(run);
+    if (isAwaited) this.applyStartResult(host, run, result);
+    else if (NEVER_STARTED.includes(result.kind))
+      this.options.onNeverStarted(run);
   }
 
-  /** An order without an answer is taken as one to a silent worker. */
+  /**
+   * Sends the start order. An order without an answer is treated like one to a silent
+   * worker.
+   */
   private async callStart(
-    { ledger, session }: HostEntry,
-    { task, run, orderExpiresAt: orderLapsesAt }: ActiveRun,
-    terms: StartTerms,
+    { hostState, session }: HostEntry,
+    { task, run, orderExpiresAt }: ActiveRun,
+    orderFields: StartOrderFields,
   ): Promise<HostCallResult> {
     const { epoch, logger } = this.options;
     try {
       if (!session) throw new Error("the host is not attached");
       return await session.startTask({
-        instance: ledger.instance,
+        instance: hostState.instance,
         epoch,
         task: task.id,
         run,
         spec: task.step.job.accepted.spec.payload,
-        leaseUntil: orderLapsesAt,
+        leaseUntil: orderExpiresAt,
         checkpoint: task.checkpoint,
-        ...terms,
+        ...orderFields,
         nature: natureOf(task),
       });
     } catch (err) {
       logger.warn("task.start-unanswered", {
         task: task.id,
         run,
-        host: ledger.host,
+        host: hostState.host,
         error: describeError(err),
       });
       return { kind: "silent" };
     }
   }
 
-  /** Whether an answer decides on the run; one that was lost meanwhile has been settled. */
+  /**
+   * Whether the answer still decides on the run. A run that was lost in the meantime
+   * has been handled already.
+   */
   private awaitsAnswer(run: ActiveRun): boolean {
     return this.options.hosts.isCurrent(run) && run.phase === "starting";
   }
 
   private logStart(
-    { ledger }: HostEntry,
+    { hostState }: HostEntry,
     { task, run }: ActiveRun,
     { result, sentAt, isAwaited }: StartAnswer,
   ): void {
@@ -225,17 +241,17 @@
     logger.info("task.start", {
       task: task.id,
       run,
-      host: ledger.host,
+      host: hostState.host,
       result: result.kind,
       reason: result.kind === "refused" ? result.reason : undefined,
       checkpoint: task.checkpoint === "" ? undefined : task.checkpoint,
-      reportAge: Math.round(sentAt - ledger.reportReceivedAt),
+      reportAge: Math.round(sentAt - hostState.reportReceivedAt),
       tookMs: Math.round(clock.monotonic() - sentAt),
       passedOver: isAwaited ? undefined : true,
     });
   }
 
-  private noteStartResult(
+  private applyStartResult(
     host: HostEntry,
     run: ActiveRun,
     result: HostCallResult,
@@ -255,38 +271,39 @@
         return;
       case "refused":
         if (result.reason === "unhealthy")
-          avoidHost(run.task, host.ledger.host);
+          avoidHost(run.task, host.hostState.host);
         this.pauseAfterRefusal(host, run, result.reason);
         this.returnRun(host, run, `start-${result.reason}`);
         return;
     }
   }
 
-  /** A host that refuses is left alone, unless only the step's ticket is refused. */
+  /** Pauses a host that refuses a start, unless it refuses only the step's ticket. */
   private pauseAfterRefusal(
     host: HostEntry,
     { task }: ActiveRun,
     reason: StartRefusal,
   ): void {
-    const { clock, permitTracker: permitBook } = this.options;
+    const { clock, permitTracker } = this.options;
     if (reason !== "bad-ticket") {
       this.pauseHost(host);
       return;
     }
-    permitBook.discardTicket(task.step, host.ledger);
+    permitTracker.discardTicket(task.step, host.hostState);
     task.step.heldUntil = clock.monotonic() + ENGINE.badTicketPauseMs;
   }
 
   /**
-   * Until the next report the leader cannot know better, and the next pass would
-   * order the same there, some tasks several times before that report.
+   * Pauses starts on the host. Until its next report the leader has no newer state of
+   * the host, and the next scheduling cycle would send the same order again, for some
+   * tasks several times before that report.
    */
-  private pauseHost({ ledger }: HostEntry): void {
+  private pauseHost({ hostState }: HostEntry): void {
     const { clock } = this.options;
-    ledger.pausedUntil = clock.monotonic() + ENGINE.refusedPauseMs;
+    hostState.pausedUntil = clock.monotonic() + ENGINE.refusedPauseMs;
   }
 }
 
-/** The worker's clock as it can be told from its last report. */
-const workerClock = (ledger: HostState, now: number): number =>
-  Math.floor((ledger.reportedAt ?? 0) + (now - ledger.reportReceivedAt));
+/** Returns the worker's clock, extrapolated from its last report. */
+const workerTimeAt = (hostState: HostState, now: number): number =>
+  Math.floor((hostState.reportedAt ?? 0) + (now - hostState.reportReceivedAt));
--- a/packages/scheduling/src/RunStopper.ts
+++ b/packages/scheduling/src/RunStopper.ts
@@ -1,4 +1,7 @@
-/** Orders hosts to stop runs, until the worker has confirmed it or the run is gone. */
+/**
+ * Orders hosts to stop runs, until the worker has confirmed the stop or the run is
+ * gone.
+ */
 
 import { describeError } from "@rackspan/common";
 import {
@@ -14,7 +17,10 @@
 export class RunStopper {
   constructor(private readonly options: EngineOptions) {}
 
-  /** Orders a stop; its room is taken until the worker lists the end. */
+  /**
+   * Orders a stop. The resources of the run stay allocated until the worker lists its
+   * end.
+   */
   stop(host: HostEntry, run: ActiveRun, reason: string): void {
     if (run.stop) return;
     run.phase = "stopping";
@@ -23,27 +29,29 @@
     void this.orderStop(host, runRefOf(run), run.stop);
   }
 
-  /** Orders the stops that have not arrived, or that the worker has not carried out. */
+  /**
+   * Repeats stop orders that have not arrived, or that the worker has not carried out.
+   */
   orderDueStops(host: HostEntry): void {
     const { clock, stopMs } = this.options;
     const now = clock.monotonic();
     const times = { answerMs: ENGINE.orderTimeoutMs, stopMs };
-    for (const run of host.ledger.stopping) {
+    for (const run of host.hostState.stopping) {
       if (isStopDue(run, now, times)) {
         void this.orderStop(host, run.ref, run.stop);
       }
     }
   }
 
-  /** Without a connection the stop stays due. */
+  /** Sends the order. Without a session the stop stays due. */
   private async orderStop(
-    { ledger, session }: HostEntry,
+    { hostState, session }: HostEntry,
     ref: RunRef,
     stop: StopOrder,
   ): Promise<void> {
     const { clock, epoch, logger } = this.options;
     if (!session) return;
-    const { host, instance } = ledger;
+    const { host, instance } = hostState;
     const { reason } = stop;
     const sentAt = clock.monotonic();
     stop.sentAt = sentAt;
@@ -57,7 +65,7 @@
       const error = describeError(err);
       logger.warn("task.stop-unanswered", { ...ref, host, reason, error });
     }
-    // A later order may be on its way by now, on another connection.
+    // A later order may have been sent in the meantime, over another connection.
     if (stop.sentAt === sentAt) stop.sentAt = undefined;
   }
 }
--- a/packages/scheduling/src/byUtilityOrder.ts
+++ b/packages/scheduling/src/byUtilityOrder.ts
@@ -1,10 +1,9 @@
 /**
- * By priority, then by what a job can still be worth to its callers for each
- * core-second of it that has no place yet. A step of many tasks is thus finished once
- * it has begun, and a large job does not wait behind all small ones until it is late
- * and its work of no use to anybody.
+ * Sorts by priority, then by the job's remaining utility per core-second of its
+ * unplaced work. So a step with many tasks is finished once it has started, and a large
+ * job does not wait behind all small ones until it is too late to be of use.
  *
- * Answers bulk work past what a site can do.
+ * Meant for bulk work that exceeds the capacity of a site.
  */
 
 import type { Instant } from "@rackspan/common";
@@ -23,26 +22,31 @@
   type StepOrderOptions,
 } from "./stepOrders.js";
 
-/** What a job is worth, in jobs of its queue that have the mean work (users' pages, "Credit"). */
-const WORTH = {
-  /** Whatever its work. */
+/**
+ * Utility of a job, in units of a job of its queue with the mean work (users' pages,
+ * "Credit").
+ */
+const UTILITY = {
+  /** Part that does not depend on the work. */
   fixed: 0.3,
-  /** For work like the mean, and in proportion to it. */
-  byWork: 0.7,
-  most: 4,
+  /** Part that is proportional to the work, for a job with the mean work. */
+  proportional: 0.7,
+  max: 4,
 } as const;
 
-/** Worth of an end by when it can be, where 1 is an end in time. */
-const WORTH_OF_HOPE: Readonly<Record<DeadlineFeasibility, number>> = {
+/**
+ * Share of the utility that is left by deadline feasibility, where 1 is an end in time.
+ */
+const REMAINING_UTILITY: Readonly<Record<DeadlineFeasibility, number>> = {
   [DeadlineFeasibility.InTime]: 1,
   [DeadlineFeasibility.Late]: 0.15,
   [DeadlineFeasibility.TooLate]: 0,
 };
 
-/** Estimates of nothing are taken as this much, core-milliseconds. */
-const LEAST_WORK = 1;
+/** Minimum estimate of work, core-milliseconds. */
+const MIN_WORK = 1;
 
-/** Mean work of the jobs of one queue, as far as this leader has seen them. */
+/** Mean work of the jobs of one queue that this leader has seen. */
 interface MeanWork {
   jobs: number;
   total: number;
@@ -59,24 +63,27 @@
 
   sort(candidates: readonly Candidate[], now: Instant): readonly Candidate[] {
     const density = new Map<JobRun, number>();
-    for (const { job } of candidates) this.noteWork(job);
+    for (const { job } of candidates) this.recordWork(job);
     for (const { job } of candidates) {
       if (!density.has(job)) density.set(job, this.densityOf(job));
     }
     return sortByKeys(candidates, (candidate) => [
       candidate.job.terms.priority,
       candidate.step.spec.lasting ? 0 : 1,
-      -this.hopeWorth(candidate, now) * (density.get(candidate.job) ?? 0),
+      -this.remainingUtility(candidate, now) *
+        (density.get(candidate.job) ?? 0),
       -(density.get(candidate.job) ?? 0),
       candidate.step.number,
     ]);
   }
 
-  private hopeWorth(candidate: Candidate, now: Instant): number {
-    return WORTH_OF_HOPE[deadlineFeasibilityOf(candidate, this.estimates, now)];
+  private remainingUtility(candidate: Candidate, now: Instant): number {
+    return REMAINING_UTILITY[
+      deadlineFeasibilityOf(candidate, this.estimates, now)
+    ];
   }
 
-  private noteWork(job: JobRun): void {
+  private recordWork(job: JobRun): void {
     if (this.seen.has(job)) return;
     this.seen.add(job);
     const { queue } = job.accepted.spec;
@@ -86,14 +93,14 @@
     this.means.set(queue, mean);
   }
 
-  /** Worth for each core-millisecond that has no place yet. */
+  /** Returns the utility per core-millisecond of unplaced work. */
   private densityOf(job: JobRun): number {
-    const { fixed, byWork, most } = WORTH;
+    const { fixed, proportional, max } = UTILITY;
     const mean = this.means.get(job.accepted.spec.queue);
-    const meanWork = Math.max(LEAST_WORK, mean ? mean.total / mean.jobs : 0);
+    const meanWork = Math.max(MIN_WORK, mean ? mean.total / mean.jobs : 0);
     const size = this.estimates.totalWork(job) / meanWork;
-    const worth = Math.min(most, fixed + byWork * size);
-    return worth / Math.max(LEAST_WORK, this.estimates.unplacedWork(job));
+    const utility = Math.min(max, fixed + proportional * size);
+    return utility / Math.max(MIN_WORK, this.estimates.unplacedWork(job));
   }
 }
 
--- a/packages/scheduling/src/deadlineFeasibility.ts
+++ b/packages/scheduling/src/deadlineFeasibility.ts
@@ -1,11 +1,17 @@
-/** What a job can still earn its callers, by the time that it needs at the least. */
+/**
+ * Classifies whether a job can still end within its objective, given the least time
+ * that it still needs.
+ */
 
 import type { Instant } from "@rackspan/common";
 import type { RuntimeEstimator } from "./RuntimeEstimator.js";
 import type { Candidate } from "./stepOrders.js";
 
-/** A job that ends later than this many times its objective earns nothing. */
-const WORTHLESS_AFTER = 3;
+/**
+ * A job that ends later than this many times its objective has no utility to its
+ * caller.
+ */
+const TOO_LATE_FACTOR = 3;
 
 /** Lower is better. */
 export const enum DeadlineFeasibility {
@@ -26,7 +32,7 @@
   const leftMs = estimates.remainingChainMs(job, step.occurrence);
   const endsAfterMs = now + leftMs - job.dueAt(step.occurrence);
   if (endsAfterMs <= objectiveMs) return DeadlineFeasibility.InTime;
-  return endsAfterMs <= WORTHLESS_AFTER * objectiveMs
+  return endsAfterMs <= TOO_LATE_FACTOR * objectiveMs
     ? DeadlineFeasibility.Late
     : DeadlineFeasibility.TooLate;
 };
--- a/packages/scheduling/src/learnInterference.ts
+++ b/packages/scheduling/src/learnInterference.ts
@@ -1,4 +1,7 @@
-/** Feeds what a host reported into the book of interference, and tells its side what is known. */
+/**
+ * Feeds a host's readings into the interference estimator, and selects the weights that
+ * are sent to its side.
+ */
 
 import {
   groupBy,
@@ -16,40 +19,40 @@
 import type { ImageName } from "@rackspan/state";
 
 const FULL_PROGRESS = 100;
-/** Weights are told to three decimal places. */
-const TOLD_STEPS = 1_000;
-/** The least share that a tail is taken as; below it differences mean nothing. */
-const LEAST_TAIL = 0.05;
-/** Weaker pairs are not worth telling. */
-const LEAST_TOLD_WEIGHT = 0.01;
+/** Weights are sent with three decimal places. */
+const WEIGHT_STEPS = 1_000;
+/** Minimum tail as a share of its target; differences below it are noise. */
+const MIN_TAIL_SHARE = 0.05;
+/** Pairs with lower weights are not sent. */
+const MIN_SENT_WEIGHT = 0.01;
 
-/** Reads the runs of the ledger as the last report left them. */
+/** Reads the host's runs as of its last report. */
 export const learnInterference = (
-  ledger: HostState,
-  book: InterferenceEstimator,
+  hostState: HostState,
+  estimator: InterferenceEstimator,
   now: Monotonic,
 ): void => {
-  const runs = [...ledger.runs.values()];
+  const runs = [...hostState.runs.values()];
   const usedCores = usedCoresOf(runs);
   const tails = new Map<ImageName, number>();
   for (const [image, serving] of groupBy(runs.filter(hasTail), imageOf)) {
     const readings = serving.map(logarithmOfTail);
     const mean = readings.reduce((a, b) => a + b) / readings.length;
-    const tasks = serving.length;
-    book.learn(image, {
+    const taskCount = serving.length;
+    estimator.learn(image, {
       at: now,
       tail: mean,
-      taskCount: tasks,
+      taskCount,
       colocatedCores: usedCores,
     });
     tails.set(image, Math.max(...readings));
   }
-  ledger.readings = { tails, usedCores };
+  hostState.readings = { tails, usedCores };
 };
 
 const imageOf = ({ task }: ActiveRun): ImageName => task.step.spec.image;
 
-/** Cores in use by the filling ones of the runs, by image. */
+/** Returns the cores that the filling runs use, by image. */
 const usedCoresOf = (runs: readonly ActiveRun[]): FillingCores => {
   const usedCores = new Map<ImageName, number>();
   for (const run of runs) {
@@ -60,29 +63,30 @@
   return usedCores;
 };
 
-/** Tasks that are still warming up have no tail of their own yet. */
+/** Tasks that are still warming up have no valid tail latency yet. */
 const hasTail = ({ task, progressPercent }: ActiveRun): boolean =>
   natureOf(task).kind === "serving" && progressPercent >= FULL_PROGRESS;
 
-/** Logarithm of the tail as a share of its target. */
+/** Returns the natural logarithm of the tail as a share of its target. */
 const logarithmOfTail = ({ task, reading }: ActiveRun): number => {
   const tail = reading / task.step.spec.tailTargetMs;
-  return Math.log(Math.max(LEAST_TAIL, tail));
+  return Math.log(Math.max(MIN_TAIL_SHARE, tail));
 };
 
-/** What is known of the images that run there now. */
+/** Returns the learned weights of the pairs of images that run on the host now. */
 export const disturbancesFor = (
-  ledger: HostState,
-  book: InterferenceEstimator,
+  hostState: HostState,
+  estimator: InterferenceEstimator,
 ): InterferenceWeight[] => {
-  const told: InterferenceWeight[] = [];
-  for (const serving of ledger.servingImages) {
-    for (const filling of ledger.fillingCores.keys()) {
+  const weights: InterferenceWeight[] = [];
+  for (const serving of hostState.servingImages) {
+    for (const filling of hostState.fillingCores.keys()) {
       const weight =
-        Math.round(book.weight(serving, filling) * TOLD_STEPS) / TOLD_STEPS;
-      if (weight < LEAST_TOLD_WEIGHT) continue;
-      told.push({ serving, filling, weight });
+        Math.round(estimator.weight(serving, filling) * WEIGHT_STEPS) /
+        WEIGHT_STEPS;
+      if (weight < MIN_SENT_WEIGHT) continue;
+      weights.push({ serving, filling, weight });
     }
   }
-  return told;
+  return weights;
 };
--- a/packages/scheduling/src/pickIsolatedHost.ts
+++ b/packages/scheduling/src/pickIsolatedHost.ts
@@ -1,53 +1,60 @@
-/** Chooses where a task that may crash its worker starts. */
+/** Chooses the host for a task that may crash its worker. */
 
 import { isSettled, type HostState, type JobTask } from "@rackspan/jobs";
 import type { HostEntry } from "./engineTypes.js";
 import type { TaskPlacer } from "./taskPlacers.js";
 
 /**
- * Whether one host more may be kept for a suspected task alone: after the loss of
- * a rack many tasks are suspected, and the others need hosts to start on. A task that
- * has waited for long leaves them one: with all hosts held, jobs that nobody
- * suspects would wait for as long as suspects come.
+ * Whether one more host may be reserved for an isolated start. After the loss of a rack
+ * many tasks are suspect, and the others need hosts, too. A task that has waited for
+ * long must leave them one: if all hosts were reserved, jobs without suspect tasks
+ * would wait for as long as new suspects arrive.
  *
- * @param open hosts of the service that take new tasks
+ * @param openHosts hosts of the service that accept new tasks
  */
 export const mayIsolate = (
-  open: readonly HostState[],
+  openHosts: readonly HostState[],
   all: Iterable<HostEntry>,
   hasWaitedLong: boolean,
 ): boolean => {
-  const [host] = open;
+  const [host] = openHosts;
   if (!host) return false;
   const { service } = host.worker;
-  const held = [...all].filter(
-    ({ ledger }) => ledger.hasIsolatedRun && ledger.worker.service === service,
+  const reserved = [...all].filter(
+    ({ hostState }) =>
+      hostState.hasIsolatedRun && hostState.worker.service === service,
   );
-  if (held.length === 0) return true;
-  return hasWaitedLong ? open.length > 1 : held.length < open.length;
+  if (reserved.length === 0) return true;
+  return hasWaitedLong
+    ? openHosts.length > 1
+    : reserved.length < openHosts.length;
 };
 
 export interface IsolatedHostOptions {
   readonly task: JobTask;
-  /** Hosts that take new tasks; those without room are among them. */
-  readonly open: readonly HostState[];
+  /** Hosts that accept new tasks, including those without free resources. */
+  readonly openHosts: readonly HostState[];
   readonly placer: TaskPlacer;
   /** See TaskPlacer. */
   readonly mustPlace: boolean;
 }
 
 /**
- * The allowed host where the fewest runs have just begun, then where the fewest
- * are: its crash can be told from theirs, and takes the fewest along.
+ * Returns the allowed host with the fewest young runs, then with the fewest runs: there
+ * a crash is attributed most reliably, and the fewest other runs are lost.
  */
 export const pickIsolatedHost = ({
   task,
-  open,
+  openHosts,
   placer,
   mustPlace,
 }: IsolatedHostOptions): HostState | undefined => {
-  const ranked = open
-    .map((host) => ({ host, young: youngRuns(host), runs: host.runs.size }))
+  const ranked = openHosts
+    .map((host) => ({
+      host,
+      young: countYoungRuns(host),
+      runs: host.runs.size,
+    }))
     .sort((a, b) => a.young - b.young || a.runs - b.runs);
   for (const { host } of ranked) {
     if (placer.pick(task, [host], mustPlace)) return host;
@@ -55,5 +62,5 @@
   return undefined;
 };
 
-const youngRuns = ({ runs }: HostState): number =>
+const countYoungRuns = ({ runs }: HostState): number =>
   [...runs.values()].filter((run) => !isSettled(run)).length;
--- a/packages/scheduling/src/spreadPlacer.ts
+++ b/packages/scheduling/src/spreadPlacer.ts
@@ -1,6 +1,7 @@
 /**
- * Keeps replicas of one declaration apart, first by zone, then rack, then host;
- * among equals takes the emptiest host. Jobs have no replicas and go by room.
+ * Spreads replicas of one declaration: prefers another zone, then another rack, then
+ * another host, and among equal hosts the emptiest. Jobs have no replicas and are
+ * placed by free resources alone.
  */
 
 import type { HostView, Placer } from "@rackspan/jobs";
@@ -16,7 +17,7 @@
 const RACK_WEIGHT = 10;
 const HOST_WEIGHT = 100;
 
-class Census {
+class ReplicaCounts {
   readonly byHost = new Map<string, number>();
   readonly byRack = new Map<string, number>();
   readonly byZone = new Map<string, number>();
@@ -26,8 +27,8 @@
       const running = tasks.filter(
         ({ unit, state }) => state !== "ended" && unit.startsWith(family),
       ).length;
-      const coming = placing.filter((unit) => unit.startsWith(family)).length;
-      const count = running + coming;
+      const pending = placing.filter((unit) => unit.startsWith(family)).length;
+      const count = running + pending;
       if (count === 0) continue;
       add(this.byHost, host, count);
       add(this.byRack, rack, count);
@@ -54,10 +55,10 @@
     if (unit.spec.kind === "job") {
       return sortByScore(fitting, (host) => -freeShare(host));
     }
-    const census = new Census(replicaGroupOf(unit), hosts);
+    const counts = new ReplicaCounts(replicaGroupOf(unit), hosts);
     return sortByScore(
       fitting,
-      (host) => census.crowding(host) - freeShare(host),
+      (host) => counts.crowding(host) - freeShare(host),
     );
   }
 }
