--- a/packages/entry/src/AttemptLoop.ts
+++ b/packages/entry/src/AttemptLoop.ts
@@ -381,7 +381,7 @@
       reason: REASON.NO_ENDPOINT,
       outcome: "not-run",
       detail: `no endpoint of ${request.service} is in service`,
-      remedy: "retry after the time given; operators: see rackspan status",
+      remedy: "retry after the time given; operators see rackspan status",
     };
   }
   const isLate = cancellation.reason === "deadline";
@@ -392,7 +392,7 @@
     outcome: mayHaveRun ? "unknown" : "not-run",
     detail: `the last attempt ended with ${failure.reason}`,
     remedy: mayHaveRun
-      ? "find out whether the request ran, or repeat it if that is safe"
-      : "the request was not run; retry after the time given",
+      ? "find out whether it ran, or repeat it if that does no harm"
+      : "it was not run: retry after the time given",
   };
 };
--- a/packages/entry/src/CallerRequestHandler.ts
+++ b/packages/entry/src/CallerRequestHandler.ts
@@ -347,7 +347,7 @@
   status: 413,
   reason: REASON.BODY_TOO_LARGE,
   outcome: "not-run",
-  detail: "the body exceeds the limit of the route",
+  detail: "the body is larger than the route takes",
   remedy: "send a smaller body",
 };
 
@@ -355,16 +355,16 @@
   status: 408,
   reason: REASON.SLOW_SENDER,
   outcome: "not-run",
-  detail: "the body did not arrive completely in time",
-  remedy: "send the complete body, or allow more time",
+  detail: "the body did not arrive whole in time",
+  remedy: "send the whole body, or allow more time",
 };
 
 const policyRefusal = (policy: string): Problem => ({
   status: 503,
   reason: REASON.POLICY,
   outcome: "not-run",
-  detail: `the admission policy ${policy} refuses this request at present`,
-  remedy: "retry after the time given; operators: see rackspan get config",
+  detail: `the policy ${policy} does not let this request in now`,
+  remedy: "retry after the time given; operators see rackspan get config",
   retryAfterS: 1,
 });
 
@@ -374,8 +374,8 @@
   outcome: "not-run",
   detail:
     why === "full"
-      ? "too many requests of this class are queued"
-      : "the deadline of the request passed before it could be sent",
-  remedy: "the request was not run; retry after the time given",
+      ? "too many requests of this class wait already"
+      : "the request's time ran out before it could be sent",
+  remedy: "it was not run: retry after the time given",
   retryAfterS: 1,
 });
--- a/packages/entry/src/KeyedRequests.ts
+++ b/packages/entry/src/KeyedRequests.ts
@@ -172,9 +172,8 @@
     status: 409,
     reason: REASON.KEY_IN_PROGRESS,
     outcome: "unknown",
-    detail:
-      "a request with this key has been sent, and its outcome is not known yet",
-    remedy: "repeat the request with the same key after the time given",
+    detail: "a request with this key was sent and its outcome is not known yet",
+    remedy: "ask again with the same key after the time given",
     retryAfterS: 1,
   });
 
@@ -184,6 +183,6 @@
     reason: REASON.OUTCOME_NOT_KEPT,
     outcome: "unknown",
     detail:
-      "the request with this key was run; its response was too large to record",
+      "the request with this key was run; its answer was too large to keep",
     remedy: "read the result from the service itself",
   });
--- a/packages/entry/src/RequestServer.ts
+++ b/packages/entry/src/RequestServer.ts
@@ -232,7 +232,7 @@
       status: 431,
       reason: REASON.HEADERS_TOO_LARGE,
       outcome: "not-run",
-      detail: "the headers exceed the limit of this entry",
+      detail: "the headers are larger than this entry takes",
       remedy: "send fewer or shorter headers",
     };
   }
@@ -241,8 +241,8 @@
       status: 408,
       reason: REASON.SLOW_SENDER,
       outcome: "not-run",
-      detail: "the request headers did not arrive in time",
-      remedy: "send the request headers at once",
+      detail: "the head of the request did not arrive in time",
+      remedy: "send the head at once",
     };
   }
   return {
@@ -259,8 +259,7 @@
   reason: REASON.LEAVING,
   outcome: "not-run",
   detail: "this entry is stopping",
-  remedy:
-    "send the request again; the load balancer routes it to another entry",
+  remedy: "send the request again: the balancer knows other entries",
   retryAfterS: 0,
 };
 
@@ -268,7 +267,7 @@
   status: 503,
   reason: REASON.NOT_READY,
   outcome: "not-run",
-  detail: "this entry has not read the configuration yet",
+  detail: "this entry does not know the configuration yet",
   remedy: "retry after the time given",
   retryAfterS: 1,
 };
@@ -277,7 +276,7 @@
   status: 400,
   reason: REASON.UPGRADE_REFUSED,
   outcome: "not-run",
-  detail: "only routes of class watch accept upgraded connections",
+  detail: "only routes of class watch take upgraded connections",
   remedy: "use a watch route, or send a plain request",
 };
 
@@ -285,6 +284,6 @@
   status: 500,
   reason: REASON.INTERNAL,
   outcome: "unknown",
-  detail: "internal error of this entry while it handled the request",
-  remedy: "report it together with the entry's log",
+  detail: "this entry failed while it served the request",
+  remedy: "report it with the entry's log",
 };
--- a/packages/entry/src/callerRequest.ts
+++ b/packages/entry/src/callerRequest.ts
@@ -58,12 +58,7 @@
   const timeout = headerText(req, HEADER.TIMEOUT);
   if (timeout !== undefined && !WHOLE_NUMBER.test(timeout)) {
     const detail = `${HEADER.TIMEOUT} is not a whole number of milliseconds`;
-    return refuse(
-      400,
-      REASON.BAD_REQUEST,
-      detail,
-      "send a number, for example 500",
-    );
+    return refuse(400, REASON.BAD_REQUEST, detail, "send for example 500");
   }
   if (timeout !== undefined && Number(timeout) === 0) {
     return refuse(
@@ -83,13 +78,13 @@
       400,
       REASON.BAD_REQUEST,
       detail,
-      "send a random key, for example a UUID",
+      "send a random key, as a UUID",
     );
   }
   const declared = headerText(req, "content-length");
   const contentLength = declared === undefined ? undefined : Number(declared);
   if (contentLength !== undefined && contentLength > match.route.maxBodyBytes) {
-    const detail = `the body has ${contentLength} bytes, the route accepts ${match.route.maxBodyBytes}`;
+    const detail = `the body has ${contentLength} bytes, the route takes ${match.route.maxBodyBytes}`;
     return refuse(413, REASON.BODY_TOO_LARGE, detail, "send a smaller body");
   }
   return {
--- a/packages/entry/src/jobs/JobService.ts
+++ b/packages/entry/src/jobs/JobService.ts
@@ -145,7 +145,7 @@
       const isSame = known.accepted.spec.queue === spec.queue;
       const outcome = isSame
         ? ({ kind: "accepted" } as const)
-        : refused("the job id is used by a job of another queue");
+        : refused("the id belongs to a job of another queue");
       return this.recordOutcome("submit", spec.id, outcome, startedAt);
     }
     const terms = jobTermsOf(queue);
@@ -194,7 +194,7 @@
     if (found.kind !== "no-such-job") return found;
     const viewedAt = clock.monotonic() - jobsFollower.ageMs;
     if (viewedAt >= arrivedAt) return found;
-    return refused("the store did not confirm whether the job exists");
+    return refused("the store could not be asked whether the job exists");
   }
 
   private knownState(queue: QueueKey, id: JobId): JobStateOutcome | undefined {
@@ -227,7 +227,7 @@
     const viewAge = Math.round(jobsFollower.ageMs);
     if (viewAge > JOB_SERVICE.maxViewAgeMs) {
       logger.info("job.state-unsure", { job: id, viewAge });
-      return refused("the view of the store is too old to find the job");
+      return refused("the view of the store is too old to tell");
     }
     logger.info("job.not-found", { job: id, viewAge });
     return { kind: "no-such-job" };
--- a/packages/entry/src/jobs/SideServer.ts
+++ b/packages/entry/src/jobs/SideServer.ts
@@ -51,8 +51,8 @@
   readonly kind = "not-noted";
   constructor(instance: WorkerInstance) {
     super({
-      what: `the end of worker ${instance} is not persisted in the store yet`,
-      remedy: "report it again after a pause, to the entry that leads then",
+      what: `the store does not keep yet that worker ${instance} is over`,
+      remedy: "say it again after a pause, to the entry that leads then",
     });
   }
 }
--- a/packages/entry/src/operatorHandlers.ts
+++ b/packages/entry/src/operatorHandlers.ts
@@ -50,8 +50,8 @@
   readonly kind = "unknown-host";
   constructor(host: HostId) {
     super({
-      what: `host ${host} is unknown to this entry`,
-      remedy: "see rackspan status for the known hosts",
+      what: `no host ${host} is known here`,
+      remedy: "see rackspan status for the hosts that are",
     });
   }
 }
@@ -60,8 +60,8 @@
   readonly kind = "not-running";
   constructor(unit: UnitId) {
     super({
-      what: `unit ${unit} is not running`,
-      remedy: "see rackspan get units for the running units",
+      what: `${unit} does not run now`,
+      remedy: "see rackspan get units for those that do",
     });
   }
 }
@@ -71,7 +71,7 @@
   readonly kind = "never-fits";
   constructor(job: string, amount: string) {
     super({
-      what: `job ${job} requests more ${amount} than any host has`,
+      what: `${job} asks for more ${amount} than any host has`,
       remedy: `lower "${amount}" or split the job`,
     });
   }
--- a/packages/state/src/RequestFold.ts
+++ b/packages/state/src/RequestFold.ts
@@ -55,7 +55,7 @@
     if (holder && holder.digest !== record.digest) {
       return {
         reason: "key-reused",
-        detail: "the key was used for another request",
+        detail: "the key stands for another request",
       };
     }
     if (holder) {
