--- a/packages/checker/src/jobs/HostModel.ts
+++ b/packages/checker/src/jobs/HostModel.ts
@@ -24,22 +24,22 @@
   type WorkerHeartbeat,
 } from "@rackspan/side";
 import type { LeaderModel } from "./LeaderModel.js";
-import { SideLink, type SilentWay } from "./SideLink.js";
+import { SideLink, type SilentDirection } from "./SideLink.js";
 import type { WorkerModel } from "./WorkerModel.js";
 
 const HOST = {
   heartbeatMs: 300,
   reportEveryMs: 500,
-  newsWaitMs: 125,
+  statusWaitMs: 125,
   /** A worker that has not been seen for this long since the side attached is silent. */
-  unseenMs: 500,
+  unpolledMs: 500,
   /** A leader that grants nothing for this long may have been replaced. */
   ungrantedMs: 700,
   callTimeoutMs: 1_200,
   maxUnanswered: 2,
-  findEveryMs: 200,
+  findLeaderEveryMs: 200,
   /** The leader closes a connection that was silent for this long. */
-  silenceMs: 4_000,
+  connectionTimeoutMs: 4_000,
 } as const;
 
 export interface HostModelOptions {
@@ -54,17 +54,17 @@
   /** Longest lease that the worker takes, milliseconds. */
   readonly longestLeaseMs: number;
   /** See JobWorldOptions. */
-  readonly takesArrivalsFirst: boolean;
+  readonly deliversMessagesBeforeTimers: boolean;
   /** See JobWorldOptions. */
-  readonly staysWithGranter: boolean;
+  readonly staysWithGrantingLeader: boolean;
   /** The leader that the store names; undefined when it names none. */
   readonly findLeader: () => LeaderModel | undefined;
   /** A leader orders a start here. */
-  readonly onOrder: (task: JobTaskId) => void;
+  readonly onStartOrder: (task: JobTaskId) => void;
 }
 
 /** One process of the side. */
-interface SideParts {
+interface SideProcess {
   readonly registry: WorkerRegistry;
   readonly watch: WorkerWatch;
   readonly orders: TaskOrders;
@@ -82,18 +82,18 @@
   isCut = false;
   draining = false;
   /** How late heartbeats arrive, at the most; also after their sender's end. Milliseconds. */
-  beatsLateMs = 0;
+  maxHeartbeatDelayMs = 0;
   private sequence = 0;
-  private side: SideParts;
+  private side: SideProcess;
   private link: SideLink | undefined;
   private attachment: Attachment | undefined;
   /** What a side before has sent was sent by then; the first one cannot tell that it is. */
-  private formerSidesUntil: Monotonic;
+  private previousSidesUntil: Monotonic;
 
   constructor(private readonly options: HostModelOptions) {
-    this.formerSidesUntil = options.clock.monotonic();
+    this.previousSidesUntil = options.clock.monotonic();
     this.side = this.startSide();
-    this.beat();
+    this.scheduleHeartbeat();
   }
 
   get host(): HostId {
@@ -120,13 +120,13 @@
    * From then on nothing that a side has sent lets the worker run anything; a side that
    * was started anew knows of what was sent before only when that was.
    */
-  get leasesOverBy(): Monotonic {
+  get leasesExpireBy(): Monotonic {
     const { worker, longestLeaseMs } = this.options;
-    const formerOverBy = latestLeaseExpiry(
-      this.formerSidesUntil,
+    const previousExpireBy = latestLeaseExpiry(
+      this.previousSidesUntil,
       longestLeaseMs,
     );
-    return Math.max(worker.sentLeasesOverBy, formerOverBy);
+    return Math.max(worker.sentLeasesExpireBy, previousExpireBy);
   }
 
   /**
@@ -142,12 +142,12 @@
     if (overlapMs === 0) stop();
     else this.options.clock.after(overlapMs, stop);
     const { clock } = this.options;
-    this.formerSidesUntil = clock.monotonic() + overlapMs;
+    this.previousSidesUntil = clock.monotonic() + overlapMs;
     this.side = this.startSide();
   }
 
   /** The side ends, and another process of it starts after that time. */
-  loseSide(ms: number): void {
+  stopSide(ms: number): void {
     const { clock } = this.options;
     const lost = this.side;
     lost.abort.abort();
@@ -158,7 +158,7 @@
   }
 
   /** The worker says that it leaves, and ends a moment later. */
-  leave(lingerMs: number): void {
+  deregister(lingerMs: number): void {
     const { clock, worker } = this.options;
     const { instance } = worker;
     if (!worker.isUp) return;
@@ -174,11 +174,11 @@
   }
 
   /** The connection of now falls silent for that time; the ends stay open. */
-  silenceLink(way: SilentWay, ms: number): void {
+  silenceLink(way: SilentDirection, ms: number): void {
     this.link?.fallSilent(way, this.options.clock.monotonic() + ms);
   }
 
-  private startSide(): SideParts {
+  private startSide(): SideProcess {
     const { clock, worker } = this.options;
     const logger = silentLogger;
     const metrics = new Metrics();
@@ -201,22 +201,25 @@
     return side;
   }
 
-  private beat(): void {
+  private scheduleHeartbeat(): void {
     const { clock, worker, random } = this.options;
     clock.after(HOST.heartbeatMs * (0.5 + random.next()), () => {
-      if (worker.isHeard) {
+      if (worker.isReachable) {
         this.sequence += 1;
-        this.deliver({ worker: this.describe(), sequence: this.sequence });
+        this.deliverHeartbeat({
+          worker: this.describe(),
+          sequence: this.sequence,
+        });
       }
-      this.beat();
+      this.scheduleHeartbeat();
     });
   }
 
-  private deliver(beat: WorkerHeartbeat): void {
+  private deliverHeartbeat(beat: WorkerHeartbeat): void {
     const { clock, random } = this.options;
     const arrive = (): void => this.side.registry.recordHeartbeat(beat);
-    if (this.beatsLateMs === 0) arrive();
-    else clock.after(random.next() * this.beatsLateMs, arrive);
+    if (this.maxHeartbeatDelayMs === 0) arrive();
+    else clock.after(random.next() * this.maxHeartbeatDelayMs, arrive);
   }
 
   private describe(): WorkerDescription {
@@ -233,26 +236,29 @@
     };
   }
 
-  private async serve(side: SideParts): Promise<void> {
+  private async serve(side: SideProcess): Promise<void> {
     const { clock, findLeader } = this.options;
     const { signal } = side.abort;
     while (!signal.aborted) {
       const leader = findLeader();
       if (leader && !this.isCut) await this.attachTo(leader, side);
-      await pause(clock, HOST.findEveryMs, signal);
+      await pause(clock, HOST.findLeaderEveryMs, signal);
     }
   }
 
-  private async attachTo(leader: LeaderModel, side: SideParts): Promise<void> {
-    const { clock, random, host, takesArrivalsFirst } = this.options;
+  private async attachTo(
+    leader: LeaderModel,
+    side: SideProcess,
+  ): Promise<void> {
+    const { clock, random, host, deliversMessagesBeforeTimers } = this.options;
     const { orders, watch, abort } = side;
     const link = new SideLink({
       clock,
       leaderClock: leader.clock,
       random,
-      takesArrivalsFirst,
+      deliversMessagesBeforeTimers,
       isCut: () => this.isCut,
-      onOrder: this.options.onOrder,
+      onStartOrder: this.options.onStartOrder,
       side: {
         start: (call) => orders.start(call),
         stop: (call) => orders.stop(call),
@@ -261,7 +267,7 @@
     });
     this.link = link;
     leader.addLink(host, link);
-    const epoch = await this.ask(link, () => leader.attach(host, link));
+    const epoch = await this.callLeader(link, () => leader.attach(host, link));
     if (epoch === undefined || epoch < (watch.currentEpoch ?? 0)) {
       this.close(link, leader);
       return;
@@ -276,41 +282,41 @@
   private async reportWhileOpen(
     link: SideLink,
     leader: LeaderModel,
-    { watch, registry, abort }: SideParts,
+    { watch, registry, abort }: SideProcess,
   ): Promise<void> {
     const { clock, findLeader } = this.options;
     const attachedAt = clock.monotonic();
     let reportedAt: Monotonic = -Infinity;
-    let silenceToldAt: Monotonic = -Infinity;
+    let silenceSentAt: Monotonic = -Infinity;
     let grantedAt = attachedAt;
     let lastEnd = 0;
     let unanswered = 0;
-    let toldGone: string | undefined;
+    let reportedGone: string | undefined;
     while (link.isOpenAtSide && !abort.signal.aborted) {
       const isUngranted = clock.monotonic() - grantedAt >= HOST.ungrantedMs;
-      const asksStore = !this.options.staysWithGranter || isUngranted;
+      const asksStore = !this.options.staysWithGrantingLeader || isUngranted;
       if (asksStore && findLeader() && findLeader() !== leader) return;
-      const { currentStatus: sighting } = watch;
+      const { currentStatus: status } = watch;
       const { worker } = registry;
-      const isFresh = sighting && sighting.polledAt >= attachedAt;
+      const isCurrent = status && status.polledAt >= attachedAt;
       const last = watch.unacknowledgedEnds.at(-1)?.number ?? 0;
       const isDue =
         clock.monotonic() - reportedAt >= HOST.reportEveryMs || last > lastEnd;
-      if (isFresh && isDue && worker?.instance === sighting.instance) {
+      if (isCurrent && isDue && worker?.instance === status.instance) {
         reportedAt = clock.monotonic();
         lastEnd = last;
         const report: HostReport = {
           worker,
-          at: sighting.answer.at,
-          running: [...sighting.answer.running],
+          at: status.answer.at,
+          running: [...status.answer.running],
           ended: [...watch.unacknowledgedEnds],
-          hasMoreEnds: sighting.answer.hasMoreEnds,
+          hasMoreEnds: status.answer.hasMoreEnds,
           lostRuns: [...registry.runs.unreportedLostRuns],
           neverBegun: [...registry.runs.unreportedNeverBegun],
           formerStartsForMs: watch.previousStartsForMs(worker.instance),
           unheardEnds: [...registry.runs.unreportedEnds],
         };
-        const grant = await this.ask(link, () =>
+        const grant = await this.callLeader(link, () =>
           leader.report(this.options.host, this.options.zone, report),
         );
         unanswered = grant ? 0 : unanswered + 1;
@@ -320,18 +326,18 @@
           registry.runs.markNeverBegunReported(report.neverBegun ?? []);
           registry.runs.markEndsReported(report.unheardEnds ?? []);
         }
-        if (grant) takeGrant(watch, worker, grant);
+        if (grant) applyGrant(watch, worker, grant);
         if (unanswered >= HOST.maxUnanswered) return;
       } else if (
         (!watch.isResponding ||
-          (!isFresh && clock.monotonic() - attachedAt >= HOST.unseenMs)) &&
-        clock.monotonic() - silenceToldAt >= HOST.reportEveryMs
+          (!isCurrent && clock.monotonic() - attachedAt >= HOST.unpolledMs)) &&
+        clock.monotonic() - silenceSentAt >= HOST.reportEveryMs
       ) {
-        silenceToldAt = clock.monotonic();
+        silenceSentAt = clock.monotonic();
         const overInMs = watch.stopRenewingLease();
         const { unreportedNeverBegun: neverBegun } = registry.runs;
-        const grants = await this.ask(link, () =>
-          leader.noteWorkerSilent(this.options.host, overInMs, neverBegun),
+        const grants = await this.callLeader(link, () =>
+          leader.handleWorkerSilent(this.options.host, overInMs, neverBegun),
         );
         if (grants !== undefined)
           registry.runs.markNeverBegunReported(neverBegun);
@@ -340,35 +346,40 @@
         if (unanswered >= HOST.maxUnanswered) return;
       }
       const gone = registry.lastGone;
-      if (gone !== undefined && gone !== toldGone) {
-        toldGone = gone;
-        const { unreportedLostRuns: untold, unreportedEnds: unheardEnds } =
+      if (gone !== undefined && gone !== reportedGone) {
+        reportedGone = gone;
+        const { unreportedLostRuns: lostRuns, unreportedEnds: unheardEnds } =
           registry.runs;
-        link.tellLeader(() =>
-          leader.noteWorkerGone(this.options.host, gone, untold, unheardEnds),
+        link.sendToLeader(() =>
+          leader.handleWorkerGone(
+            this.options.host,
+            gone,
+            lostRuns,
+            unheardEnds,
+          ),
         );
       }
-      await watch.statusChanged.wait(clock, HOST.newsWaitMs);
+      await watch.statusChanged.wait(clock, HOST.statusWaitMs);
     }
   }
 
   /** A call to the leader; undefined when it got no answer in time. */
-  private async ask<T>(
+  private async callLeader<T>(
     link: SideLink,
     act: () => T | undefined,
   ): Promise<T | undefined> {
     const { clock } = this.options;
     let answer: T | undefined;
     let isAnswered = false;
-    link.tellLeader(() => {
+    link.sendToLeader(() => {
       const result = act();
-      link.tellSide(() => {
+      link.sendToSide(() => {
         answer = result;
         isAnswered = true;
       });
     });
-    const giveUpAt = clock.monotonic() + HOST.callTimeoutMs;
-    while (!isAnswered && link.isOpenAtSide && clock.monotonic() < giveUpAt) {
+    const timeoutAt = clock.monotonic() + HOST.callTimeoutMs;
+    while (!isAnswered && link.isOpenAtSide && clock.monotonic() < timeoutAt) {
       await sleep(clock, 5);
     }
     return answer;
@@ -378,13 +389,13 @@
     const { host, clock } = this.options;
     link.closeAtSide(() => leader.detach(host, link));
     // Behind a cut the leader hears nothing, and closes for silence.
-    clock.after(HOST.silenceMs, () =>
+    clock.after(HOST.connectionTimeoutMs, () =>
       link.closeAtLeader(() => leader.detach(host, link)),
     );
   }
 }
 
-const takeGrant = (
+const applyGrant = (
   watch: WorkerWatch,
   { instance }: WorkerDescription,
   { leaseUntil, acknowledged }: Grant,
--- a/packages/checker/src/jobs/JobWorld.ts
+++ b/packages/checker/src/jobs/JobWorld.ts
@@ -23,12 +23,12 @@
 import { LEADERSHIP, VIEW_LAG_MS } from "./LeaderModel.js";
 import { LeaderSuccession } from "./LeaderSuccession.js";
 import { RunHistory } from "./RunHistory.js";
-import type { SilentWay } from "./SideLink.js";
+import type { SilentDirection } from "./SideLink.js";
 import { SubmittedJobs } from "./SubmittedJobs.js";
-import { TakeoverWaits } from "./TakeoverWaits.js";
+import { RestartDelayChecker } from "./RestartDelayChecker.js";
 import {
   WorkerModel,
-  type LivesOfWorker,
+  type IncarnationOptions,
   type WorkerCut,
 } from "./WorkerModel.js";
 
@@ -43,11 +43,11 @@
   hosts: 5,
   milliCores: 4_000,
   /** How often it is looked at what waits, milliseconds. */
-  lookEveryMs: 25,
+  checkEveryMs: 25,
   /** Workers that may be silent at once, so that the others have room for all. */
-  mostSilent: 2,
+  maxSilentWorkers: 2,
   /** A link is cut this long before a worker's return that it hides, milliseconds. */
-  hiddenBeforeMs: 100,
+  cutBeforeReturnMs: 100,
 } as const;
 
 const QUEUE: QueueSpec = {
@@ -66,24 +66,24 @@
 export interface JobWorldOptions {
   readonly seed: number;
   /** See LeaderModelOptions. */
-  readonly endsFormerLinks: boolean;
+  readonly closesPreviousLinks: boolean;
   /** How far ahead sides renew the leases of their workers, milliseconds. */
   readonly unattendedLeaseMs: number;
   /**
    * Whether a leader that stood still takes all that has come before its late
    * timers, as processes do; else these come in the order in which they were due.
    */
-  readonly takesArrivalsFirst: boolean;
+  readonly deliversMessagesBeforeTimers: boolean;
   /** Share of the runs that fail by themselves. */
   readonly failShare: number;
   /** How often a task may fail. */
   readonly maxAttempts: number;
   /** See WorkerModelOptions. */
-  readonly lives?: LivesOfWorker | undefined;
+  readonly incarnations?: IncarnationOptions | undefined;
   /** Whether the waits of tasks of silent workers are checked. */
-  readonly judgesWaits?: boolean;
+  readonly checksRestartDelays?: boolean;
   /** Whether sides ask the store who leads only once nothing was granted for a while. */
-  readonly staysWithGranter?: boolean;
+  readonly staysWithGrantingLeader?: boolean;
 }
 
 export class JobWorld {
@@ -100,7 +100,7 @@
   private evacuations = 0;
   /** By zone: only the last evacuation that was asked for takes it back. */
   private readonly lastEvacuation = new Map<AvailabilityZone, number>();
-  private readonly waits: TakeoverWaits;
+  private readonly restartDelays: RestartDelayChecker;
 
   constructor(private readonly options: JobWorldOptions) {
     this.random = new SeededRandom(options.seed);
@@ -117,7 +117,7 @@
     this.hosts = Array.from({ length: WORLD.hosts }, (_, index) =>
       this.buildHost(`h${index + 1}`, zoneAt(index)),
     );
-    this.waits = new TakeoverWaits({
+    this.restartDelays = new RestartDelayChecker({
       clock: this.clock,
       history: this.history,
       hosts: () => this.hosts,
@@ -125,13 +125,13 @@
       isWanted: (task) => this.jobs.isWanted(task),
     });
     this.leaders.begin();
-    if (options.judgesWaits) this.judgeWaits();
+    if (options.checksRestartDelays) this.checkRestartDelays();
   }
 
   submit(steps: readonly Partial<StepSpec>[], repeat?: RepeatSpec): void {
     const job = this.jobs.add(steps, repeat);
     this.clock.after(this.random.next() * VIEW_LAG_MS, () =>
-      this.leaders.tell((leader) => leader.addJob(job)),
+      this.leaders.sendToLeader((leader) => leader.addJob(job)),
     );
   }
 
@@ -145,7 +145,7 @@
     this.jobs.cancel(id);
     const delayMs = this.random.next() * VIEW_LAG_MS;
     this.clock.after(VIEW_LAG_MS + delayMs, () =>
-      this.leaders.tell((leader) => leader.cancelJob(id)),
+      this.leaders.sendToLeader((leader) => leader.cancelJob(id)),
     );
   }
 
@@ -175,17 +175,21 @@
   /** A worker falls silent and goes on by itself; its side hears it again after that time. */
   cutWorker(cut: WorkerCut, ms: number): HostModel | undefined {
     return this.silenceWorker(
-      ({ worker }) => worker.cutOff(cut),
-      ({ worker }) => worker.rejoin(),
+      ({ worker }) => worker.disconnect(cut),
+      ({ worker }) => worker.reconnect(),
       ms,
     );
   }
 
   /** It comes back while its side and the leader cannot reach each other. */
-  hideReturn(cut: WorkerCut, ms: number, cutLinkMs: number): void {
+  reconnectWorkerBehindCut(
+    cut: WorkerCut,
+    ms: number,
+    cutLinkMs: number,
+  ): void {
     const host = this.cutWorker(cut, ms);
     if (!host) return;
-    this.clock.after(ms - WORLD.hiddenBeforeMs, () => (host.isCut = true));
+    this.clock.after(ms - WORLD.cutBeforeReturnMs, () => (host.isCut = true));
     this.clock.after(ms + cutLinkMs, () => (host.isCut = false));
   }
 
@@ -194,35 +198,35 @@
     end: (host: HostModel) => void,
     ms: number,
   ): HostModel | undefined {
-    const host = this.anyHost();
-    const silent = this.hosts.filter(({ worker }) => !worker.isHeard);
-    const isEnough = silent.length >= WORLD.mostSilent;
+    const host = this.pickHost();
+    const silent = this.hosts.filter(({ worker }) => !worker.isReachable);
+    const isEnough = silent.length >= WORLD.maxSilentWorkers;
     if (isEnough || silent.includes(host)) return undefined;
     const runs = this.history
       .openRuns()
       .filter((run) => run.host === host.host);
     begin(host);
-    this.waits.noteSilent(host, runs);
+    this.restartDelays.recordSilent(host, runs);
     if (ms < Infinity) this.clock.after(ms, () => end(host));
     return host;
   }
 
   /** A worker ends whatever runs there; connections to it are refused until it is back. */
-  breakWorkerDown(backMs: number): void {
-    const { worker } = this.anyHost();
-    if (worker.isUp) worker.breakDown(backMs);
+  crashAndRestartWorker(backMs: number): void {
+    const { worker } = this.pickHost();
+    if (worker.isUp) worker.crashAndRestart(backMs);
   }
 
   /** A worker is short of processor time: its looks and their answers wait. */
   slowWorker(mostMs: number, forMs: number): void {
-    const { worker } = this.anyHost();
-    worker.slowMs = mostMs;
-    this.clock.after(forMs, () => (worker.slowMs = 0));
+    const { worker } = this.pickHost();
+    worker.maxPollDelayMs = mostMs;
+    this.clock.after(forMs, () => (worker.maxPollDelayMs = 0));
   }
 
   /** A worker crashes and is back at once; after that time once more. */
   crashTwice(ms: number): void {
-    const { worker } = this.anyHost();
+    const { worker } = this.pickHost();
     const crash = (): void => {
       if (!worker.isUp) return;
       worker.crash();
@@ -233,36 +237,36 @@
   }
 
   cutLink(ms: number): void {
-    const host = this.anyHost();
+    const host = this.pickHost();
     host.isCut = true;
     this.clock.after(ms, () => (host.isCut = false));
   }
 
-  carryOutLate(ms: number): void {
-    const host = this.anyHost();
+  delayOrders(ms: number): void {
+    const host = this.pickHost();
     host.worker.lateOrders = true;
     this.clock.after(ms, () => (host.worker.lateOrders = false));
   }
 
   /** @param overlapMs for which the side before runs beside the next one */
   restartSide(overlapMs = 0): void {
-    this.anyHost().restartSide(overlapMs);
+    this.pickHost().restartSide(overlapMs);
   }
 
-  loseSide(ms: number): void {
-    this.anyHost().loseSide(ms);
+  stopSide(ms: number): void {
+    this.pickHost().stopSide(ms);
   }
 
   /** A worker drains, says that it leaves, and ends up to some milliseconds later. */
-  leave(drainMs: number, lingerMs: number, downMs: number): void {
-    const host = this.anyHost();
+  drainAndDeregister(drainMs: number, lingerMs: number, downMs: number): void {
+    const host = this.pickHost();
     const { instance } = host.worker;
     if (!host.worker.isUp || host.draining) return;
     host.draining = true;
     this.clock.after(drainMs, () => {
       host.draining = false;
       if (host.worker.instance !== instance || !host.worker.isUp) return;
-      host.leave(lingerMs);
+      host.deregister(lingerMs);
       this.clock.after(lingerMs + downMs, () => host.worker.revive());
     });
   }
@@ -294,66 +298,67 @@
       if (this.lastEvacuation.get(zone) !== number) return;
       for (const { host } of hosts) history.noteTakenBack(host);
       evacuated.delete(zone);
-      this.leaders.tell((leader) => leader.noteOperator());
+      this.leaders.sendToLeader((leader) => leader.handleOperatorChange());
     });
   }
 
   resetLink(): void {
-    this.anyHost().resetLink();
+    this.pickHost().resetLink();
   }
 
   /** A connection between a side and its leader falls silent; new ones work. */
-  silenceLink(way: SilentWay, ms: number): void {
-    this.anyHost().silenceLink(way, ms);
+  silenceLink(way: SilentDirection, ms: number): void {
+    this.pickHost().silenceLink(way, ms);
   }
 
   /** Those of all sides at once. */
-  silenceLinks(way: SilentWay, ms: number): void {
+  silenceLinks(way: SilentDirection, ms: number): void {
     for (const host of this.hosts) host.silenceLink(way, ms);
   }
 
   /** Connections to a worker fall silent, each with one call on it; new ones work. */
   silenceCalls(share: number, forMs: number): void {
-    const { worker } = this.anyHost();
-    worker.loseCalls(share);
-    this.clock.after(forMs, () => worker.loseCalls(0));
+    const { worker } = this.pickHost();
+    worker.dropCalls(share);
+    this.clock.after(forMs, () => worker.dropCalls(0));
   }
 
   /** A worker's heartbeats come late for a while. */
-  delayBeats(lateMs: number, forMs: number): void {
-    const host = this.anyHost();
-    host.beatsLateMs = lateMs;
-    this.clock.after(forMs, () => (host.beatsLateMs = 0));
+  delayHeartbeats(lateMs: number, forMs: number): void {
+    const host = this.pickHost();
+    host.maxHeartbeatDelayMs = lateMs;
+    this.clock.after(forMs, () => (host.maxHeartbeatDelayMs = 0));
   }
 
   /** Its heartbeats come late, and it ends twice within that time. */
-  crashBesideLateBeats(lateMs: number, backMs: number): void {
-    const host = this.anyHost();
+  crashWithLateHeartbeats(lateMs: number, backMs: number): void {
+    const host = this.pickHost();
     const { worker } = host;
     const crash = (): void => {
       if (!worker.isUp) return;
       worker.crash();
       this.clock.after(backMs, () => worker.revive());
     };
-    host.beatsLateMs = lateMs;
+    host.maxHeartbeatDelayMs = lateMs;
     this.clock.after(lateMs / 3, crash);
     this.clock.after((2 * lateMs) / 3, crash);
-    this.clock.after(lateMs, () => (host.beatsLateMs = 0));
+    this.clock.after(lateMs, () => (host.maxHeartbeatDelayMs = 0));
   }
 
   drain(ms: number): void {
-    const host = this.anyHost();
+    const host = this.pickHost();
     host.draining = true;
     this.clock.after(ms, () => (host.draining = false));
   }
 
   /** @param share of the room that workers have at first */
-  changeRoom(share: number): void {
-    this.anyHost().worker.changeRoom(share * WORLD.milliCores);
+  changeCapacity(share: number): void {
+    this.pickHost().worker.changeCapacity(share * WORLD.milliCores);
   }
 
-  restoreRooms(): void {
-    for (const { worker } of this.hosts) worker.changeRoom(WORLD.milliCores);
+  restoreCapacities(): void {
+    for (const { worker } of this.hosts)
+      worker.changeCapacity(WORLD.milliCores);
   }
 
   failStore(fault: StoreFault, ms: number): void {
@@ -361,13 +366,13 @@
     this.clock.after(ms, () => (this.store.fault = "none"));
   }
 
-  private judgeWaits(): void {
-    this.waits.look();
-    this.clock.after(WORLD.lookEveryMs, () => this.judgeWaits());
+  private checkRestartDelays(): void {
+    this.restartDelays.check();
+    this.clock.after(WORLD.checkEveryMs, () => this.checkRestartDelays());
   }
 
   /** Runs of cancelled jobs. */
-  unwantedRuns(): readonly JobTaskId[] {
+  runsOfCancelledJobs(): readonly JobTaskId[] {
     return this.history
       .openRuns()
       .map(({ task }) => task)
@@ -391,7 +396,7 @@
     );
   }
 
-  private anyHost(): HostModel {
+  private pickHost(): HostModel {
     return this.hosts[pickIndex(this.random, this.hosts.length)] as HostModel;
   }
 
@@ -407,7 +412,7 @@
       gangs: this.gangs,
       milliCores,
       traitsOf: (task) => this.jobs.traitsOf(task),
-      lives: this.options.lives,
+      incarnations: this.options.incarnations,
     });
     return new HostModel({
       host,
@@ -418,9 +423,9 @@
       worker,
       unattendedLeaseMs: this.options.unattendedLeaseMs,
       longestLeaseMs: LEADERSHIP.leaseMs,
-      onOrder: (task) => this.waits.noteOrdered(task),
-      takesArrivalsFirst: this.options.takesArrivalsFirst,
-      staysWithGranter: this.options.staysWithGranter ?? false,
+      onStartOrder: (task) => this.restartDelays.recordStartOrder(task),
+      deliversMessagesBeforeTimers: this.options.deliversMessagesBeforeTimers,
+      staysWithGrantingLeader: this.options.staysWithGrantingLeader ?? false,
       findLeader: () => this.leaders.named,
     });
   }
--- a/packages/checker/src/jobs/LeaderModel.ts
+++ b/packages/checker/src/jobs/LeaderModel.ts
@@ -47,7 +47,7 @@
   readonly store: StoreClient;
   readonly queue: QueueSpec;
   /** Whether a host that attaches ends its connection before, as leaders do. */
-  readonly endsFormerLinks: boolean;
+  readonly closesPreviousLinks: boolean;
   /** What the entry's view says of the zone now. */
   readonly isEvacuated: (zone: AvailabilityZone) => boolean;
   /** Jobs as the entry's view holds them now, and whether they were cancelled. */
@@ -68,9 +68,9 @@
   /** The connection of each host that attached last. */
   private readonly attached = new Map<HostId, SideLink>();
   /** By host: when all that this leader has granted its worker is over. */
-  private readonly grantsOverBy = new Map<HostId, Monotonic>();
+  private readonly grantExpiry = new Map<HostId, Monotonic>();
   private readonly writers: TopicWriter[] = [];
-  private isOver = false;
+  private hasEnded = false;
 
   constructor(private readonly options: LeaderModelOptions) {
     this.clock = new ProcessClock(options.clock);
@@ -83,14 +83,14 @@
   }
 
   /** Whether it takes reports and gives orders. */
-  get leads(): boolean {
+  get canDecide(): boolean {
     const isAwake = !this.clock.isDead && !this.clock.standsStill;
     return isAwake && this.engine !== undefined && this.mayDecide();
   }
 
   /** From then on the host's worker runs nothing that this leader has let it run. */
-  grantsOverAt(host: HostId): Monotonic {
-    return this.grantsOverBy.get(host) ?? -Infinity;
+  grantsExpireAt(host: HostId): Monotonic {
+    return this.grantExpiry.get(host) ?? -Infinity;
   }
 
   /** Reads what the store keeps, and begins. */
@@ -103,7 +103,7 @@
     await hostsWriter.fenceLowerEpochs();
     const progress = await this.read(TOPICS.progress);
     const hosts = await this.read(TOPICS.hosts);
-    if (this.isOver || this.isDead) return;
+    if (this.hasEnded || this.isDead) return;
     const roster: Roster = new Map(
       [...hosts].map(([key, value]) => [
         key as unknown as HostId,
@@ -157,16 +157,16 @@
   }
 
   addJob(job: AcceptedJob): void {
-    if (!this.isOver) this.engine?.addJob(job, undefined);
+    if (!this.hasEnded) this.engine?.addJob(job, undefined);
   }
 
   cancelJob(id: JobId): void {
-    if (!this.isOver) this.engine?.cancelJob(id);
+    if (!this.hasEnded) this.engine?.cancelJob(id);
   }
 
   /** The operator has written something. */
-  noteOperator(): void {
-    if (!this.isOver) this.engine?.handleOperatorChange();
+  handleOperatorChange(): void {
+    if (!this.hasEnded) this.engine?.handleOperatorChange();
   }
 
   addLink(host: HostId, link: SideLink): void {
@@ -174,13 +174,13 @@
   }
 
   attach(host: HostId, link: SideLink): Epoch | undefined {
-    if (this.isOver || !this.engine) return undefined;
+    if (this.hasEnded || !this.engine) return undefined;
     this.engine.attach(host, link);
-    if (this.options.endsFormerLinks) this.endFormer(host, link);
+    if (this.options.closesPreviousLinks) this.closePreviousLink(host, link);
     return this.options.epoch;
   }
 
-  private endFormer(host: HostId, link: SideLink): void {
+  private closePreviousLink(host: HostId, link: SideLink): void {
     const former = this.attached.get(host);
     this.attached.set(host, link);
     if (former === link) return;
@@ -188,7 +188,7 @@
   }
 
   detach(host: HostId, link: SideLink): void {
-    if (!this.isOver) this.engine?.detach(host, link);
+    if (!this.hasEnded) this.engine?.detach(host, link);
   }
 
   report(
@@ -196,43 +196,43 @@
     zone: AvailabilityZone,
     report: HostReport,
   ): Grant | undefined {
-    if (this.isOver || !this.engine) return undefined;
+    if (this.hasEnded || !this.engine) return undefined;
     const now = this.clock.monotonic();
-    this.grantsOverBy.set(host, latestLeaseExpiry(now, LEADERSHIP.leaseMs));
+    this.grantExpiry.set(host, latestLeaseExpiry(now, LEADERSHIP.leaseMs));
     return this.engine.handleReport(host, zone, report);
   }
 
   /** @returns whether it may still grant leases; undefined when it does not answer */
-  noteWorkerSilent(
+  handleWorkerSilent(
     host: HostId,
     overInMs: number | undefined,
     neverBegun: readonly RunRef[],
   ): boolean | undefined {
-    if (this.isOver) return undefined;
+    if (this.hasEnded) return undefined;
     return this.engine?.handleWorkerSilent(host, overInMs, neverBegun);
   }
 
-  noteWorkerGone(
+  handleWorkerGone(
     host: HostId,
     instance: WorkerInstance,
     lostRuns: readonly LostRun[],
     unheardEnds: readonly RunRef[],
   ): void {
-    if (this.isOver) return;
+    if (this.hasEnded) return;
     void this.engine?.handleWorkerGone(host, instance, lostRuns, unheardEnds);
   }
 
   /** Its term is over: it decides nothing more, and its connections end. */
   end(): void {
-    if (this.isOver) return;
-    this.isOver = true;
+    if (this.hasEnded) return;
+    this.hasEnded = true;
     this.engine?.stop();
     for (const writer of this.writers) writer.close(new Error("term over"));
     this.closeLinks();
   }
 
   kill(): void {
-    this.isOver = true;
+    this.hasEnded = true;
     this.clock.kill();
     this.closeLinks();
   }
@@ -246,12 +246,12 @@
   private mayDecide(): boolean {
     const { ttlMs, marginMs } = LEADERSHIP;
     const age = this.clock.leaseTime() - this.confirmedAt;
-    return !this.isOver && age < ttlMs - marginMs;
+    return !this.hasEnded && age < ttlMs - marginMs;
   }
 
   private renew(): void {
     this.clock.after(LEADERSHIP.joinEveryMs, () => {
-      if (this.isOver) return;
+      if (this.hasEnded) return;
       if (this.clock.leaseTime() - this.confirmedAt >= LEADERSHIP.ttlMs) {
         this.end();
         return;
@@ -287,7 +287,7 @@
         );
       } catch {
         // The store is away: it is asked again for as long as the term lasts.
-        if (this.isOver || this.isDead) return new Map();
+        if (this.hasEnded || this.isDead) return new Map();
         await new Promise<void>((resolve) => this.clock.after(100, resolve));
       }
     }
--- a/packages/checker/src/jobs/LeaderSuccession.ts
+++ b/packages/checker/src/jobs/LeaderSuccession.ts
@@ -16,7 +16,7 @@
 > {
   readonly clock: Clock;
   /** See JobWorldOptions. */
-  readonly takesArrivalsFirst: boolean;
+  readonly deliversMessagesBeforeTimers: boolean;
 }
 
 export class LeaderSuccession {
@@ -39,7 +39,7 @@
     return this.leader?.isDead ? undefined : this.leader;
   }
 
-  tell(act: (leader: LeaderModel) => void): void {
+  sendToLeader(act: (leader: LeaderModel) => void): void {
     const { leader } = this;
     leader?.clock.after(0, () => act(leader));
   }
@@ -49,14 +49,14 @@
     if (!leader || leader.isDead) return;
     leader.clock.pause();
     this.options.clock.after(ms, () =>
-      this.options.takesArrivalsFirst
+      this.options.deliversMessagesBeforeTimers
         ? leader.clock.catchUp()
         : leader.clock.resume(),
     );
   }
 
   /** What comes is taken, but the leader's timers wait: it is short of processor time. */
-  starve(ms: number): void {
+  starveOfProcessorTime(ms: number): void {
     const { leader } = this;
     if (!leader || leader.isDead) return;
     leader.clock.starve();
@@ -77,8 +77,8 @@
   }
 
   /** The store makes another entry lead at once, and the one before does not hear of it. */
-  drop(): void {
-    if (!this.leader?.leads) return;
+  replaceWithoutNotice(): void {
+    if (!this.leader?.canDecide) return;
     this.leader.isCutFromStore = true;
     this.beginTerm();
   }
--- a/packages/checker/src/jobs/TakeoverWaits.ts
+++ b/packages/checker/src/jobs/RestartDelayChecker.ts
@@ -11,7 +11,7 @@
 import type { LeaderModel } from "./LeaderModel.js";
 import { wasLost, type RunHistory, type RunSeen } from "./RunHistory.js";
 
-const WAITS = {
+const DELAY_LIMITS = {
   /** Time for a side to tell a leader, for its next pass and for the order; milliseconds. */
   startMs: 700,
   /** A worker that is heard again is looked at and reported within this, milliseconds. */
@@ -27,7 +27,7 @@
   orderedAt: Monotonic;
 }
 
-export interface TakeoverWaitsOptions {
+export interface RestartDelayCheckerOptions {
   readonly clock: Clock;
   readonly history: RunHistory;
   readonly hosts: () => readonly HostModel[];
@@ -36,16 +36,16 @@
   readonly isWanted: (task: JobTaskId) => boolean;
 }
 
-export class TakeoverWaits {
+export class RestartDelayChecker {
   private lost: LostRun[] = [];
   /** Since when the leader could know that nothing is hidden; undefined while it cannot. */
-  private knownSince: Monotonic | undefined;
+  private statusCompleteSince: Monotonic | undefined;
   private lastLeader: LeaderModel | undefined;
 
-  constructor(private readonly options: TakeoverWaitsOptions) {}
+  constructor(private readonly options: RestartDelayCheckerOptions) {}
 
   /** The worker has just fallen silent. @param runs that were under way there */
-  noteSilent(host: HostModel, runs: readonly RunSeen[]): void {
+  recordSilent(host: HostModel, runs: readonly RunSeen[]): void {
     const { silentSince } = host.worker;
     if (silentSince === undefined) return;
     const lost = runs.filter((run) => !this.wasLostBefore(run));
@@ -54,7 +54,7 @@
     }
   }
 
-  noteOrdered(task: JobTaskId): void {
+  recordStartOrder(task: JobTaskId): void {
     const now = this.options.clock.monotonic();
     for (const run of this.lost) {
       if (run.seen.task === task) run.orderedAt = now;
@@ -62,19 +62,22 @@
   }
 
   /** Is called every few milliseconds. */
-  look(): void {
+  check(): void {
     const now = this.options.clock.monotonic();
     const leader = this.options.leader();
-    if (leader !== this.lastLeader) this.knownSince = undefined;
+    if (leader !== this.lastLeader) this.statusCompleteSince = undefined;
     this.lastLeader = leader;
-    if (leader && this.isKnownTo(leader, now)) this.knownSince ??= now;
-    else this.knownSince = undefined;
-    this.lost = this.lost.filter((run) => this.isOpen(run));
-    const { knownSince } = this;
-    if (knownSince === undefined) return;
+    if (leader && this.hasCompleteStatus(leader, now))
+      this.statusCompleteSince ??= now;
+    else this.statusCompleteSince = undefined;
+    this.lost = this.lost.filter((run) => this.isPending(run));
+    const { statusCompleteSince } = this;
+    if (statusCompleteSince === undefined) return;
     const isLate = (run: LostRun): boolean =>
-      now - Math.max(knownSince, orderOverBy(run)) > WAITS.startMs;
-    for (const run of this.lost.filter(isLate)) this.complain(run, knownSince);
+      now - Math.max(statusCompleteSince, orderSettledBy(run)) >
+      DELAY_LIMITS.startMs;
+    for (const run of this.lost.filter(isLate))
+      this.recordViolation(run, statusCompleteSince);
     this.lost = this.lost.filter((run) => !isLate(run));
   }
 
@@ -84,34 +87,38 @@
     return runs.some((run) => run !== lost && wasLost(run));
   }
 
-  private isKnownTo(leader: LeaderModel, now: Monotonic): boolean {
-    if (!leader.leads) return false;
+  private hasCompleteStatus(leader: LeaderModel, now: Monotonic): boolean {
+    if (!leader.canDecide) return false;
     return this.options.hosts().every((host) => {
       if (!host.isAttachedTo(leader)) return false;
-      const { silentSince, heardSince, losesCalls } = host.worker;
-      if (losesCalls) return false;
-      if (silentSince === undefined) return now - heardSince > WAITS.rejoinMs;
-      const grantsOverAt = leader.grantsOverAt(host.host);
-      return now >= Math.max(host.leasesOverBy, grantsOverAt);
+      const { silentSince, reachableSince, dropsCalls } = host.worker;
+      if (dropsCalls) return false;
+      if (silentSince === undefined)
+        return now - reachableSince > DELAY_LIMITS.rejoinMs;
+      const grantsOverAt = leader.grantsExpireAt(host.host);
+      return now >= Math.max(host.leasesExpireBy, grantsOverAt);
     });
   }
 
   /** Whether its worker is silent on, and its task has no later run. */
-  private isOpen({ seen, host, silentSince }: LostRun): boolean {
+  private isPending({ seen, host, silentSince }: LostRun): boolean {
     const { history, isWanted } = this.options;
     if (host.worker.silentSince !== silentSince) return false;
     if (!isWanted(seen.task)) return false;
     return history.runsOf(seen.task).at(-1) === seen;
   }
 
-  private complain({ seen, host }: LostRun, knownSince: Monotonic): void {
+  private recordViolation(
+    { seen, host }: LostRun,
+    statusCompleteSince: Monotonic,
+  ): void {
     const { history, clock } = this.options;
     const silentSince = Math.round(host.worker.silentSince ?? 0);
-    const detail = `${seen.task}#${seen.run} at ${seen.host}, silent since ${silentSince}, known to be over since ${Math.round(knownSince)}`;
+    const detail = `${seen.task}#${seen.run} at ${seen.host}, silent since ${silentSince}, known to be over since ${Math.round(statusCompleteSince)}`;
     history.add("waits", clock.monotonic(), detail);
   }
 }
 
 /** When it shows whether the order has come to anything. */
-const orderOverBy = ({ orderedAt }: LostRun): Monotonic =>
+const orderSettledBy = ({ orderedAt }: LostRun): Monotonic =>
   latestLeaseExpiry(orderedAt, ENGINE.startLeaseMs) + ENGINE.missedReportMs;
--- a/packages/checker/src/jobs/RunHistory.ts
+++ b/packages/checker/src/jobs/RunHistory.ts
@@ -34,13 +34,13 @@
 }
 
 /** Starts that may crash their workers before a task is given up. */
-const MOST_CRASHED_STARTS = 5;
+const MAX_CRASHED_STARTS = 5;
 
 /** Nothing begins in a zone this long after its evacuation was asked for, milliseconds. */
-const EVACUATE_MS = 5_000;
+const EVACUATION_GRACE_MS = 5_000;
 
 /** Users want a lasting task to have a run again this long after its last one, milliseconds. */
-export const LASTING_GAP_MS = 6_000;
+export const MAX_LASTING_GAP_MS = 6_000;
 
 export class RunHistory {
   readonly violations: JobViolation[] = [];
@@ -58,7 +58,7 @@
 
   begin(seen: RunSeen): void {
     const since = this.evacuated.get(seen.host) ?? Infinity;
-    if (seen.beganAt - since > EVACUATE_MS) {
+    if (seen.beganAt - since > EVACUATION_GRACE_MS) {
       this.add("evacuated", seen.beganAt, show(seen));
     }
     const others = this.runsOf(seen.task);
@@ -91,7 +91,7 @@
       inOrder.forEach((run, index) => {
         const nextAt = inOrder[index + 1]?.beganAt ?? now;
         const gapMs = nextAt - (run.endedAt ?? now);
-        if (gapMs <= LASTING_GAP_MS) return;
+        if (gapMs <= MAX_LASTING_GAP_MS) return;
         this.add("waits", nextAt, `${show(run)}, ${Math.round(gapMs)} ms`);
       });
     }
@@ -121,7 +121,7 @@
   /** For a task that crashes each worker that starts it: all its runs ended so. */
   checkCrashes(task: JobTaskId): void {
     const runs = [...this.runsOf(task)].sort((a, b) => a.beganAt - b.beganAt);
-    const [past] = runs.slice(MOST_CRASHED_STARTS);
+    const [past] = runs.slice(MAX_CRASHED_STARTS);
     if (past) this.add("past-crashes", past.beganAt, show(past));
   }
 
--- a/packages/checker/src/jobs/SideLink.ts
+++ b/packages/checker/src/jobs/SideLink.ts
@@ -38,13 +38,13 @@
   readonly isCut: () => boolean;
   readonly side: SideHandlers;
   /** The leader orders a start. */
-  readonly onOrder: (task: JobTaskId) => void;
+  readonly onStartOrder: (task: JobTaskId) => void;
   /** See JobWorldOptions. */
-  readonly takesArrivalsFirst: boolean;
+  readonly deliversMessagesBeforeTimers: boolean;
 }
 
 /** One direction; its receiver may close before its sender knows. */
-class Lane {
+class LinkDirection {
   isOpen = true;
   private silentUntil: Monotonic = -Infinity;
   private readonly queue: (() => void)[] = [];
@@ -75,7 +75,7 @@
   }
 
   /** Nothing arrives until then, and neither end hears of it. */
-  hush(until: Monotonic): void {
+  silence(until: Monotonic): void {
     this.silentUntil = Math.max(this.silentUntil, until);
   }
 
@@ -89,17 +89,20 @@
 }
 
 /** Which way nothing arrives any more over a connection that stays open. */
-export type SilentWay = "to-side" | "to-leader" | "both";
+export type SilentDirection = "to-side" | "to-leader" | "both";
 
 export class SideLink implements HostSession {
-  private readonly toSide: Lane;
-  private readonly toLeader: Lane;
+  private readonly toSide: LinkDirection;
+  private readonly toLeader: LinkDirection;
   private readonly pending = new Set<(reason: Error) => void>();
 
   constructor(private readonly options: SideLinkOptions) {
-    const { clock, leaderClock, takesArrivalsFirst } = options;
-    this.toSide = new Lane(clock, options);
-    this.toLeader = new Lane(takesArrivalsFirst ? clock : leaderClock, options);
+    const { clock, leaderClock, deliversMessagesBeforeTimers } = options;
+    this.toSide = new LinkDirection(clock, options);
+    this.toLeader = new LinkDirection(
+      deliversMessagesBeforeTimers ? clock : leaderClock,
+      options,
+    );
   }
 
   get isOpenAtSide(): boolean {
@@ -111,7 +114,7 @@
   }
 
   startTask(call: StartTaskCall): Promise<HostCallResult> {
-    this.options.onOrder(call.task);
+    this.options.onStartOrder(call.task);
     return this.callSide(() => this.options.side.start(call));
   }
 
@@ -120,20 +123,22 @@
   }
 
   acknowledge(instance: WorkerInstance, acknowledged: number): void {
-    this.tellSide(() => this.options.side.acknowledge(instance, acknowledged));
+    this.sendToSide(() =>
+      this.options.side.acknowledge(instance, acknowledged),
+    );
   }
 
   describe(): void {
     // Paces are not modelled.
   }
 
-  tellSide(arrive: () => void): void {
+  sendToSide(arrive: () => void): void {
     this.toSide.send(() => {
       if (this.toSide.isOpen) arrive();
     });
   }
 
-  tellLeader(arrive: () => void): void {
+  sendToLeader(arrive: () => void): void {
     this.toLeader.send(() =>
       this.options.leaderClock.arrive(() => {
         if (this.toLeader.isOpen) arrive();
@@ -147,9 +152,9 @@
   }
 
   /** Nothing arrives until then, for good when it is infinite; the ends stay open. */
-  fallSilent(way: SilentWay, until: Monotonic): void {
-    if (way !== "to-leader") this.toSide.hush(until);
-    if (way !== "to-side") this.toLeader.hush(until);
+  fallSilent(way: SilentDirection, until: Monotonic): void {
+    if (way !== "to-leader") this.toSide.silence(until);
+    if (way !== "to-side") this.toLeader.silence(until);
   }
 
   /** The side's end closes; the leader hears of it when the link lets it. */
@@ -182,9 +187,9 @@
         fail(new Error("no answer")),
       );
       this.pending.add(fail);
-      this.tellSide(() => {
+      this.sendToSide(() => {
         void act().then((result) =>
-          this.tellLeader(() => {
+          this.sendToLeader(() => {
             timer.cancel();
             this.pending.delete(fail);
             resolve(result);
--- a/packages/checker/src/jobs/TaskRunner.ts
+++ b/packages/checker/src/jobs/TaskRunner.ts
@@ -11,73 +11,76 @@
 import type { GangBook } from "./GangBook.js";
 import type { RunHistory, RunSeen } from "./RunHistory.js";
 import type { TaskTraits } from "./TaskTraits.js";
-import type { Running, WorkerLife } from "./WorkerLife.js";
-import type { WorkerRoom } from "./WorkerRoom.js";
+import type { RunningTask, WorkerIncarnation } from "./WorkerIncarnation.js";
+import type { WorkerCapacity } from "./WorkerCapacity.js";
 
 export interface TaskRunnerOptions {
   readonly host: HostId;
   readonly clock: Clock;
   readonly history: RunHistory;
   readonly gangs: GangBook;
-  readonly room: WorkerRoom;
+  readonly capacity: WorkerCapacity;
   readonly traitsOf: (task: JobTaskId) => TaskTraits;
   /** Whether the worker is up in that life. */
-  readonly isPresent: (life: WorkerLife) => boolean;
+  readonly isUp: (incarnation: WorkerIncarnation) => boolean;
   /** A task that crashes its worker has begun in that life. */
-  readonly onCrashing: (life: WorkerLife) => void;
+  readonly onCrashingTask: (incarnation: WorkerIncarnation) => void;
 }
 
 export class TaskRunner {
   constructor(private readonly options: TaskRunnerOptions) {}
 
-  begin(life: WorkerLife, order: RunStart): StartOutcome {
-    if (order.epoch < life.epoch) return { kind: "refused", reason: "fenced" };
-    life.epoch = order.epoch;
-    if (life.running.has(runKeyOf(order))) {
-      life.extendLease(order.leaseUntil);
-      return { kind: "started", at: life.at };
+  begin(incarnation: WorkerIncarnation, order: RunStart): StartOutcome {
+    if (order.epoch < incarnation.epoch)
+      return { kind: "refused", reason: "fenced" };
+    incarnation.epoch = order.epoch;
+    if (incarnation.running.has(runKeyOf(order))) {
+      incarnation.extendLease(order.leaseUntil);
+      return { kind: "started", at: incarnation.at };
     }
-    if (life.isBarred(order)) {
-      life.extendLease(order.leaseUntil);
+    if (incarnation.isFenced(order)) {
+      incarnation.extendLease(order.leaseUntil);
       return { kind: "refused", reason: "old-run" };
     }
-    if (order.leaseUntil <= life.at) return { kind: "refused", reason: "late" };
-    life.extendLease(order.leaseUntil);
+    if (order.leaseUntil <= incarnation.at)
+      return { kind: "refused", reason: "late" };
+    incarnation.extendLease(order.leaseUntil);
     this.checkCheckpoint(order);
-    this.run(life, order);
-    return { kind: "started", at: life.at };
+    this.run(incarnation, order);
+    return { kind: "started", at: incarnation.at };
   }
 
   endLater(
-    life: WorkerLife,
-    running: Running,
+    incarnation: WorkerIncarnation,
+    running: RunningTask,
     ms: number,
     outcome: RunOutcome,
   ): void {
     this.options.clock.after(ms, () => {
-      if (this.options.isPresent(life)) this.end(life, running, outcome);
+      if (this.options.isUp(incarnation))
+        this.end(incarnation, running, outcome);
     });
   }
 
-  endAll(life: WorkerLife, outcome: RunOutcome): void {
-    if (!this.options.isPresent(life)) return;
-    for (const running of [...life.running.values()]) {
-      this.end(life, running, outcome);
+  endAll(incarnation: WorkerIncarnation, outcome: RunOutcome): void {
+    if (!this.options.isUp(incarnation)) return;
+    for (const running of [...incarnation.running.values()]) {
+      this.end(incarnation, running, outcome);
     }
   }
 
   /** All runs are gone with that life; nothing is listed. */
-  loseAll(life: WorkerLife): void {
+  dropAll(incarnation: WorkerIncarnation): void {
     const { clock, gangs } = this.options;
-    const lost = [...life.running.values()];
-    life.running.clear();
+    const lost = [...incarnation.running.values()];
+    incarnation.running.clear();
     for (const { seen, ref, gangKey } of lost) {
       seen.endedAt = clock.monotonic();
       if (gangKey !== undefined) gangs.left(gangKey, ref.task);
     }
   }
 
-  private run(life: WorkerLife, { task, run }: RunRef): void {
+  private run(incarnation: WorkerIncarnation, { task, run }: RunRef): void {
     const { clock, history, host, traitsOf } = this.options;
     const traits = traitsOf(task);
     const seen: RunSeen = {
@@ -91,29 +94,32 @@
     };
     const gangKey = traits.gang && `${stepOf(task)}#${run}`;
     const running = { ref: { task, run }, seen, traits, gangKey };
-    life.running.set(runKeyOf(running.ref), running);
+    incarnation.running.set(runKeyOf(running.ref), running);
     history.begin(seen);
-    this.checkRoom(life, seen);
-    if (traits.crashes) this.options.onCrashing(life);
+    this.checkCapacity(incarnation, seen);
+    if (traits.crashes) this.options.onCrashingTask(incarnation);
     if (traits.gang && gangKey !== undefined) {
-      const { gangs, isPresent } = this.options;
+      const { gangs, isUp } = this.options;
       gangs.join({ key: gangKey, ...traits.gang }, task, (how) => {
-        if (isPresent(life)) this.end(life, running, how);
+        if (isUp(incarnation)) this.end(incarnation, running, how);
       });
       return;
     }
     if (traits.runMs === undefined) return;
     const outcome = traits.fails ? "failed" : "done";
-    this.endLater(life, running, traits.runMs, outcome);
+    this.endLater(incarnation, running, traits.runMs, outcome);
   }
 
-  private checkRoom({ running }: WorkerLife, { beganAt }: RunSeen): void {
-    const { history, host, room } = this.options;
+  private checkCapacity(
+    { running }: WorkerIncarnation,
+    { beganAt }: RunSeen,
+  ): void {
+    const { history, host, capacity } = this.options;
     const taken = [...running.values()].reduce(
       (sum, other) => sum + other.traits.milliCores,
       0,
     );
-    if (taken <= room.allowed) return;
+    if (taken <= capacity.allowed) return;
     history.add("over-room", beganAt, `${host} runs ${taken}`);
   }
 
@@ -129,14 +135,18 @@
     if (!isOwn) history.add("unasked", clock.monotonic(), detail);
   }
 
-  private end(life: WorkerLife, running: Running, outcome: RunOutcome): void {
+  private end(
+    incarnation: WorkerIncarnation,
+    running: RunningTask,
+    outcome: RunOutcome,
+  ): void {
     const { ref, seen, gangKey } = running;
-    if (!life.running.delete(runKeyOf(ref))) return;
+    if (!incarnation.running.delete(runKeyOf(ref))) return;
     seen.endedAt = this.options.clock.monotonic();
     seen.outcome = outcome;
-    life.listEnd(running, outcome);
+    incarnation.listEnd(running, outcome);
     if (gangKey !== undefined) this.options.gangs.left(gangKey, ref.task);
-    life.wake();
+    incarnation.wakePolls();
   }
 }
 
--- a/packages/checker/src/jobs/WorkerRoom.ts
+++ b/packages/checker/src/jobs/WorkerCapacity.ts
@@ -2,15 +2,15 @@
 
 import type { Clock, Monotonic } from "@rackspan/common";
 
-const ROOM = {
+const CAPACITY = {
   /** Starts may fill a room that has shrunk this long after, milliseconds. */
-  shrunkMs: 3_500,
+  shrinkGraceMs: 3_500,
 } as const;
 
-export class WorkerRoom {
+export class WorkerCapacity {
   /** Thousandths of a core. */
-  private now: number;
-  private before: {
+  private current: number;
+  private previous: {
     readonly milliCores: number;
     readonly until: Monotonic;
   } = { milliCores: 0, until: -Infinity };
@@ -19,23 +19,23 @@
     private readonly clock: Clock,
     milliCores: number,
   ) {
-    this.now = milliCores;
+    this.current = milliCores;
   }
 
   get milliCores(): number {
-    return this.now;
+    return this.current;
   }
 
   change(milliCores: number): void {
-    const until = this.clock.monotonic() + ROOM.shrunkMs;
-    this.before = { milliCores: this.allowed, until };
-    this.now = milliCores;
+    const until = this.clock.monotonic() + CAPACITY.shrinkGraceMs;
+    this.previous = { milliCores: this.allowed, until };
+    this.current = milliCores;
   }
 
   /** What starts may fill: the news of a room that has shrunk takes its time. */
   get allowed(): number {
-    const { milliCores, until } = this.before;
+    const { milliCores, until } = this.previous;
     const isRecent = this.clock.monotonic() < until;
-    return Math.max(this.now, isRecent ? milliCores : 0);
+    return Math.max(this.current, isRecent ? milliCores : 0);
   }
 }
--- a/packages/checker/src/jobs/WorkerLife.ts
+++ b/packages/checker/src/jobs/WorkerIncarnation.ts
@@ -14,7 +14,7 @@
 import type { RunSeen } from "./RunHistory.js";
 import type { TaskTraits } from "./TaskTraits.js";
 
-const LIFE = {
+const INCARNATION_LIMITS = {
   /** The worker's clock begins anywhere up to this, milliseconds. */
   maxClockStart: 1e6,
   /** Its clock may run this share slow. */
@@ -22,42 +22,44 @@
   longestLeaseMs: 6_000,
 } as const;
 
-export interface Running {
+export interface RunningTask {
   readonly ref: RunRef;
   readonly seen: RunSeen;
   readonly traits: TaskTraits;
   readonly gangKey: string | undefined;
 }
 
-export interface WorkerLifeOptions {
+export interface WorkerIncarnationOptions {
   readonly instance: WorkerInstance;
   readonly clock: Clock;
   readonly random: Random;
   /** Its lease is over; what still runs is to end. */
-  readonly onLapsed: () => void;
+  readonly onLeaseExpired: () => void;
 }
 
-export class WorkerLife {
-  readonly running = new Map<string, Running>();
+export class WorkerIncarnation {
+  readonly running = new Map<string, RunningTask>();
   /** Highest epoch heard. */
   epoch = 0;
   private readonly bootedAt: Monotonic;
   private readonly clockStart: number;
   private readonly clockRate: number;
-  private readonly barred = new Map<JobTaskId, RunNumber>();
+  private readonly fencedRuns = new Map<JobTaskId, RunNumber>();
   private ended: { readonly end: EndedRun; readonly seen: RunSeen }[] = [];
   private endCount = 0;
   /** Ends that the lease outlived before they were taken note of. */
-  private readonly voided = new WeakSet<RunSeen>();
+  private readonly expiredEnds = new WeakSet<RunSeen>();
   private leaseUntil = 0;
-  private lapse: Timer | undefined;
-  private readonly waiting = new Set<() => void>();
+  private leaseTimer: Timer | undefined;
+  private readonly pollWaiters = new Set<() => void>();
 
-  constructor(private readonly options: WorkerLifeOptions) {
+  constructor(private readonly options: WorkerIncarnationOptions) {
     const { clock, random } = options;
     this.bootedAt = clock.monotonic();
-    this.clockStart = Math.floor(random.next() * LIFE.maxClockStart);
-    this.clockRate = 1 - random.next() * LIFE.maxDrift;
+    this.clockStart = Math.floor(
+      random.next() * INCARNATION_LIMITS.maxClockStart,
+    );
+    this.clockRate = 1 - random.next() * INCARNATION_LIMITS.maxDrift;
   }
 
   get instance(): WorkerInstance {
@@ -76,25 +78,25 @@
   }
 
   /** No run of the task up to this one begins any more. */
-  bar({ task, run }: RunRef): void {
-    const highest = Math.max(run, this.barred.get(task) ?? 0);
-    this.barred.set(task, highest as unknown as RunNumber);
+  fence({ task, run }: RunRef): void {
+    const highest = Math.max(run, this.fencedRuns.get(task) ?? 0);
+    this.fencedRuns.set(task, highest as unknown as RunNumber);
   }
 
-  isBarred({ task, run }: RunRef): boolean {
-    return run <= (this.barred.get(task) ?? 0);
+  isFenced({ task, run }: RunRef): boolean {
+    return run <= (this.fencedRuns.get(task) ?? 0);
   }
 
-  listEnd({ ref, seen }: Running, outcome: RunOutcome): void {
-    this.bar(ref);
+  listEnd({ ref, seen }: RunningTask, outcome: RunOutcome): void {
+    this.fence(ref);
     this.endCount += 1;
     const number = this.endCount;
     this.ended.push({ end: { ...ref, number, outcome, checkpoint: "" }, seen });
   }
 
-  forgetEnds(acknowledged: number): void {
+  dropAcknowledgedEnds(acknowledged: number): void {
     for (const { end, seen } of this.ended) {
-      if (end.number <= acknowledged && !this.voided.has(seen))
+      if (end.number <= acknowledged && !this.expiredEnds.has(seen))
         seen.noted = true;
     }
     this.ended = this.ended.filter(({ end }) => end.number > acknowledged);
@@ -102,41 +104,41 @@
 
   extendLease(until: WorkerTime): void {
     const now: number = this.at;
-    if (this.leaseUntil <= now) this.voidEnds();
-    const longest = now + LIFE.longestLeaseMs;
+    if (this.leaseUntil <= now) this.markEndsExpired();
+    const longest = now + INCARNATION_LIMITS.longestLeaseMs;
     this.leaseUntil = Math.max(this.leaseUntil, Math.min(until, longest));
-    this.lapse?.cancel();
+    this.leaseTimer?.cancel();
     const leftMs = (this.leaseUntil - now) / this.clockRate;
-    this.lapse = this.options.clock.after(leftMs, () => {
-      this.voidEnds();
-      this.options.onLapsed();
+    this.leaseTimer = this.options.clock.after(leftMs, () => {
+      this.markEndsExpired();
+      this.options.onLeaseExpired();
     });
   }
 
   /** The worker crashes: its lease lapses no more. */
-  end(): void {
-    this.lapse?.cancel();
+  cancelLeaseTimer(): void {
+    this.leaseTimer?.cancel();
   }
 
   async waitForEnd(waitMs: number): Promise<void> {
     await new Promise<void>((resolve) => {
       const wake = (): void => {
         timer.cancel();
-        this.waiting.delete(wake);
+        this.pollWaiters.delete(wake);
         resolve();
       };
       const timer = this.options.clock.after(waitMs, wake);
-      this.waiting.add(wake);
+      this.pollWaiters.add(wake);
     });
   }
 
-  wake(): void {
-    const waiting = [...this.waiting];
-    this.waiting.clear();
+  wakePolls(): void {
+    const waiting = [...this.pollWaiters];
+    this.pollWaiters.clear();
     for (const resolve of waiting) resolve();
   }
 
-  private voidEnds(): void {
-    for (const { seen } of this.ended) this.voided.add(seen);
+  private markEndsExpired(): void {
+    for (const { seen } of this.ended) this.expiredEnds.add(seen);
   }
 }
--- a/packages/checker/src/jobs/WorkerModel.ts
+++ b/packages/checker/src/jobs/WorkerModel.ts
@@ -32,8 +32,8 @@
 import type { RunHistory } from "./RunHistory.js";
 import { TaskRunner } from "./TaskRunner.js";
 import type { TaskTraits } from "./TaskTraits.js";
-import { WorkerLife } from "./WorkerLife.js";
-import { WorkerRoom } from "./WorkerRoom.js";
+import { WorkerIncarnation } from "./WorkerIncarnation.js";
+import { WorkerCapacity } from "./WorkerCapacity.js";
 
 export interface WorkerModelOptions {
   readonly host: HostId;
@@ -43,18 +43,18 @@
   readonly gangs: GangBook;
   readonly milliCores: number;
   readonly traitsOf: (task: JobTaskId) => TaskTraits;
-  readonly lives?: LivesOfWorker;
+  readonly incarnations?: IncarnationOptions;
 }
 
 /** How the lives of one worker are related. */
-export interface LivesOfWorker {
+export interface IncarnationOptions {
   /**
    * Whether an order without an answer may be carried out by the next life, as where both
    * stand under one id; not before its first call, since nothing could bar it then.
    */
-  readonly ordersOutlive: boolean;
+  readonly ordersOutliveIncarnation: boolean;
   /** Whether all lives have one name, as for an adapter that takes an id for a life. */
-  readonly bearOneName: boolean;
+  readonly shareOneInstance: boolean;
 }
 
 const WORKER = {
@@ -63,17 +63,17 @@
   /** Time for a stop, at the most; milliseconds. */
   stopMs: 200,
   /** Orders without an answer are carried out this much later, milliseconds. */
-  lateMs: { least: 2_000, most: 12_000 },
+  orderDelayMs: { least: 2_000, most: 12_000 },
   /** Share of the orders that come late while the fault is on. */
-  lateShare: 0.5,
+  delayedOrderShare: 0.5,
   /** A task that crashes its worker does so this long after its start, milliseconds. */
   crashAfterMs: 10,
   /** A worker that a task has crashed is back after this, at the most; milliseconds. */
-  backMs: 1_500,
+  maxDownMs: 1_500,
   /** A side has noticed by then that its worker is silent: a look that waits, and a call. */
-  noticedMs: 700,
+  silenceDetectedMs: 700,
   /** What is sent to a worker behind a cut may reach it up to this much later, milliseconds. */
-  heldUpMs: 3_000,
+  maxHeldUpMs: 3_000,
   /** Share of the calls that are held up at a cut; the others are lost. */
   heldUpShare: 0.5,
 } as const;
@@ -91,53 +91,53 @@
   /** When it was last heard, and undefined while it is. */
   silentSince: Monotonic | undefined;
   /** When it was heard again. */
-  heardSince: Monotonic = -Infinity;
+  reachableSince: Monotonic = -Infinity;
   /**
    * From then on nothing that was sent to the present life lets it run anything; leases
    * that looks bring once it is known to be silent are left out, as none is to be sent.
    */
-  sentLeasesOverBy: Monotonic = -Infinity;
+  sentLeasesExpireBy: Monotonic = -Infinity;
   private cut: WorkerCut | undefined;
   /** How long a look may wait for a worker short of processor time; milliseconds. */
-  slowMs = 0;
+  maxPollDelayMs = 0;
   /** Share of the calls whose connection falls silent. */
-  private silentShare = 0;
-  private lives = 0;
-  private life: WorkerLife;
+  private dropShare = 0;
+  private incarnationCount = 0;
+  private incarnation: WorkerIncarnation;
   private up = true;
   /** Whether connections are refused while it is down, as by a process that is gone. */
-  private refuses = false;
-  private readonly room: WorkerRoom;
+  private refusesConnections = false;
+  private readonly capacity: WorkerCapacity;
   private readonly runner: TaskRunner;
 
   constructor(private readonly options: WorkerModelOptions) {
     const { clock, milliCores } = options;
-    this.room = new WorkerRoom(clock, milliCores);
+    this.capacity = new WorkerCapacity(clock, milliCores);
     this.runner = new TaskRunner({
       ...options,
-      room: this.room,
-      isPresent: (life) => this.life === life && this.up,
-      onCrashing: (life) => this.crashSoon(life),
+      capacity: this.capacity,
+      isUp: (incarnation) => this.incarnation === incarnation && this.up,
+      onCrashingTask: (incarnation) => this.scheduleCrash(incarnation),
     });
-    this.life = this.bear();
+    this.incarnation = this.createIncarnation();
   }
 
   get instance(): WorkerInstance {
-    return this.life.instance;
+    return this.incarnation.instance;
   }
 
   /** Ends that it still lists: they are not acknowledged. */
   get listedEnds(): number {
-    return this.up ? this.life.listedEnds.length : 0;
+    return this.up ? this.incarnation.listedEnds.length : 0;
   }
 
   get milliCores(): number {
-    return this.room.milliCores;
+    return this.capacity.milliCores;
   }
 
   /** Its room shrinks or grows while it runs; its heartbeats tell it. */
-  changeRoom(milliCores: number): void {
-    this.room.change(milliCores);
+  changeCapacity(milliCores: number): void {
+    this.capacity.change(milliCores);
   }
 
   get isUp(): boolean {
@@ -145,55 +145,55 @@
   }
 
   /** Whether its side hears its heartbeats and answers. */
-  get isHeard(): boolean {
+  get isReachable(): boolean {
     return this.up && this.cut === undefined;
   }
 
   /** It goes on by itself, and its side hears nothing of it. */
-  cutOff(cut: WorkerCut): void {
+  disconnect(cut: WorkerCut): void {
     this.cut = cut;
-    this.noteHeard();
+    this.updateReachability();
   }
 
-  rejoin(): void {
+  reconnect(): void {
     this.cut = undefined;
-    this.noteHeard();
+    this.updateReachability();
   }
 
   /** From now on that share of the calls to it gets no answer. */
-  loseCalls(share: number): void {
-    this.silentShare = share;
-    if (share === 0) this.heardSince = this.options.clock.monotonic();
+  dropCalls(share: number): void {
+    this.dropShare = share;
+    if (share === 0) this.reachableSince = this.options.clock.monotonic();
   }
 
   /** Whether calls to it may get no answer although it is up. */
-  get losesCalls(): boolean {
-    return this.silentShare > 0;
+  get dropsCalls(): boolean {
+    return this.dropShare > 0;
   }
 
-  private noteHeard(): void {
+  private updateReachability(): void {
     const now = this.options.clock.monotonic();
-    if (!this.isHeard) {
+    if (!this.isReachable) {
       this.silentSince ??= now;
       return;
     }
-    if (this.silentSince !== undefined) this.heardSince = now;
+    if (this.silentSince !== undefined) this.reachableSince = now;
     this.silentSince = undefined;
   }
 
   /** All that runs there ends; nothing is listed. */
   crash(): void {
     this.up = false;
-    this.noteHeard();
-    this.life.end();
-    this.runner.loseAll(this.life);
-    this.life.wake();
+    this.updateReachability();
+    this.incarnation.cancelLeaseTimer();
+    this.runner.dropAll(this.incarnation);
+    this.incarnation.wakePolls();
   }
 
   /** Its process is gone, and connections to it are refused; the next life comes by itself. */
-  breakDown(backMs: number): void {
+  crashAndRestart(backMs: number): void {
     this.crash();
-    this.refuses = true;
+    this.refusesConnections = true;
     this.options.clock.after(backMs, () => {
       if (!this.up) this.revive();
     });
@@ -202,19 +202,21 @@
   /** Another life stands here from now on; one that is up ends before. */
   revive(): void {
     if (this.up) this.crash();
-    this.life = this.bear();
-    this.sentLeasesOverBy = -Infinity;
+    this.incarnation = this.createIncarnation();
+    this.sentLeasesExpireBy = -Infinity;
     this.up = true;
-    this.refuses = false;
-    this.noteHeard();
+    this.refusesConnections = false;
+    this.updateReachability();
   }
 
   async start(
     instance: WorkerInstance,
     order: RunStart,
   ): Promise<StartOutcome> {
-    this.noteSent(instance, order.leaseUntil);
-    return this.call(instance, () => this.runner.begin(this.life, order));
+    this.recordSentLease(instance, order.leaseUntil);
+    return this.call(instance, () =>
+      this.runner.begin(this.incarnation, order),
+    );
   }
 
   async stop(
@@ -223,15 +225,15 @@
     epoch: Epoch,
   ): Promise<WorkerTime> {
     return this.call(instance, () => {
-      this.fence(epoch);
-      const { life } = this;
-      life.bar(run);
-      const running = life.running.get(runKeyOf(run));
+      this.raiseEpoch(epoch);
+      const { incarnation } = this;
+      incarnation.fence(run);
+      const running = incarnation.running.get(runKeyOf(run));
       if (running) {
-        const ms = this.delay(WORKER.stopMs);
-        this.runner.endLater(life, running, ms, "stopped");
+        const ms = this.randomDelay(WORKER.stopMs);
+        this.runner.endLater(incarnation, running, ms, "stopped");
       }
-      return life.at;
+      return incarnation.at;
     });
   }
 
@@ -239,52 +241,52 @@
     instance: WorkerInstance,
     order: PollRequest,
   ): Promise<PollResponse> {
-    if (!this.isKnownSilent) this.noteSent(instance, order.leaseUntil);
-    await this.reach(instance, () => this.takeHold(order));
-    await this.holdUp();
-    const { life } = this;
-    this.takeHold(order);
-    if (order.waitMs > 0) await life.waitForEnd(order.waitMs);
-    if (!this.up && this.refuses) {
+    if (!this.isKnownSilent) this.recordSentLease(instance, order.leaseUntil);
+    await this.reach(instance, () => this.applyPoll(order));
+    await this.delayPoll();
+    const { incarnation } = this;
+    this.applyPoll(order);
+    if (order.waitMs > 0) await incarnation.waitForEnd(order.waitMs);
+    if (!this.up && this.refusesConnections) {
       throw new WorkerSilentError("the call broke off");
     }
-    await this.holdUp();
+    await this.delayPoll();
     await this.reach(instance);
-    const { at } = life;
+    const { at } = incarnation;
     return {
       at,
-      running: [...life.running.values()].map(({ ref, traits }) => ({
+      running: [...incarnation.running.values()].map(({ ref, traits }) => ({
         ...ref,
         checkpoint: traits.saves ? `${ref.task}@${at}` : "",
         progressPercent: 50,
         reading: traits.reading,
       })),
-      ended: life.listedEnds,
+      ended: incarnation.listedEnds,
       hasMoreEnds: false,
     };
   }
 
-  private takeHold({ epoch, acknowledged, leaseUntil }: PollRequest): void {
-    const { life } = this;
-    this.fence(epoch);
-    life.forgetEnds(acknowledged);
-    if (leaseUntil !== undefined) life.extendLease(leaseUntil);
+  private applyPoll({ epoch, acknowledged, leaseUntil }: PollRequest): void {
+    const { incarnation } = this;
+    this.raiseEpoch(epoch);
+    incarnation.dropAcknowledgedEnds(acknowledged);
+    if (leaseUntil !== undefined) incarnation.extendLease(leaseUntil);
   }
 
   private get isKnownSilent(): boolean {
     const now = this.options.clock.monotonic();
-    return now - (this.silentSince ?? now) > WORKER.noticedMs;
+    return now - (this.silentSince ?? now) > WORKER.silenceDetectedMs;
   }
 
-  private noteSent(
+  private recordSentLease(
     instance: WorkerInstance,
     leaseUntil: WorkerTime | undefined,
   ): void {
     if (instance !== this.instance || leaseUntil === undefined) return;
     const now = this.options.clock.monotonic();
-    this.sentLeasesOverBy = Math.max(
-      this.sentLeasesOverBy,
-      latestLeaseExpiry(now, leaseUntil - this.life.at),
+    this.sentLeasesExpireBy = Math.max(
+      this.sentLeasesExpireBy,
+      latestLeaseExpiry(now, leaseUntil - this.incarnation.at),
     );
   }
 
@@ -292,17 +294,19 @@
     await this.reach(instance);
   }
 
-  private bear(): WorkerLife {
+  private createIncarnation(): WorkerIncarnation {
     const { clock, random, host } = this.options;
-    this.lives += 1;
-    const name = this.options.lives?.bearOneName ? "1" : this.lives;
-    const life = new WorkerLife({
+    this.incarnationCount += 1;
+    const name = this.options.incarnations?.shareOneInstance
+      ? "1"
+      : this.incarnationCount;
+    const incarnation = new WorkerIncarnation({
       instance: brand<WorkerInstance>(`${host}-${name}`),
       clock,
       random,
-      onLapsed: () => this.runner.endAll(life, "lapsed"),
+      onLeaseExpired: () => this.runner.endAll(incarnation, "lapsed"),
     });
-    return life;
+    return incarnation;
   }
 
   /**
@@ -315,46 +319,48 @@
   ): Promise<void> {
     const { clock } = this.options;
     if (this.up && this.cut !== undefined) {
-      if (act && this.life.instance === instance) this.passCut(this.cut, act);
+      if (act && this.incarnation.instance === instance)
+        this.deliverWithoutAnswer(this.cut, act);
       await sleep(clock, WORKER.callTimeoutMs);
       throw new WorkerSilentError("it is cut off");
     }
-    if (this.up && this.drawsSilence()) return this.fallSilent(instance, act);
-    if (this.up) await sleep(clock, this.delay(WORKER.maxLatencyMs));
+    if (this.up && this.drawsDroppedCall()) return this.dropCall(instance, act);
+    if (this.up) await sleep(clock, this.randomDelay(WORKER.maxLatencyMs));
     if (!this.up) {
-      if (!this.refuses) await sleep(clock, WORKER.callTimeoutMs);
-      const mayHaveArrived = !this.refuses;
+      if (!this.refusesConnections) await sleep(clock, WORKER.callTimeoutMs);
+      const mayHaveArrived = !this.refusesConnections;
       throw new WorkerSilentError("it is down", undefined, mayHaveArrived);
     }
-    if (this.life.instance !== instance)
+    if (this.incarnation.instance !== instance)
       throw new WorkerReplacedError(instance);
   }
 
-  private drawsSilence(): boolean {
-    const { silentShare } = this;
-    return silentShare > 0 && this.options.random.next() < silentShare;
+  private drawsDroppedCall(): boolean {
+    const { dropShare } = this;
+    return dropShare > 0 && this.options.random.next() < dropShare;
   }
 
   /** @throws WorkerSilentError since the call's connection falls silent */
-  private async fallSilent(
+  private async dropCall(
     instance: WorkerInstance,
     act?: () => void,
   ): Promise<never> {
     const { clock, random } = this.options;
     const cut = random.next() < 0.5 ? "answers" : "calls";
-    if (act && this.life.instance === instance) this.passCut(cut, act);
+    if (act && this.incarnation.instance === instance)
+      this.deliverWithoutAnswer(cut, act);
     await sleep(clock, WORKER.callTimeoutMs);
     throw new WorkerSilentError("the connection fell silent");
   }
 
-  private passCut(cut: WorkerCut, act: () => void): void {
+  private deliverWithoutAnswer(cut: WorkerCut, act: () => void): void {
     const { clock, random } = this.options;
-    const { life } = this;
+    const { incarnation } = this;
     const isLost = cut === "calls" && random.next() >= WORKER.heldUpShare;
     if (isLost) return;
-    const mostMs = cut === "calls" ? WORKER.heldUpMs : WORKER.maxLatencyMs;
-    clock.after(this.delay(mostMs), () => {
-      if (this.life === life && this.up) tryTo(act);
+    const mostMs = cut === "calls" ? WORKER.maxHeldUpMs : WORKER.maxLatencyMs;
+    clock.after(this.randomDelay(mostMs), () => {
+      if (this.incarnation === incarnation && this.up) ignoreFencing(act);
     });
   }
 
@@ -362,54 +368,57 @@
    * The worker has not come to the look yet, or not to its answer.
    * @throws WorkerSilentError when the worker ends before
    */
-  private async holdUp(): Promise<void> {
-    if (this.slowMs === 0) return;
-    const { life } = this;
-    await sleep(this.options.clock, this.delay(this.slowMs));
-    const isOver = this.life !== life || !this.up;
+  private async delayPoll(): Promise<void> {
+    if (this.maxPollDelayMs === 0) return;
+    const { incarnation } = this;
+    await sleep(this.options.clock, this.randomDelay(this.maxPollDelayMs));
+    const isOver = this.incarnation !== incarnation || !this.up;
     if (isOver) throw new WorkerSilentError("the call broke off");
   }
 
   private async call<T>(instance: WorkerInstance, act: () => T): Promise<T> {
     const { clock, random } = this.options;
     await this.reach(instance, act);
-    const { life } = this;
-    if (!this.lateOrders || random.next() >= WORKER.lateShare) return act();
-    const { least, most } = WORKER.lateMs;
+    const { incarnation } = this;
+    if (!this.lateOrders || random.next() >= WORKER.delayedOrderShare)
+      return act();
+    const { least, most } = WORKER.orderDelayMs;
     clock.after(least + random.next() * (most - least), () => {
-      const isNext = this.life !== life && this.life.epoch > 0;
-      const outlives = isNext && this.options.lives?.ordersOutlive === true;
-      const mayAct = this.life === life || outlives;
-      if (mayAct && this.up) tryTo(act);
+      const isNext =
+        this.incarnation !== incarnation && this.incarnation.epoch > 0;
+      const outlives =
+        isNext && this.options.incarnations?.ordersOutliveIncarnation === true;
+      const mayAct = this.incarnation === incarnation || outlives;
+      if (mayAct && this.up) ignoreFencing(act);
     });
     await sleep(clock, WORKER.callTimeoutMs);
     throw new WorkerSilentError("the order got no answer");
   }
 
   /** @throws TaskRefusedError when a higher epoch was seen */
-  private fence(epoch: Epoch): void {
-    if (epoch < this.life.epoch) {
+  private raiseEpoch(epoch: Epoch): void {
+    if (epoch < this.incarnation.epoch) {
       throw new TaskRefusedError("a higher epoch was seen", true);
     }
-    this.life.epoch = epoch;
+    this.incarnation.epoch = epoch;
   }
 
   /** The task that has just begun takes its worker down; the next life comes by itself. */
-  private crashSoon(life: WorkerLife): void {
+  private scheduleCrash(incarnation: WorkerIncarnation): void {
     const { clock } = this.options;
     clock.after(WORKER.crashAfterMs, () => {
-      if (this.life !== life || !this.up) return;
-      this.breakDown(this.delay(WORKER.backMs));
+      if (this.incarnation !== incarnation || !this.up) return;
+      this.crashAndRestart(this.randomDelay(WORKER.maxDownMs));
     });
   }
 
-  private delay(mostMs: number): number {
+  private randomDelay(mostMs: number): number {
     return this.options.random.next() * mostMs;
   }
 }
 
 /** A fenced order that comes late does nothing, and gets no answer. */
-const tryTo = (act: () => void): void => {
+const ignoreFencing = (act: () => void): void => {
   try {
     act();
   } catch (err) {
--- a/packages/checker/src/jobs/chanceSchedules.ts
+++ b/packages/checker/src/jobs/chanceSchedules.ts
@@ -8,7 +8,7 @@
 import type { JobViolation } from "./RunHistory.js";
 import { between } from "./scheduleEvents.js";
 
-const CHANCE = {
+const SCHEDULE = {
   /** Work comes, and workers end, for this long, milliseconds. */
   troubledMs: 60_000,
   /** Between two jobs, at the most; milliseconds. */
@@ -26,7 +26,7 @@
 } as const;
 
 /** Jobs are given up with cause once workers have ended under so many runs of one task. */
-const CRASHES_TO_GIVE_UP = 2;
+const CRASHES_TO_FAIL = 2;
 
 export interface ChanceOutcome {
   readonly jobs: number;
@@ -43,33 +43,34 @@
 ): Promise<ChanceOutcome> => {
   const world = new JobWorld({
     seed,
-    endsFormerLinks: true,
+    closesPreviousLinks: true,
     unattendedLeaseMs: Infinity,
-    takesArrivalsFirst: true,
+    deliversMessagesBeforeTimers: true,
     failShare: 0,
     maxAttempts: 3,
   });
   const { clock, random, history } = world;
   await clock.advance(2_000);
-  const endAt = clock.monotonic() + CHANCE.troubledMs;
+  const endAt = clock.monotonic() + SCHEDULE.troubledMs;
   const repeat = (act: () => void, nextMs: () => number): void => {
     if (clock.monotonic() >= endAt) return;
     act();
     clock.after(nextMs(), () => repeat(act, nextMs));
   };
   repeat(
-    () => world.breakWorkerDown(CHANCE.backMs),
-    () => between(random, CHANCE.endsEveryMs.least, CHANCE.endsEveryMs.most),
+    () => world.crashAndRestartWorker(SCHEDULE.backMs),
+    () =>
+      between(random, SCHEDULE.endsEveryMs.least, SCHEDULE.endsEveryMs.most),
   );
   repeat(
-    () => world.slowWorker(CHANCE.slow.mostMs, CHANCE.slow.forMs),
-    () => CHANCE.slowEveryMs,
+    () => world.slowWorker(SCHEDULE.slow.mostMs, SCHEDULE.slow.forMs),
+    () => SCHEDULE.slowEveryMs,
   );
   repeat(
-    () => submitInnocent(world, random),
-    () => random.next() * CHANCE.maxPauseMs,
+    () => submitHarmlessJob(world, random),
+    () => random.next() * SCHEDULE.maxPauseMs,
   );
-  await clock.advance(CHANCE.troubledMs + CHANCE.finishMs);
+  await clock.advance(SCHEDULE.troubledMs + SCHEDULE.finishMs);
   for (const id of world.jobs.wanted) {
     if (!world.jobs.hasEnded(id))
       history.add("not-finished", clock.monotonic(), id);
@@ -77,7 +78,7 @@
   world.checkEnds();
   const givenUp = world.jobs.wanted.filter((id) => world.jobs.hasFailed(id));
   const withoutCause = givenUp.filter(
-    (id) => history.mostCrashes(id) < CRASHES_TO_GIVE_UP,
+    (id) => history.mostCrashes(id) < CRASHES_TO_FAIL,
   );
   for (const id of withoutCause) {
     history.add("given-up", clock.monotonic(), id);
@@ -100,7 +101,7 @@
   violations: [...a.violations, ...b.violations],
 });
 
-const submitInnocent = (world: JobWorld, random: SeededRandom): void => {
+const submitHarmlessJob = (world: JobWorld, random: SeededRandom): void => {
   const milliCores = 250 * (1 + pickIndex(random, 3));
   const demand = { memoryMiB: 100, accelerators: 0, milliCores };
   const estimateMs = between(random, 200, 1_500);
--- a/packages/checker/src/jobs/eventMixes.ts
+++ b/packages/checker/src/jobs/eventMixes.ts
@@ -5,7 +5,7 @@
   between,
   cancelJob,
   failStore,
-  silenceBesideLoss,
+  silenceWorkerAndLoseLeader,
   silenceCalls,
   silenceLink,
   silenceWorker,
@@ -20,11 +20,11 @@
 export type WeightedEvents = readonly (readonly [number, ScheduleEvent])[];
 
 /** The usual ones. */
-export const EVENTS: WeightedEvents = [
+export const BASIC_EVENTS: WeightedEvents = [
   [40, submitJob],
   [8, cancelJob],
   [7, (world, random) => world.crashWorkers(0.5, between(random, 100, 900))],
-  [5, (world, random) => world.carryOutLate(between(random, 500, 3_000))],
+  [5, (world, random) => world.delayOrders(between(random, 500, 3_000))],
   [6, (world, random) => world.cutLink(between(random, 100, 8_000))],
   [4, (world) => world.resetLink()],
   [4, (world) => world.restartSide()],
@@ -36,13 +36,13 @@
 
 /** Harsher ones, beside those above. */
 export const HARSH_EVENTS: WeightedEvents = [
-  ...EVENTS,
+  ...BASIC_EVENTS,
   [25, submitSpecialJob],
   [3, (world, random) => world.restartSide(between(random, 50, 1_500))],
   [
     4,
     (world, random) =>
-      world.leave(
+      world.drainAndDeregister(
         between(random, 200, 2_500),
         between(random, 0, 6),
         between(random, 50, 1_500),
@@ -52,9 +52,13 @@
 ];
 
 /** The leader's process is often short of processor time for a moment. */
-export const STARVED_EVENTS: WeightedEvents = [
-  ...EVENTS,
-  [20, (world, random) => world.leaders.starve(between(random, 200, 1_500))],
+export const STARVED_LEADER_EVENTS: WeightedEvents = [
+  ...BASIC_EVENTS,
+  [
+    20,
+    (world, random) =>
+      world.leaders.starveOfProcessorTime(between(random, 200, 1_500)),
+  ],
 ];
 
 /**
@@ -70,7 +74,7 @@
   [3, (world) => world.restartSide()],
   [5, (world, random) => world.leaders.suspend(between(random, 500, 9_000))],
   [3, (world) => world.leaders.kill()],
-  [8, (world, random) => world.changeRoom(between(random, 0.25, 1))],
+  [8, (world, random) => world.changeCapacity(between(random, 0.25, 1))],
 ];
 
 /** Zones that are evacuated, also all at once, beside everything harsh. */
@@ -88,7 +92,7 @@
  * are carried out late, by the next life too. Sides go on: what one has forgotten it
  * cannot bar.
  */
-export const REBORN_EVENTS: WeightedEvents = [
+export const WORKER_RESTART_EVENTS: WeightedEvents = [
   [40, submitJob],
   [25, submitSpecialJob],
   [8, cancelJob],
@@ -99,7 +103,7 @@
   [
     4,
     (world, random) =>
-      world.leave(
+      world.drainAndDeregister(
         between(random, 200, 2_500),
         between(random, 0, 6),
         between(random, 50, 1_500),
@@ -107,28 +111,28 @@
   ],
   [10, (world, random) => world.crashTwice(between(random, 1, 1_000))],
   [6, (world, random) => world.crashWorkers(0.4, between(random, 0, 40))],
-  [8, (world, random) => world.carryOutLate(between(random, 500, 3_000))],
+  [8, (world, random) => world.delayOrders(between(random, 500, 3_000))],
 ];
 
 /** The same, and sides that are started anew, which know nothing of the one before. */
-export const FORGETTING_EVENTS: WeightedEvents = [
-  ...REBORN_EVENTS,
+export const SIDE_RESTART_EVENTS: WeightedEvents = [
+  ...WORKER_RESTART_EVENTS,
   [5, (world) => world.restartSide()],
-  [5, (world, random) => world.loseSide(between(random, 300, 3_000))],
+  [5, (world, random) => world.stopSide(between(random, 300, 3_000))],
 ];
 
 /**
  * Connections that fall silent without a reset, between all ends, heartbeats that come
  * after their sender's end, and workers that are back at once; beside everything harsh.
  */
-export const SILENCED_EVENTS: WeightedEvents = [
+export const SILENT_CONNECTION_EVENTS: WeightedEvents = [
   ...HARSH_EVENTS,
   [12, silenceLink],
   [8, silenceCalls],
   [
     6,
     (world, random) =>
-      world.delayBeats(
+      world.delayHeartbeats(
         between(random, 200, 6_000),
         between(random, 500, 6_000),
       ),
@@ -136,7 +140,7 @@
   [
     10,
     (world, random) =>
-      world.crashBesideLateBeats(
+      world.crashWithLateHeartbeats(
         between(random, 300, 5_000),
         between(random, 1, 600),
       ),
@@ -156,17 +160,17 @@
   [40, submitSmallJob],
   [6, cancelJob],
   [8, silenceWorker],
-  [6, (world, random) => world.carryOutLate(between(random, 500, 3_000))],
+  [6, (world, random) => world.delayOrders(between(random, 500, 3_000))],
   [3, (world, random) => world.cutLink(between(random, 100, 3_000))],
   [3, (world) => world.resetLink()],
   [3, (world) => world.restartSide()],
-  [3, (world, random) => world.loseSide(between(random, 300, 6_000))],
+  [3, (world, random) => world.stopSide(between(random, 300, 6_000))],
 ];
 
 /** The same, and workers that fall silent as a leader is dropped. */
-export const DROPPED_EVENTS: WeightedEvents = [
+export const REPLACED_LEADER_EVENTS: WeightedEvents = [
   ...SUCCESSION_EVENTS,
-  [8, silenceBesideLoss],
+  [8, silenceWorkerAndLoseLeader],
 ];
 
 /** Connections that fall silent between all ends, beside leaders that are lost in a row. */
--- a/packages/checker/src/jobs/jobSchedules.ts
+++ b/packages/checker/src/jobs/jobSchedules.ts
@@ -4,32 +4,32 @@
 import { maxUnattendedLeaseMs } from "@rackspan/leadership";
 import {
   CRASHING_EVENTS,
-  DROPPED_EVENTS,
+  REPLACED_LEADER_EVENTS,
   EVACUATING_EVENTS,
-  EVENTS,
-  FORGETTING_EVENTS,
+  BASIC_EVENTS,
+  SIDE_RESTART_EVENTS,
   HARSH_EVENTS,
   LEADER_LOSSES,
   pickEvent,
-  REBORN_EVENTS,
-  SILENCED_EVENTS,
+  WORKER_RESTART_EVENTS,
+  SILENT_CONNECTION_EVENTS,
   SILENT_SUCCESSION_EVENTS,
-  STARVED_EVENTS,
+  STARVED_LEADER_EVENTS,
   SUCCESSION_EVENTS,
   type WeightedEvents,
 } from "./eventMixes.js";
 import { JobWorld, type JobWorldOptions } from "./JobWorld.js";
-import { LASTING_GAP_MS, type JobViolation } from "./RunHistory.js";
+import { MAX_LASTING_GAP_MS, type JobViolation } from "./RunHistory.js";
 import {
   between,
-  silenceBesideLoss,
+  silenceWorkerAndLoseLeader,
   submitSmallJob,
   type ScheduleEvent,
 } from "./scheduleEvents.js";
 
 const SCHEDULE = {
   /** Faults and work come for this long, milliseconds. */
-  troubledMs: 24_000,
+  faultsMs: 24_000,
   /** Between two events, milliseconds. */
   maxPauseMs: 320,
   /** After the last fault: take-overs, late orders and leases are over then. */
@@ -40,64 +40,67 @@
   finishMs: 25_000,
   /** Workers that fall silent one after the other, and what each round takes. */
   rounds: 4,
-  jobsARound: 6,
+  jobsPerRound: 6,
   roundMs: 14_000,
   /** A worker that is lost in calm stays away this long, and its tasks begin elsewhere meanwhile. */
-  lostMs: 9_000,
+  workerDownMs: 9_000,
   /** A side that is started anew attaches and renews the lease within this. */
-  sideBackMs: 3_000,
+  sideRestartMs: 3_000,
 } as const;
 
-interface Harshness extends Omit<JobWorldOptions, "seed"> {
+interface ScheduleOptions extends Omit<JobWorldOptions, "seed"> {
   readonly events: WeightedEvents;
   /** How a leader is lost, some seconds after the one before; none is when undefined. */
   readonly losses?: readonly ScheduleEvent[];
   /** Whether workers crash, or runs fail, by themselves, so that any job may be given up. */
-  readonly mayGiveUp: boolean;
+  readonly mayFailPermanently: boolean;
 }
 
-const PLAIN: Harshness = {
-  events: EVENTS,
-  endsFormerLinks: true,
+const BASIC: ScheduleOptions = {
+  events: BASIC_EVENTS,
+  closesPreviousLinks: true,
   unattendedLeaseMs: Infinity,
-  takesArrivalsFirst: false,
+  deliversMessagesBeforeTimers: false,
   failShare: 0.06,
   maxAttempts: 3,
-  mayGiveUp: true,
+  mayFailPermanently: true,
 };
 
-const HARSH: Harshness = {
-  ...PLAIN,
+const HARSH: ScheduleOptions = {
+  ...BASIC,
   events: HARSH_EVENTS,
   // Shorter than the lease that leaders grant.
   unattendedLeaseMs: 4_000,
 };
 
-const STARVED: Harshness = {
-  ...PLAIN,
-  events: STARVED_EVENTS,
-  takesArrivalsFirst: true,
+const STARVED_LEADER: ScheduleOptions = {
+  ...BASIC,
+  events: STARVED_LEADER_EVENTS,
+  deliversMessagesBeforeTimers: true,
   failShare: 0.5,
   maxAttempts: 2,
 };
 
-const CRASHING: Harshness = {
-  ...PLAIN,
+const CRASHING_TASKS: ScheduleOptions = {
+  ...BASIC,
   events: CRASHING_EVENTS,
-  takesArrivalsFirst: true,
+  deliversMessagesBeforeTimers: true,
   failShare: 0,
-  mayGiveUp: false,
+  mayFailPermanently: false,
 };
 
-const EVACUATING: Harshness = { ...HARSH, events: EVACUATING_EVENTS };
+const EVACUATIONS: ScheduleOptions = { ...HARSH, events: EVACUATING_EVENTS };
 
-const REBORN: Harshness = {
+const WORKER_RESTARTS: ScheduleOptions = {
   ...HARSH,
-  events: REBORN_EVENTS,
-  lives: { ordersOutlive: true, bearOneName: false },
+  events: WORKER_RESTART_EVENTS,
+  incarnations: { ordersOutliveIncarnation: true, shareOneInstance: false },
 };
 
-const SILENCED: Harshness = { ...HARSH, events: SILENCED_EVENTS };
+const SILENT_CONNECTIONS: ScheduleOptions = {
+  ...HARSH,
+  events: SILENT_CONNECTION_EVENTS,
+};
 
 /**
  * Plays one seed with connections that fall silent and heartbeats of lives that are
@@ -105,29 +108,31 @@
  */
 export const runSilencedSchedule = (
   seed: number,
-): Promise<readonly JobViolation[]> => runSchedule(seed, SILENCED);
+): Promise<readonly JobViolation[]> => runSchedule(seed, SILENT_CONNECTIONS);
 
-const SUCCESSION: Harshness = {
+const SUCCESSION: ScheduleOptions = {
   ...HARSH,
   events: SUCCESSION_EVENTS,
   failShare: 0,
-  takesArrivalsFirst: true,
-  judgesWaits: true,
+  deliversMessagesBeforeTimers: true,
+  checksRestartDelays: true,
   losses: LEADER_LOSSES,
 };
 
 /**
  * Plays one seed with leaders that are lost in a row beside silent workers.
- * @param bearOneId whether the lives of a worker stand under one id
+ * @param sharesOneId whether the lives of a worker stand under one id
  * @returns what broke, in order
  */
 export const runSuccessionSchedule = (
   seed: number,
-  bearOneId = seed % 4 === 0,
+  sharesOneId = seed % 4 === 0,
 ): Promise<readonly JobViolation[]> =>
   runSchedule(seed, {
     ...SUCCESSION,
-    lives: bearOneId ? { ordersOutlive: true, bearOneName: false } : undefined,
+    incarnations: sharesOneId
+      ? { ordersOutliveIncarnation: true, shareOneInstance: false }
+      : undefined,
   });
 
 /**
@@ -139,13 +144,13 @@
 ): Promise<readonly JobViolation[]> =>
   runSchedule(seed, { ...SUCCESSION, events: SILENT_SUCCESSION_EVENTS });
 
-const DROPPED: Harshness = {
+const REPLACED_LEADER: ScheduleOptions = {
   ...SUCCESSION,
-  events: DROPPED_EVENTS,
+  events: REPLACED_LEADER_EVENTS,
   // The lease that leaders grant is longer by more than their term.
   unattendedLeaseMs: 2_500,
-  losses: [...LEADER_LOSSES, (world) => world.leaders.drop()],
-  staysWithGranter: true,
+  losses: [...LEADER_LOSSES, (world) => world.leaders.replaceWithoutNotice()],
+  staysWithGrantingLeader: true,
 };
 
 /**
@@ -155,32 +160,35 @@
  */
 export const runDroppedLeaderSchedule = (
   seed: number,
-): Promise<readonly JobViolation[]> => runSchedule(seed, DROPPED);
+): Promise<readonly JobViolation[]> => runSchedule(seed, REPLACED_LEADER);
 
 /**
  * Plays one seed with workers that start again at once under their ids.
- * @param takesIdForLife whether the adapter does not tell their lives apart
+ * @param sharesOneInstance whether the adapter does not tell their lives apart
  * @returns what broke, in order
  */
 export const runRebornSchedule = (
   seed: number,
-  takesIdForLife = false,
+  sharesOneInstance = false,
 ): Promise<readonly JobViolation[]> =>
   runSchedule(seed, {
-    ...REBORN,
-    lives: { ordersOutlive: true, bearOneName: takesIdForLife },
+    ...WORKER_RESTARTS,
+    incarnations: {
+      ordersOutliveIncarnation: true,
+      shareOneInstance: sharesOneInstance,
+    },
   });
 
 /** Plays one seed of the same with sides that are started anew. @returns what broke, in order */
 export const runForgettingSchedule = (
   seed: number,
 ): Promise<readonly JobViolation[]> =>
-  runSchedule(seed, { ...REBORN, events: FORGETTING_EVENTS });
+  runSchedule(seed, { ...WORKER_RESTARTS, events: SIDE_RESTART_EVENTS });
 
 /** Plays one seed with zones that are evacuated. @returns what broke, in order */
 export const runEvacuatingSchedule = (
   seed: number,
-): Promise<readonly JobViolation[]> => runSchedule(seed, EVACUATING);
+): Promise<readonly JobViolation[]> => runSchedule(seed, EVACUATIONS);
 
 /**
  * Plays one seed with tasks that crash their workers and machines that are
@@ -188,12 +196,12 @@
  */
 export const runCrashingSchedule = async (
   seed: number,
-): Promise<readonly JobViolation[]> => runSchedule(seed, CRASHING);
+): Promise<readonly JobViolation[]> => runSchedule(seed, CRASHING_TASKS);
 
 /** Plays one seed to its rest. @returns what broke, in order */
 export const runJobSchedule = (
   seed: number,
-): Promise<readonly JobViolation[]> => runSchedule(seed, PLAIN);
+): Promise<readonly JobViolation[]> => runSchedule(seed, BASIC);
 
 /** Plays one seed with jobs of all kinds and more faults. @returns what broke, in order */
 export const runHarshSchedule = (
@@ -206,7 +214,7 @@
  */
 export const runStarvedSchedule = (
   seed: number,
-): Promise<readonly JobViolation[]> => runSchedule(seed, STARVED);
+): Promise<readonly JobViolation[]> => runSchedule(seed, STARVED_LEADER);
 
 /**
  * Plays one seed where leaders take what comes over former connections of a host.
@@ -216,7 +224,7 @@
 export const runFormerSchedule = (
   seed: number,
 ): Promise<readonly JobViolation[]> =>
-  runSchedule(seed, { ...PLAIN, endsFormerLinks: false });
+  runSchedule(seed, { ...BASIC, closesPreviousLinks: false });
 
 /** Each one 2 to 8 s after the one before, from now on. */
 const loseLeaders = (
@@ -234,37 +242,44 @@
 
 const runSchedule = async (
   seed: number,
-  { events, mayGiveUp, losses = [], ...options }: Harshness,
+  { events, mayFailPermanently, losses = [], ...options }: ScheduleOptions,
 ): Promise<readonly JobViolation[]> => {
   const world = new JobWorld({ seed, ...options });
   const { clock, random } = world;
   await clock.advance(2_000);
-  const endAt = clock.monotonic() + SCHEDULE.troubledMs;
+  const endAt = clock.monotonic() + SCHEDULE.faultsMs;
   if (losses.length > 0) loseLeaders(world, losses, endAt);
   while (clock.monotonic() < endAt) {
     pickEvent(events, random)(world, random);
     await clock.advance(random.next() * SCHEDULE.maxPauseMs);
   }
-  world.restoreRooms();
-  await finish(world, mayGiveUp);
+  world.restoreCapacities();
+  await finish(world, mayFailPermanently);
   return world.history.violations;
 };
 
 /** Plays the world until it is idle, and checks what can be told only then. */
-const finish = async (world: JobWorld, mayGiveUp: boolean): Promise<void> => {
+const finish = async (
+  world: JobWorld,
+  mayFailPermanently: boolean,
+): Promise<void> => {
   const { clock } = world;
   await clock.advance(SCHEDULE.settleMs);
   for (const id of world.jobs.wanted)
     if (world.jobs.isLasting(id)) world.cancel(id);
   await clock.advance(SCHEDULE.cancelledMs);
-  for (const task of world.unwantedRuns()) {
+  for (const task of world.runsOfCancelledJobs()) {
     world.history.add("unasked", clock.monotonic(), `${task} runs on`);
   }
   await clock.advance(SCHEDULE.finishMs);
   for (const id of world.jobs.wanted) {
     if (!world.jobs.hasEnded(id))
       world.history.add("not-finished", clock.monotonic(), id);
-    if (mayGiveUp || world.jobs.isCrashing(id) || !world.jobs.hasFailed(id))
+    if (
+      mayFailPermanently ||
+      world.jobs.isCrashing(id) ||
+      !world.jobs.hasFailed(id)
+    )
       continue;
     world.history.add("given-up", clock.monotonic(), id);
   }
@@ -278,31 +293,31 @@
 export const runReturnSchedule = async (
   seed: number,
 ): Promise<readonly JobViolation[]> => {
-  const { mayGiveUp } = DROPPED;
-  const world = new JobWorld({ ...DROPPED, seed });
+  const { mayFailPermanently } = REPLACED_LEADER;
+  const world = new JobWorld({ ...REPLACED_LEADER, seed });
   const { clock, random } = world;
   for (let round = 0; round < SCHEDULE.rounds; round += 1) {
     await clock.advance(between(random, 2_000, 3_000));
-    for (let job = 0; job < SCHEDULE.jobsARound; job += 1) {
+    for (let job = 0; job < SCHEDULE.jobsPerRound; job += 1) {
       submitSmallJob(world, random);
     }
     await clock.advance(between(random, 300, 1_000));
-    silenceBesideLoss(world, random);
+    silenceWorkerAndLoseLeader(world, random);
     await clock.advance(SCHEDULE.roundMs);
   }
-  await finish(world, mayGiveUp);
+  await finish(world, mayFailPermanently);
   return world.history.violations;
 };
 
-const CALM: Harshness = {
-  ...PLAIN,
+const LASTING_ONLY: ScheduleOptions = {
+  ...BASIC,
   failShare: 0,
   unattendedLeaseMs: maxUnattendedLeaseMs({
-    minMs: SCHEDULE.sideBackMs,
+    minMs: SCHEDULE.sideRestartMs,
     outOfTouchMs: undefined,
     cancelMs: undefined,
     stopMs: undefined,
-    lastingGapMs: LASTING_GAP_MS,
+    lastingGapMs: MAX_LASTING_GAP_MS,
   }),
 };
 
@@ -316,16 +331,16 @@
   seed: number,
   losses = 1,
 ): Promise<readonly JobViolation[]> => {
-  const world = new JobWorld({ ...CALM, seed });
+  const world = new JobWorld({ ...LASTING_ONLY, seed });
   const { clock, random, jobs } = world;
   const demand = { memoryMiB: 100, accelerators: 0, milliCores: 40 };
-  for (let job = 0; job < SCHEDULE.jobsARound; job += 1) {
+  for (let job = 0; job < SCHEDULE.jobsPerRound; job += 1) {
     world.submit([{ taskCount: 2, demand, lasting: true }]);
   }
   for (let lost = 0; lost < losses; lost += 1) {
     await clock.advance(between(random, 3_000, 4_000));
-    world.loseWorker(SCHEDULE.lostMs);
-    await clock.advance(SCHEDULE.lostMs);
+    world.loseWorker(SCHEDULE.workerDownMs);
+    await clock.advance(SCHEDULE.workerDownMs);
   }
   world.history.checkGaps(
     (task) => jobs.isLastingTask(task),
--- a/packages/checker/src/jobs/scheduleEvents.ts
+++ b/packages/checker/src/jobs/scheduleEvents.ts
@@ -4,7 +4,7 @@
 import type { StoreFault } from "@rackspan/standins";
 import type { ImageName } from "@rackspan/state";
 import type { JobWorld } from "./JobWorld.js";
-import type { SilentWay } from "./SideLink.js";
+import type { SilentDirection } from "./SideLink.js";
 
 /** What may happen in a schedule; it draws whatever it needs. */
 export type ScheduleEvent = (world: JobWorld, random: SeededRandom) => void;
@@ -107,15 +107,15 @@
  * A worker falls silent as its leader is lost, or stays; in half of the cases it comes
  * back while its side and the leader cannot reach each other.
  */
-export const silenceBesideLoss: ScheduleEvent = (world, random) => {
+export const silenceWorkerAndLoseLeader: ScheduleEvent = (world, random) => {
   const cut = random.next() < 0.6 ? "answers" : "calls";
   const ms = between(random, 1_000, 3_000);
   if (random.next() < 0.5)
-    world.hideReturn(cut, ms, between(random, 500, 6_000));
+    world.reconnectWorkerBehindCut(cut, ms, between(random, 500, 6_000));
   else world.cutWorker(cut, 3 * ms);
   const draw = random.next();
   if (draw < 0.2) world.leaders.kill();
-  else if (draw < 0.7) world.leaders.drop();
+  else if (draw < 0.7) world.leaders.replaceWithoutNotice();
 };
 
 const STORE_FAULTS: readonly StoreFault[] = [
@@ -129,11 +129,17 @@
   world.failStore(fault as StoreFault, between(random, 100, 3_000));
 };
 
-const SILENT_WAYS: readonly SilentWay[] = ["to-side", "to-leader", "both"];
+const SILENT_DIRECTIONS: readonly SilentDirection[] = [
+  "to-side",
+  "to-leader",
+  "both",
+];
 
 /** For good, or until late bytes of it arrive beside the next connection. */
 export const silenceLink: ScheduleEvent = (world, random) => {
-  const way = SILENT_WAYS[pickIndex(random, SILENT_WAYS.length)] as SilentWay;
+  const way = SILENT_DIRECTIONS[
+    pickIndex(random, SILENT_DIRECTIONS.length)
+  ] as SilentDirection;
   const ms = random.next() < 0.5 ? Infinity : between(random, 100, 5_000);
   if (random.next() < 0.2) world.silenceLinks(way, ms);
   else world.silenceLink(way, ms);
