--- a/packages/checker/src/jobs/GangBook.ts
+++ b/packages/checker/src/jobs/GangBook.ts
@@ -1,18 +1,18 @@
-/** Gangs as workers run them: they begin when all members are there, and end as one. */
+/** Models gangs: a gang starts running when all members have started, and ends as a unit. */
 
 import type { Clock, JobTaskId } from "@rackspan/common";
 import type { RunOutcome } from "@rackspan/ports";
 
 const GANG = {
-  /** A member waits this long for the others, milliseconds. */
+  /** How long a member waits for the other members, milliseconds. */
   waitMs: 1_500,
-  /** After one has ended the others notice it this much later, milliseconds. */
+  /** Delay until the other members end after one member has ended, milliseconds. */
   breakMs: 20,
 } as const;
 
-/** What all members of one run share. */
+/** The values that all members of one gang run share. */
 export interface GangRun {
-  /** Step and run number. */
+  /** The step of the job and the run number. */
   readonly key: string;
   readonly size: number;
   readonly runMs: number;
@@ -32,7 +32,7 @@
 
   constructor(private readonly clock: Clock) {}
 
-  /** A member is there. @param end ends it at its worker */
+  /** Adds a member that has started. @param end ends the member at its worker */
   join(run: GangRun, task: JobTaskId, end: EndMember): void {
     const group = this.groups.get(run.key) ?? this.open(run.key);
     group.members.set(task, end);
@@ -42,7 +42,7 @@
     this.clock.after(run.runMs, () => finish(group, run.fails));
   }
 
-  /** A member has ended, or its worker has. */
+  /** Removes a member that has ended, or whose worker has ended; the other members then end too. */
   left(key: string, task: JobTaskId): void {
     const group = this.groups.get(key);
     if (!group?.members.delete(task) || !group.hasBegun) return;
--- a/packages/checker/src/jobs/HostModel.ts
+++ b/packages/checker/src/jobs/HostModel.ts
@@ -1,4 +1,4 @@
-/** One host: a modelled worker under the product's own side, and its link to a leader. */
+/** Models one host: a modelled worker, the real side code and its connection to a leader. */
 
 import {
   Metrics,
@@ -31,14 +31,14 @@
   heartbeatMs: 300,
   reportEveryMs: 500,
   statusWaitMs: 125,
-  /** A worker that has not been seen for this long since the side attached is silent. */
+  /** A worker without an answered poll for this long after the side attached is silent. */
   unpolledMs: 500,
-  /** A leader that grants nothing for this long may have been replaced. */
+  /** A leader that grants no lease for this long may have been replaced. */
   ungrantedMs: 700,
   callTimeoutMs: 1_200,
   maxUnanswered: 2,
   findLeaderEveryMs: 200,
-  /** The leader closes a connection that was silent for this long. */
+  /** The leader closes a connection that has been silent for this long. */
   connectionTimeoutMs: 4_000,
 } as const;
 
@@ -51,19 +51,19 @@
   readonly worker: WorkerModel;
   /** How far ahead the side renews the worker's lease, milliseconds. */
   readonly unattendedLeaseMs: number;
-  /** Longest lease that the worker takes, milliseconds. */
+  /** Longest lease that the worker accepts, milliseconds. */
   readonly longestLeaseMs: number;
   /** See JobWorldOptions. */
   readonly deliversMessagesBeforeTimers: boolean;
   /** See JobWorldOptions. */
   readonly staysWithGrantingLeader: boolean;
-  /** The leader that the store names; undefined when it names none. */
+  /** Returns the leader that the store names; undefined when it names none. */
   readonly findLeader: () => LeaderModel | undefined;
-  /** A leader orders a start here. */
+  /** Called when a leader orders a start on this host. */
   readonly onStartOrder: (task: JobTaskId) => void;
 }
 
-/** One process of the side. */
+/** The components of one side process. */
 interface SideProcess {
   readonly registry: WorkerRegistry;
   readonly watch: WorkerWatch;
@@ -71,7 +71,7 @@
   readonly abort: AbortController;
 }
 
-/** A connection over which the side has attached, and to whom. */
+/** A connection over which the side has attached, and the leader that it attached to. */
 interface Attachment {
   readonly link: SideLink;
   readonly leader: LeaderModel;
@@ -81,13 +81,16 @@
   /** Whether side and leader cannot reach each other. */
   isCut = false;
   draining = false;
-  /** How late heartbeats arrive, at the most; also after their sender's end. Milliseconds. */
+  /** Maximum delay of heartbeats, milliseconds; they arrive even after their sender has ended. */
   maxHeartbeatDelayMs = 0;
   private sequence = 0;
   private side: SideProcess;
   private link: SideLink | undefined;
   private attachment: Attachment | undefined;
-  /** What a side before has sent was sent by then; the first one cannot tell that it is. */
+  /**
+   * Everything that previous side processes sent was sent by this time. The first side process
+   * also waits for it, because it cannot detect that there was none before it.
+   */
   private previousSidesUntil: Monotonic;
 
   constructor(private readonly options: HostModelOptions) {
@@ -108,7 +111,7 @@
     return this.options.worker;
   }
 
-  /** Whether the side has attached to that leader, and messages pass both ways. */
+  /** Whether the side has attached to the leader and messages pass in both directions. */
   isAttachedTo(leader: LeaderModel): boolean {
     const { attachment } = this;
     if (attachment?.leader !== leader || this.isCut) return false;
@@ -117,8 +120,8 @@
   }
 
   /**
-   * From then on nothing that a side has sent lets the worker run anything; a side that
-   * was started anew knows of what was sent before only when that was.
+   * The time from which no lease that a side has sent is valid at the worker. A restarted side
+   * has no record of the leases sent before it, only of the time by which they were sent.
    */
   get leasesExpireBy(): Monotonic {
     const { worker, longestLeaseMs } = this.options;
@@ -130,14 +133,14 @@
   }
 
   /**
-   * Another process of the side, which knows nothing of the one before.
-   * @param overlapMs for which both of them run
+   * Replaces the side by a new process without any state of the previous one.
+   * @param overlapMs how long both processes run, milliseconds
    */
   restartSide(overlapMs = 0): void {
-    const former = this.side;
+    const previous = this.side;
     const stop = (): void => {
-      former.abort.abort();
-      void former.watch.stop();
+      previous.abort.abort();
+      void previous.watch.stop();
     };
     if (overlapMs === 0) stop();
     else this.options.clock.after(overlapMs, stop);
@@ -146,7 +149,7 @@
     this.side = this.startSide();
   }
 
-  /** The side ends, and another process of it starts after that time. */
+  /** Ends the side process and starts a new one after the given time. */
   stopSide(ms: number): void {
     const { clock } = this.options;
     const lost = this.side;
@@ -157,23 +160,23 @@
     });
   }
 
-  /** The worker says that it leaves, and ends a moment later. */
+  /** Deregisters the worker, which then ends after `lingerMs`. */
   deregister(lingerMs: number): void {
     const { clock, worker } = this.options;
     const { instance } = worker;
     if (!worker.isUp) return;
-    this.side.registry.recordGone(instance, "it said that it leaves");
+    this.side.registry.recordGone(instance, "it deregistered");
     clock.after(lingerMs, () => {
       if (worker.instance === instance && worker.isUp) worker.crash();
     });
   }
 
-  /** The connection breaks; both ends hear of it. */
+  /** Resets the connection; both ends are notified. */
   resetLink(): void {
     this.link?.closeAtSide(() => undefined);
   }
 
-  /** The connection of now falls silent for that time; the ends stay open. */
+  /** Makes the current connection silent for the given time; both ends stay open. */
   silenceLink(way: SilentDirection, ms: number): void {
     this.link?.fallSilent(way, this.options.clock.monotonic() + ms);
   }
@@ -363,7 +366,7 @@
     }
   }
 
-  /** A call to the leader; undefined when it got no answer in time. */
+  /** Calls the leader. @returns undefined when no answer arrives in time */
   private async callLeader<T>(
     link: SideLink,
     act: () => T | undefined,
@@ -388,7 +391,7 @@
   private close(link: SideLink, leader: LeaderModel): void {
     const { host, clock } = this.options;
     link.closeAtSide(() => leader.detach(host, link));
-    // Behind a cut the leader hears nothing, and closes for silence.
+    // While the link is cut, the leader receives nothing and closes the connection after a timeout.
     clock.after(HOST.connectionTimeoutMs, () =>
       link.closeAtLeader(() => leader.detach(host, link)),
     );
--- a/packages/checker/src/jobs/JobWorld.ts
+++ b/packages/checker/src/jobs/JobWorld.ts
@@ -1,4 +1,4 @@
-/** A site on one clock: hosts, one leader after the other, jobs, faults. */
+/** Simulates a site on one clock: hosts, successive leaders, jobs and faults. */
 
 import {
   brand,
@@ -42,11 +42,11 @@
 const WORLD = {
   hosts: 5,
   milliCores: 4_000,
-  /** How often it is looked at what waits, milliseconds. */
+  /** Interval of the checks of restart delays, milliseconds. */
   checkEveryMs: 25,
-  /** Workers that may be silent at once, so that the others have room for all. */
+  /** Maximum number of silent workers, so that the others have capacity for all tasks. */
   maxSilentWorkers: 2,
-  /** A link is cut this long before a worker's return that it hides, milliseconds. */
+  /** The link is cut this long before the worker is reachable again behind the cut, milliseconds. */
   cutBeforeReturnMs: 100,
 } as const;
 
@@ -67,22 +67,22 @@
   readonly seed: number;
   /** See LeaderModelOptions. */
   readonly closesPreviousLinks: boolean;
-  /** How far ahead sides renew the leases of their workers, milliseconds. */
+  /** How far ahead sides renew the leases of their workers without a leader, milliseconds. */
   readonly unattendedLeaseMs: number;
   /**
-   * Whether a leader that stood still takes all that has come before its late
-   * timers, as processes do; else these come in the order in which they were due.
+   * Whether a leader that was stalled handles all queued messages before its overdue
+   * timers, as real processes do; otherwise they run in the order in which they were due.
    */
   readonly deliversMessagesBeforeTimers: boolean;
-  /** Share of the runs that fail by themselves. */
+  /** Share of the runs that fail without an injected fault. */
   readonly failShare: number;
-  /** How often a task may fail. */
+  /** Failure limit of a task. */
   readonly maxAttempts: number;
   /** See WorkerModelOptions. */
   readonly incarnations?: IncarnationOptions | undefined;
-  /** Whether the waits of tasks of silent workers are checked. */
+  /** Whether the restart delays of tasks of silent workers are checked. */
   readonly checksRestartDelays?: boolean;
-  /** Whether sides ask the store who leads only once nothing was granted for a while. */
+  /** Whether sides query the store for the leader only after a time without any grant. */
   readonly staysWithGrantingLeader?: boolean;
 }
 
@@ -95,10 +95,10 @@
   readonly random: SeededRandom;
   readonly jobs: SubmittedJobs;
   readonly leaders: LeaderSuccession;
-  /** Zones that leaders see as evacuated. */
+  /** Availability zones that leaders see as evacuated. */
   private readonly evacuated = new Set<AvailabilityZone>();
   private evacuations = 0;
-  /** By zone: only the last evacuation that was asked for takes it back. */
+  /** Latest evacuation by availability zone; only the latest one may end it. */
   private readonly lastEvacuation = new Map<AvailabilityZone, number>();
   private readonly restartDelays: RestartDelayChecker;
 
@@ -135,7 +135,7 @@
     );
   }
 
-  /** A job whose first task crashes each worker that starts it. */
+  /** Submits a job whose first task crashes each worker that starts it. */
   submitCrashing(steps: readonly Partial<StepSpec>[]): void {
     this.jobs.crashNext();
     this.submit(steps);
@@ -149,7 +149,7 @@
     );
   }
 
-  /** Workers fall silent together and come back as other lives. */
+  /** Crashes a share of the workers together; they return as new incarnations. */
   crashWorkers(share: number, downMs: number): void {
     for (const host of this.hosts) {
       if (this.random.next() >= share || !host.worker.isUp) continue;
@@ -161,8 +161,8 @@
   }
 
   /**
-   * A worker falls silent, and is back under another life after that time; never when
-   * it is infinite. Does nothing while enough others are silent.
+   * Crashes a worker, which returns as a new incarnation after the given time, or never when
+   * it is infinite. Does nothing while the maximum number of workers is silent.
    */
   loseWorker(downMs: number): void {
     this.silenceWorker(
@@ -172,7 +172,7 @@
     );
   }
 
-  /** A worker falls silent and goes on by itself; its side hears it again after that time. */
+  /** Cuts a worker, which runs on, from its side; reconnects it after the given time. */
   cutWorker(cut: WorkerCut, ms: number): HostModel | undefined {
     return this.silenceWorker(
       ({ worker }) => worker.disconnect(cut),
@@ -181,7 +181,7 @@
     );
   }
 
-  /** It comes back while its side and the leader cannot reach each other. */
+  /** Cuts a worker that becomes reachable again while its side and the leader are cut off. */
   reconnectWorkerBehindCut(
     cut: WorkerCut,
     ms: number,
@@ -211,20 +211,20 @@
     return host;
   }
 
-  /** A worker ends whatever runs there; connections to it are refused until it is back. */
+  /** Crashes a worker with all its runs; connections to it are refused until it is back. */
   crashAndRestartWorker(backMs: number): void {
     const { worker } = this.pickHost();
     if (worker.isUp) worker.crashAndRestart(backMs);
   }
 
-  /** A worker is short of processor time: its looks and their answers wait. */
+  /** Makes a worker short of processor time: polls and their answers are delayed. */
   slowWorker(mostMs: number, forMs: number): void {
     const { worker } = this.pickHost();
     worker.maxPollDelayMs = mostMs;
     this.clock.after(forMs, () => (worker.maxPollDelayMs = 0));
   }
 
-  /** A worker crashes and is back at once; after that time once more. */
+  /** Crashes a worker, which returns at once, and crashes it again after the given time. */
   crashTwice(ms: number): void {
     const { worker } = this.pickHost();
     const crash = (): void => {
@@ -248,7 +248,7 @@
     this.clock.after(ms, () => (host.worker.lateOrders = false));
   }
 
-  /** @param overlapMs for which the side before runs beside the next one */
+  /** @param overlapMs how long the previous side runs beside the new one, milliseconds */
   restartSide(overlapMs = 0): void {
     this.pickHost().restartSide(overlapMs);
   }
@@ -257,7 +257,7 @@
     this.pickHost().stopSide(ms);
   }
 
-  /** A worker drains, says that it leaves, and ends up to some milliseconds later. */
+  /** Drains and deregisters a worker, which ends `lingerMs` later and returns after `downMs`. */
   drainAndDeregister(drainMs: number, lingerMs: number, downMs: number): void {
     const host = this.pickHost();
     const { instance } = host.worker;
@@ -271,14 +271,14 @@
     });
   }
 
-  /** All workers, sides and the leader end at once, and come back. */
+  /** Ends the leader, all sides and all workers at once; they start again. */
   losePower(downMs: number): void {
     this.leaders.kill();
     for (const host of this.hosts) host.restartSide();
     this.crashWorkers(1, downMs);
   }
 
-  /** Nothing more is to begin in a zone, or in any; it is taken back after that time. */
+  /** Evacuates a share of the availability zones and ends the evacuation after the given time. */
   evacuate(share: number, ms: number): void {
     for (const zone of ZONES) {
       if (this.random.next() < share) this.evacuateZone(zone, ms);
@@ -306,31 +306,31 @@
     this.pickHost().resetLink();
   }
 
-  /** A connection between a side and its leader falls silent; new ones work. */
+  /** Makes a connection between a side and its leader silent; new connections work. */
   silenceLink(way: SilentDirection, ms: number): void {
     this.pickHost().silenceLink(way, ms);
   }
 
-  /** Those of all sides at once. */
+  /** Makes the connections of all sides silent at once. */
   silenceLinks(way: SilentDirection, ms: number): void {
     for (const host of this.hosts) host.silenceLink(way, ms);
   }
 
-  /** Connections to a worker fall silent, each with one call on it; new ones work. */
+  /** Makes connections to a worker silent, each with one call on it; new connections work. */
   silenceCalls(share: number, forMs: number): void {
     const { worker } = this.pickHost();
     worker.dropCalls(share);
     this.clock.after(forMs, () => worker.dropCalls(0));
   }
 
-  /** A worker's heartbeats come late for a while. */
+  /** Delays the heartbeats of a worker for the given time. */
   delayHeartbeats(lateMs: number, forMs: number): void {
     const host = this.pickHost();
     host.maxHeartbeatDelayMs = lateMs;
     this.clock.after(forMs, () => (host.maxHeartbeatDelayMs = 0));
   }
 
-  /** Its heartbeats come late, and it ends twice within that time. */
+  /** Delays the heartbeats of a worker and crashes it twice within that time. */
   crashWithLateHeartbeats(lateMs: number, backMs: number): void {
     const host = this.pickHost();
     const { worker } = host;
@@ -351,7 +351,7 @@
     this.clock.after(ms, () => (host.draining = false));
   }
 
-  /** @param share of the room that workers have at first */
+  /** @param share of the initial capacity of workers */
   changeCapacity(share: number): void {
     this.pickHost().worker.changeCapacity(share * WORLD.milliCores);
   }
@@ -371,7 +371,7 @@
     this.clock.after(WORLD.checkEveryMs, () => this.checkRestartDelays());
   }
 
-  /** Runs of cancelled jobs. */
+  /** Open runs of cancelled jobs. */
   runsOfCancelledJobs(): readonly JobTaskId[] {
     return this.history
       .openRuns()
--- a/packages/checker/src/jobs/LeaderModel.ts
+++ b/packages/checker/src/jobs/LeaderModel.ts
@@ -1,4 +1,4 @@
-/** One term of leading: the product's own engine in a process that may stand still. */
+/** Models one term of a leader: the real job engine in a process that can be paused. */
 
 import {
   Metrics,
@@ -31,14 +31,14 @@
 
 export const LEADERSHIP = {
   ttlMs: 2_500,
-  /** The leader stops deciding this long before its term may be over. */
+  /** The leader stops deciding this long before its term may have ended. */
   marginMs: 150,
   joinEveryMs: 500,
   leaseMs: 6_000,
   stopMs: 200,
 } as const;
 
-/** Longest time until a leader sees what the store keeps, milliseconds. */
+/** Maximum delay until a leader sees what the store has persisted, milliseconds. */
 export const VIEW_LAG_MS = 60;
 
 export interface LeaderModelOptions {
@@ -46,11 +46,11 @@
   readonly clock: Clock;
   readonly store: StoreClient;
   readonly queue: QueueSpec;
-  /** Whether a host that attaches ends its connection before, as leaders do. */
+  /** Whether an attaching host closes its previous connection, as at real leaders. */
   readonly closesPreviousLinks: boolean;
-  /** What the entry's view says of the zone now. */
+  /** Whether the view of the entry currently shows the availability zone as evacuated. */
   readonly isEvacuated: (zone: AvailabilityZone) => boolean;
-  /** Jobs as the entry's view holds them now, and whether they were cancelled. */
+  /** Jobs in the current view of the entry, and whether they were cancelled. */
   readonly jobs: () => Iterable<{
     readonly accepted: AcceptedJob;
     readonly isCancelled: boolean;
@@ -59,15 +59,15 @@
 
 export class LeaderModel {
   readonly clock: ProcessClock;
-  /** Whether it reaches sides and not the store. */
+  /** Whether the leader reaches sides but not the store. */
   isCutFromStore = false;
-  /** When the store last confirmed its term, by the store's own time. */
+  /** When the store last confirmed the term, by the clock of the store. */
   confirmedAt: Monotonic;
   engine: JobEngine | undefined;
   private readonly links = new Map<HostId, SideLink>();
-  /** The connection of each host that attached last. */
+  /** The connection over which each host attached last. */
   private readonly attached = new Map<HostId, SideLink>();
-  /** By host: when all that this leader has granted its worker is over. */
+  /** By host: when all leases that this leader has granted to its worker have expired. */
   private readonly grantExpiry = new Map<HostId, Monotonic>();
   private readonly writers: TopicWriter[] = [];
   private hasEnded = false;
@@ -82,18 +82,18 @@
     return this.clock.isDead;
   }
 
-  /** Whether it takes reports and gives orders. */
+  /** Whether the leader handles reports and sends orders. */
   get canDecide(): boolean {
     const isAwake = !this.clock.isDead && !this.clock.standsStill;
     return isAwake && this.engine !== undefined && this.mayDecide();
   }
 
-  /** From then on the host's worker runs nothing that this leader has let it run. */
+  /** When the last lease that this leader granted to the worker of the host expires. */
   grantsExpireAt(host: HostId): Monotonic {
     return this.grantExpiry.get(host) ?? -Infinity;
   }
 
-  /** Reads what the store keeps, and begins. */
+  /** Reads the stored state and starts the engine. */
   async begin(): Promise<void> {
     const { epoch, queue } = this.options;
     const takenOverAt = this.clock.monotonic();
@@ -144,8 +144,8 @@
     this.engine = engine;
     for (const { accepted, isCancelled } of this.options.jobs()) {
       const { id } = accepted.spec;
-      const kept = progress.get(id as unknown as string);
-      engine.addJob(accepted, kept && decodeProgress(id, kept));
+      const stored = progress.get(id as unknown as string);
+      engine.addJob(accepted, stored && decodeProgress(id, stored));
       if (isCancelled) engine.cancelJob(id);
     }
     engine.start();
@@ -164,7 +164,7 @@
     if (!this.hasEnded) this.engine?.cancelJob(id);
   }
 
-  /** The operator has written something. */
+  /** Handles a change by the operator. */
   handleOperatorChange(): void {
     if (!this.hasEnded) this.engine?.handleOperatorChange();
   }
@@ -181,10 +181,10 @@
   }
 
   private closePreviousLink(host: HostId, link: SideLink): void {
-    const former = this.attached.get(host);
+    const previous = this.attached.get(host);
     this.attached.set(host, link);
-    if (former === link) return;
-    former?.closeAtLeader(() => this.detach(host, former));
+    if (previous === link) return;
+    previous?.closeAtLeader(() => this.detach(host, previous));
   }
 
   detach(host: HostId, link: SideLink): void {
@@ -202,7 +202,7 @@
     return this.engine.handleReport(host, zone, report);
   }
 
-  /** @returns whether it may still grant leases; undefined when it does not answer */
+  /** @returns whether the leader may still grant leases; undefined when it does not answer */
   handleWorkerSilent(
     host: HostId,
     overInMs: number | undefined,
@@ -222,12 +222,13 @@
     void this.engine?.handleWorkerGone(host, instance, lostRuns, unheardEnds);
   }
 
-  /** Its term is over: it decides nothing more, and its connections end. */
+  /** Ends the term: the leader makes no more decisions and closes its connections. */
   end(): void {
     if (this.hasEnded) return;
     this.hasEnded = true;
     this.engine?.stop();
-    for (const writer of this.writers) writer.close(new Error("term over"));
+    for (const writer of this.writers)
+      writer.close(new Error("the term has ended"));
     this.closeLinks();
   }
 
@@ -286,7 +287,7 @@
           records.flatMap(({ key, value }) => (value ? [[key, value]] : [])),
         );
       } catch {
-        // The store is away: it is asked again for as long as the term lasts.
+        // The store is unavailable: the read is retried for as long as the term lasts.
         if (this.hasEnded || this.isDead) return new Map();
         await new Promise<void>((resolve) => this.clock.after(100, resolve));
       }
--- a/packages/checker/src/jobs/LeaderSuccession.ts
+++ b/packages/checker/src/jobs/LeaderSuccession.ts
@@ -1,4 +1,4 @@
-/** The leaders of a modelled site, one after the other, and how each is lost or delayed. */
+/** The successive leaders of a modelled site, and the faults that end or delay them. */
 
 import type { Clock, Epoch } from "@rackspan/common";
 import {
@@ -7,7 +7,7 @@
   type LeaderModelOptions,
 } from "./LeaderModel.js";
 
-/** How often the store looks whether a term is over, milliseconds. */
+/** Interval at which the store checks whether the term has ended, milliseconds. */
 const ELECTION_MS = 100;
 
 export interface LeaderSuccessionOptions extends Omit<
@@ -29,12 +29,12 @@
     this.elect();
   }
 
-  /** The last one that began, also after its end. */
+  /** The leader with the latest term, also after its end. */
   get latest(): LeaderModel | undefined {
     return this.leader;
   }
 
-  /** The one that the store names. */
+  /** The leader that the store names. */
   get named(): LeaderModel | undefined {
     return this.leader?.isDead ? undefined : this.leader;
   }
@@ -55,7 +55,7 @@
     );
   }
 
-  /** What comes is taken, but the leader's timers wait: it is short of processor time. */
+  /** Makes the leader short of processor time: messages are handled, but its timers wait. */
   starveOfProcessorTime(ms: number): void {
     const { leader } = this;
     if (!leader || leader.isDead) return;
@@ -71,19 +71,19 @@
     this.leader?.kill();
   }
 
-  /** For good: the store gives the leadership to another one once its term is over. */
+  /** Cuts the leader from the store for good: another one is elected once its term has ended. */
   cutFromStore(): void {
     if (this.leader) this.leader.isCutFromStore = true;
   }
 
-  /** The store makes another entry lead at once, and the one before does not hear of it. */
+  /** The store elects another entry at once, and the previous leader is not notified. */
   replaceWithoutNotice(): void {
     if (!this.leader?.canDecide) return;
     this.leader.isCutFromStore = true;
     this.beginTerm();
   }
 
-  /** The store makes another entry lead once the last one's term is over. */
+  /** Elects another entry once the last term has ended. */
   private elect(): void {
     const { leader } = this;
     const { clock } = this.options;
--- a/packages/checker/src/jobs/RestartDelayChecker.ts
+++ b/packages/checker/src/jobs/RestartDelayChecker.ts
@@ -1,7 +1,7 @@
 /**
- * Judges how long tasks of silent workers wait for their next run while leaders change:
- * until no lease that was sent to those workers lasts any more, and from then on only
- * until one leader has heard of it from all sides.
+ * Checks how long tasks of silent workers wait for their next run while leaders change. They
+ * may wait until all leases sent to those workers have expired and all sides have reported
+ * this to one leader; from then on the next run must start within a bounded time.
  */
 
 import type { Clock, JobTaskId, Monotonic } from "@rackspan/common";
@@ -12,18 +12,18 @@
 import { wasLost, type RunHistory, type RunSeen } from "./RunHistory.js";
 
 const DELAY_LIMITS = {
-  /** Time for a side to tell a leader, for its next pass and for the order; milliseconds. */
+  /** Time for the report to a leader, its next scheduling cycle and the order, milliseconds. */
   startMs: 700,
-  /** A worker that is heard again is looked at and reported within this, milliseconds. */
+  /** Time within which a worker that is reachable again is polled and reported, milliseconds. */
   rejoinMs: 1_500,
 } as const;
 
-/** A run on a worker that has fallen silent. */
+/** A run on a worker that has become silent. */
 interface LostRun {
   readonly seen: RunSeen;
   readonly host: HostModel;
   readonly silentSince: Monotonic;
-  /** When a start of its task was last ordered. */
+  /** When a start of the task was last ordered. */
   orderedAt: Monotonic;
 }
 
@@ -32,19 +32,19 @@
   readonly history: RunHistory;
   readonly hosts: () => readonly HostModel[];
   readonly leader: () => LeaderModel | undefined;
-  /** Whether the task is to run: its job was not cancelled, and has not ended. */
+  /** Whether the task is to run: its job was not cancelled and has not ended. */
   readonly isWanted: (task: JobTaskId) => boolean;
 }
 
 export class RestartDelayChecker {
   private lost: LostRun[] = [];
-  /** Since when the leader could know that nothing is hidden; undefined while it cannot. */
+  /** Since when the leader's status of all workers is complete; undefined while it is not. */
   private statusCompleteSince: Monotonic | undefined;
   private lastLeader: LeaderModel | undefined;
 
   constructor(private readonly options: RestartDelayCheckerOptions) {}
 
-  /** The worker has just fallen silent. @param runs that were under way there */
+  /** Records a worker that has just become silent. @param runs its open runs */
   recordSilent(host: HostModel, runs: readonly RunSeen[]): void {
     const { silentSince } = host.worker;
     if (silentSince === undefined) return;
@@ -61,7 +61,7 @@
     }
   }
 
-  /** Is called every few milliseconds. */
+  /** Checks the restart delays; called every few milliseconds. */
   check(): void {
     const now = this.options.clock.monotonic();
     const leader = this.options.leader();
@@ -81,7 +81,7 @@
     this.lost = this.lost.filter((run) => !isLate(run));
   }
 
-  /** Tasks that were lost before may be suspected, and wait for a host of their own. */
+  /** A task that was lost before may be a suspect, which waits for a host of its own. */
   private wasLostBefore(lost: RunSeen): boolean {
     const runs = this.options.history.runsOf(lost.task);
     return runs.some((run) => run !== lost && wasLost(run));
@@ -100,7 +100,7 @@
     });
   }
 
-  /** Whether its worker is silent on, and its task has no later run. */
+  /** Whether the worker is still silent and the task has no later run. */
   private isPending({ seen, host, silentSince }: LostRun): boolean {
     const { history, isWanted } = this.options;
     if (host.worker.silentSince !== silentSince) return false;
@@ -114,11 +114,11 @@
   ): void {
     const { history, clock } = this.options;
     const silentSince = Math.round(host.worker.silentSince ?? 0);
-    const detail = `${seen.task}#${seen.run} at ${seen.host}, silent since ${silentSince}, known to be over since ${Math.round(statusCompleteSince)}`;
+    const detail = `${seen.task}#${seen.run} at ${seen.host}, silent since ${silentSince}, known to have expired since ${Math.round(statusCompleteSince)}`;
     history.add("waits", clock.monotonic(), detail);
   }
 }
 
-/** When it shows whether the order has come to anything. */
+/** When it is known whether the order has started a run. */
 const orderSettledBy = ({ orderedAt }: LostRun): Monotonic =>
   latestLeaseExpiry(orderedAt, ENGINE.startLeaseMs) + ENGINE.missedReportMs;
--- a/packages/checker/src/jobs/RunHistory.ts
+++ b/packages/checker/src/jobs/RunHistory.ts
@@ -1,18 +1,18 @@
-/** What workers really ran, as an observer of all of them sees it. */
+/** Records the runs that actually took place at all workers, and the violations found in them. */
 
 import type { HostId, JobTaskId, Monotonic, RunNumber } from "@rackspan/common";
 import type { RunOutcome } from "@rackspan/ports";
 
-/** One run at one life of a worker. */
+/** One run at one incarnation of a worker. */
 export interface RunSeen {
   readonly task: JobTaskId;
   readonly run: RunNumber;
   readonly host: HostId;
   readonly beganAt: Monotonic;
   endedAt: Monotonic | undefined;
-  /** Undefined while it runs, and when its worker crashed. */
+  /** Undefined while the run goes on, and when its worker crashed. */
   outcome: RunOutcome | undefined;
-  /** Whether the leader has let the worker forget the end, its lease unbroken since. */
+  /** Whether the leader acknowledged the end while the worker's lease was still unbroken. */
   noted: boolean;
 }
 
@@ -33,19 +33,19 @@
   readonly detail: string;
 }
 
-/** Starts that may crash their workers before a task is given up. */
+/** Maximum number of starts that crash their workers before a task fails permanently. */
 const MAX_CRASHED_STARTS = 5;
 
-/** Nothing begins in a zone this long after its evacuation was asked for, milliseconds. */
+/** From this long after an evacuation request no run starts in the zone, milliseconds. */
 const EVACUATION_GRACE_MS = 5_000;
 
-/** Users want a lasting task to have a run again this long after its last one, milliseconds. */
+/** Users expect a lasting task to run again within this time after its last run, milliseconds. */
 export const MAX_LASTING_GAP_MS = 6_000;
 
 export class RunHistory {
   readonly violations: JobViolation[] = [];
   private readonly byTask = new Map<JobTaskId, RunSeen[]>();
-  /** Hosts of evacuated zones, and since when. */
+  /** Hosts of evacuated availability zones, with the time of the evacuation request. */
   private readonly evacuated = new Map<HostId, Monotonic>();
 
   noteEvacuated(host: HostId, at: Monotonic): void {
@@ -76,14 +76,14 @@
     return this.byTask.get(task) ?? [];
   }
 
-  /** Runs that go on now. */
+  /** Runs that have not ended. */
   openRuns(): readonly RunSeen[] {
     return [...this.byTask.values()]
       .flat()
       .filter(({ endedAt }) => endedAt === undefined);
   }
 
-  /** Tasks that are to last had a next run in time after each one. */
+  /** Checks that each run of a lasting task is followed by the next run in time. */
   checkGaps(isLasting: (task: JobTaskId) => boolean, now: Monotonic): void {
     for (const [task, runs] of this.byTask) {
       if (!isLasting(task)) continue;
@@ -97,7 +97,7 @@
     }
   }
 
-  /** What can be told only at the end: which ends were taken note of. */
+  /** Checks what is known only at the end of a schedule: which ends were acknowledged. */
   checkEnds(
     maxAttempts: number,
     isLasting: (task: JobTaskId) => boolean,
@@ -110,7 +110,7 @@
     }
   }
 
-  /** Under how many runs of one task of the job workers ended, at the most. */
+  /** Largest number of runs of any one task of the job that ended by a crash of the worker. */
   mostCrashes(job: string): number {
     const crashes = [...this.byTask]
       .filter(([task]) => task.startsWith(`${job}.`))
@@ -118,7 +118,7 @@
     return Math.max(0, ...crashes);
   }
 
-  /** For a task that crashes each worker that starts it: all its runs ended so. */
+  /** Checks the crash limit for a task that crashes each worker that starts it. */
   checkCrashes(task: JobTaskId): void {
     const runs = [...this.runsOf(task)].sort((a, b) => a.beganAt - b.beganAt);
     const [past] = runs.slice(MAX_CRASHED_STARTS);
@@ -134,7 +134,7 @@
     const isBefore = ({ noted, endedAt }: RunSeen): boolean =>
       noted && (endedAt ?? Infinity) < run.beganAt;
     const endedBefore = runs.filter(isBefore);
-    // The end of one member stands for all.
+    // The end of one gang member counts for all members.
     const done = [...endedBefore, ...ofGang.filter(isBefore)].find(
       ({ outcome }) => outcome === "done",
     );
@@ -145,7 +145,7 @@
         `${show(run)}, ${show(done)}`,
       );
     }
-    // A gang fails as one, whichever of its members did.
+    // A gang fails as a unit, whichever member failed.
     const counted = ofGang.length > 0 ? ofGang.filter(isBefore) : endedBefore;
     const failures = counted.filter(({ outcome }) => outcome === "failed");
     const failedRuns = new Set(failures.map(({ run: number }) => number));
@@ -155,7 +155,7 @@
   }
 }
 
-/** Whether it ended with its worker, or with its worker's lease. */
+/** Whether the run ended by a crash of its worker or by the expiry of the worker's lease. */
 export const wasLost = (run: RunSeen): boolean =>
   wasCrashed(run) || run.outcome === "lapsed";
 
--- a/packages/checker/src/jobs/SideLink.ts
+++ b/packages/checker/src/jobs/SideLink.ts
@@ -1,6 +1,6 @@
 /**
- * One connection between a side and a leader: messages arrive late but in their
- * order, wait while the link is cut or silent, and are lost when an end has closed.
+ * Models one connection between a side and a leader: messages are delayed but stay in
+ * order, wait while the link is cut or silent, and are lost once an end has closed.
  */
 
 import type {
@@ -20,7 +20,7 @@
 
 const LINK = {
   maxDelayMs: 30,
-  /** While the link is cut, it is looked at this often; milliseconds. */
+  /** Interval at which a cut link is checked, milliseconds. */
   cutPollMs: 25,
 } as const;
 
@@ -32,18 +32,18 @@
 
 export interface SideLinkOptions {
   readonly clock: Clock;
-  /** Stands still while the leader's process does. */
+  /** Stops while the leader's process is paused. */
   readonly leaderClock: ProcessClock;
   readonly random: Random;
   readonly isCut: () => boolean;
   readonly side: SideHandlers;
-  /** The leader orders a start. */
+  /** Called when the leader orders a start. */
   readonly onStartOrder: (task: JobTaskId) => void;
   /** See JobWorldOptions. */
   readonly deliversMessagesBeforeTimers: boolean;
 }
 
-/** One direction; its receiver may close before its sender knows. */
+/** One direction of a link; its receiver may close before its sender is notified. */
 class LinkDirection {
   isOpen = true;
   private silentUntil: Monotonic = -Infinity;
@@ -74,7 +74,7 @@
     });
   }
 
-  /** Nothing arrives until then, and neither end hears of it. */
+  /** Delivers nothing until the given time; neither end is notified. */
   silence(until: Monotonic): void {
     this.silentUntil = Math.max(this.silentUntil, until);
   }
@@ -88,7 +88,7 @@
   }
 }
 
-/** Which way nothing arrives any more over a connection that stays open. */
+/** The direction in which an open connection no longer delivers messages. */
 export type SilentDirection = "to-side" | "to-leader" | "both";
 
 export class SideLink implements HostSession {
@@ -129,7 +129,7 @@
   }
 
   describe(): void {
-    // Paces are not modelled.
+    // Pacing is not modelled.
   }
 
   sendToSide(arrive: () => void): void {
@@ -146,18 +146,18 @@
     );
   }
 
-  /** Whether one of its directions carries nothing now. */
+  /** Whether at least one direction currently delivers nothing. */
   get isSilent(): boolean {
     return this.toSide.isSilent || this.toLeader.isSilent;
   }
 
-  /** Nothing arrives until then, for good when it is infinite; the ends stay open. */
+  /** Delivers nothing until the given time, or ever when it is infinite; the ends stay open. */
   fallSilent(way: SilentDirection, until: Monotonic): void {
     if (way !== "to-leader") this.toSide.silence(until);
     if (way !== "to-side") this.toLeader.silence(until);
   }
 
-  /** The side's end closes; the leader hears of it when the link lets it. */
+  /** Closes the end of the side; the leader is notified once the link delivers. */
   closeAtSide(onLeaderClosed: () => void): void {
     this.toSide.isOpen = false;
     this.toLeader.send(() =>
@@ -168,7 +168,8 @@
   closeAtLeader(onClosed: () => void): void {
     if (!this.toLeader.isOpen) return;
     this.toLeader.isOpen = false;
-    for (const reject of this.pending) reject(new Error("closed"));
+    for (const reject of this.pending)
+      reject(new Error("the connection was closed"));
     this.pending.clear();
     this.toSide.send(() => (this.toSide.isOpen = false));
     onClosed();
@@ -184,7 +185,7 @@
         reject(reason);
       };
       const timer = this.options.leaderClock.after(ENGINE.orderTimeoutMs, () =>
-        fail(new Error("no answer")),
+        fail(new Error("the order got no answer in time")),
       );
       this.pending.add(fail);
       this.sendToSide(() => {
--- a/packages/checker/src/jobs/SubmittedJobs.ts
+++ b/packages/checker/src/jobs/SubmittedJobs.ts
@@ -1,4 +1,4 @@
-/** The jobs that were submitted in a modelled site: what each asks for, and what became of it. */
+/** The jobs submitted in a modelled site: their specifications and results. */
 
 import {
   brand,
@@ -58,7 +58,7 @@
     return job;
   }
 
-  /** The first task of the job that is added next crashes each worker that starts it. */
+  /** Makes the first task of the next added job crash each worker that starts it. */
   crashNext(): void {
     this.crashing.add(brand<JobId>(this.nextId));
   }
@@ -111,18 +111,18 @@
     return !this.hasEnded(job);
   }
 
-  /** Whether the store keeps that the job has ended. */
+  /** Whether the store has recorded the end of the job. */
   hasEnded(id: JobId): boolean {
     const state = this.stateOf(id);
     return state !== undefined && isFinalState(state);
   }
 
-  /** Whether the store keeps that the job was given up, which only crashes or failures may bring about. */
+  /** Whether the store has recorded the job as failed, which only crashes or failures may cause. */
   hasFailed(id: JobId): boolean {
     return this.stateOf(id) === "failed";
   }
 
-  /** All tasks of the task's gang; none when it is of no gang. */
+  /** All tasks of the task's gang; empty when the task belongs to no gang. */
   gangOf(task: JobTaskId): readonly JobTaskId[] {
     const position = parseTaskId(task);
     const job = position && this.jobs.get(position.job);
@@ -133,13 +133,13 @@
     );
   }
 
-  /** Drawn anew for each run. @throws Error when it was not submitted */
+  /** Draws the traits of one run of the task. @throws Error when the task was not submitted */
   traitsOf(task: JobTaskId): TaskTraits {
     const { random, failShare } = this.options;
     const position = parseTaskId(task);
     const job = position && this.jobs.get(position.job);
     const step = position && job?.spec.steps[position.step];
-    if (!position || !step) throw new Error(`nobody has submitted ${task}`);
+    if (!position || !step) throw new Error(`task ${task} was not submitted`);
     const { demand, filling, tailTargetMs, taskCount: size } = step;
     const runMs = step.lasting
       ? undefined
--- a/packages/checker/src/jobs/TaskRunner.ts
+++ b/packages/checker/src/jobs/TaskRunner.ts
@@ -1,4 +1,4 @@
-/** Begins and ends the runs of a modelled worker, and tells the history of both. */
+/** Starts and ends the runs of a modelled worker, and records both in the history. */
 
 import type { Clock, HostId, JobTaskId } from "@rackspan/common";
 import {
@@ -21,9 +21,9 @@
   readonly gangs: GangBook;
   readonly capacity: WorkerCapacity;
   readonly traitsOf: (task: JobTaskId) => TaskTraits;
-  /** Whether the worker is up in that life. */
+  /** Whether the worker is up with that incarnation. */
   readonly isUp: (incarnation: WorkerIncarnation) => boolean;
-  /** A task that crashes its worker has begun in that life. */
+  /** Called when a task that crashes its worker has started at that incarnation. */
   readonly onCrashingTask: (incarnation: WorkerIncarnation) => void;
 }
 
@@ -69,7 +69,7 @@
     }
   }
 
-  /** All runs are gone with that life; nothing is listed. */
+  /** Ends all runs of a crashed incarnation; none of these ends is listed. */
   dropAll(incarnation: WorkerIncarnation): void {
     const { clock, gangs } = this.options;
     const lost = [...incarnation.running.values()];
@@ -100,8 +100,8 @@
     if (traits.crashes) this.options.onCrashingTask(incarnation);
     if (traits.gang && gangKey !== undefined) {
       const { gangs, isUp } = this.options;
-      gangs.join({ key: gangKey, ...traits.gang }, task, (how) => {
-        if (isUp(incarnation)) this.end(incarnation, running, how);
+      gangs.join({ key: gangKey, ...traits.gang }, task, (outcome) => {
+        if (isUp(incarnation)) this.end(incarnation, running, outcome);
       });
       return;
     }
@@ -123,7 +123,7 @@
     history.add("over-room", beganAt, `${host} runs ${taken}`);
   }
 
-  /** A checkpoint is one that a run of the task, or of its gang, has saved. */
+  /** Checks that the checkpoint was saved by a run of the task or of its gang. */
   private checkCheckpoint({ task, run, checkpoint }: RunStart): void {
     if (checkpoint === "") return;
     const { clock, history, traitsOf } = this.options;
@@ -150,5 +150,5 @@
   }
 }
 
-/** A task's id without its index. */
+/** The id of a task without its index. */
 const stepOf = (task: string): string => task.replace(/\.\d+$/, "");
--- a/packages/checker/src/jobs/TaskTraits.ts
+++ b/packages/checker/src/jobs/TaskTraits.ts
@@ -1,19 +1,19 @@
-/** What the modelled workers know of a task. */
+/** The properties of a task that a modelled worker uses. */
 
 import type { GangRun } from "./GangBook.js";
 
-/** What a task asks for and how it fares; told by its id. */
+/** The demand of a task and the course of its run; looked up by the task's id. */
 export interface TaskTraits {
-  /** Of the worker's room; none where it fills. */
+  /** Share of the worker's capacity in thousandths of a core; 0 for a filling task. */
   readonly milliCores: number;
-  /** Milliseconds until it ends by itself; undefined for one that lasts. */
+  /** Milliseconds until the task ends by itself; undefined for a lasting task. */
   readonly runMs: number | undefined;
   readonly fails: boolean;
-  /** Whether it crashes each worker that starts it. */
+  /** Whether the task crashes each worker that starts it. */
   readonly crashes: boolean;
   /** Undefined for a task of no gang. */
   readonly gang: Omit<GangRun, "key"> | undefined;
-  /** As workers list it; see TaskHost. */
+  /** The reading that workers list for the task; see TaskHost. */
   readonly reading: number;
   readonly saves: boolean;
 }
--- a/packages/checker/src/jobs/WorkerCapacity.ts
+++ b/packages/checker/src/jobs/WorkerCapacity.ts
@@ -1,14 +1,14 @@
-/** The room of a modelled worker, which may change while it runs. */
+/** The capacity of a modelled worker, which may change while the worker runs. */
 
 import type { Clock, Monotonic } from "@rackspan/common";
 
 const CAPACITY = {
-  /** Starts may fill a room that has shrunk this long after, milliseconds. */
+  /** How long starts may still use the previous capacity after it shrank, milliseconds. */
   shrinkGraceMs: 3_500,
 } as const;
 
 export class WorkerCapacity {
-  /** Thousandths of a core. */
+  /** Current capacity in thousandths of a core. */
   private current: number;
   private previous: {
     readonly milliCores: number;
@@ -32,7 +32,7 @@
     this.current = milliCores;
   }
 
-  /** What starts may fill: the news of a room that has shrunk takes its time. */
+  /** Capacity that starts may use; a reduced capacity takes effect with a delay. */
   get allowed(): number {
     const { milliCores, until } = this.previous;
     const isRecent = this.clock.monotonic() < until;
--- a/packages/checker/src/jobs/WorkerIncarnation.ts
+++ b/packages/checker/src/jobs/WorkerIncarnation.ts
@@ -1,4 +1,4 @@
-/** One life of a modelled worker: its clock, what runs and ended, its lease; gone with a crash. */
+/** One incarnation of a modelled worker: clock, runs, listed ends and lease; a crash ends it. */
 
 import type {
   Clock,
@@ -15,9 +15,9 @@
 import type { TaskTraits } from "./TaskTraits.js";
 
 const INCARNATION_LIMITS = {
-  /** The worker's clock begins anywhere up to this, milliseconds. */
+  /** Upper bound of the random start value of the worker's clock, milliseconds. */
   maxClockStart: 1e6,
-  /** Its clock may run this share slow. */
+  /** Maximum share by which the worker's clock runs slow. */
   maxDrift: 0.02,
   longestLeaseMs: 6_000,
 } as const;
@@ -33,13 +33,13 @@
   readonly instance: WorkerInstance;
   readonly clock: Clock;
   readonly random: Random;
-  /** Its lease is over; what still runs is to end. */
+  /** Called when the lease has expired; the remaining runs must end. */
   readonly onLeaseExpired: () => void;
 }
 
 export class WorkerIncarnation {
   readonly running = new Map<string, RunningTask>();
-  /** Highest epoch heard. */
+  /** Highest epoch received. */
   epoch = 0;
   private readonly bootedAt: Monotonic;
   private readonly clockStart: number;
@@ -47,7 +47,7 @@
   private readonly fencedRuns = new Map<JobTaskId, RunNumber>();
   private ended: { readonly end: EndedRun; readonly seen: RunSeen }[] = [];
   private endCount = 0;
-  /** Ends that the lease outlived before they were taken note of. */
+  /** Runs whose ends were not acknowledged before the lease expired. */
   private readonly expiredEnds = new WeakSet<RunSeen>();
   private leaseUntil = 0;
   private leaseTimer: Timer | undefined;
@@ -66,7 +66,7 @@
     return this.options.instance;
   }
 
-  /** The worker's clock. */
+  /** Current time of the worker's clock. */
   get at(): WorkerTime {
     const age = this.options.clock.monotonic() - this.bootedAt;
     const at = Math.floor(this.clockStart + age * this.clockRate);
@@ -77,7 +77,7 @@
     return this.ended.map(({ end }) => end);
   }
 
-  /** No run of the task up to this one begins any more. */
+  /** Rejects every later start of the task up to and including this run. */
   fence({ task, run }: RunRef): void {
     const highest = Math.max(run, this.fencedRuns.get(task) ?? 0);
     this.fencedRuns.set(task, highest as unknown as RunNumber);
@@ -115,7 +115,7 @@
     });
   }
 
-  /** The worker crashes: its lease lapses no more. */
+  /** Cancels the expiry of the lease after a crash of the worker. */
   cancelLeaseTimer(): void {
     this.leaseTimer?.cancel();
   }
--- a/packages/checker/src/jobs/WorkerModel.ts
+++ b/packages/checker/src/jobs/WorkerModel.ts
@@ -1,6 +1,6 @@
 /**
- * A worker as the platform describes it: lives, leases on its own clock, fences,
- * runs that are barred, stops that take time, orders that are carried out late.
+ * Models a worker as the platform describes it: incarnations, leases on its own clock,
+ * fencing of epochs and runs, stops that take time, orders that are executed late.
  */
 
 import {
@@ -46,66 +46,66 @@
   readonly incarnations?: IncarnationOptions;
 }
 
-/** How the lives of one worker are related. */
+/** How the incarnations of one worker are related. */
 export interface IncarnationOptions {
   /**
-   * Whether an order without an answer may be carried out by the next life, as where both
-   * stand under one id; not before its first call, since nothing could bar it then.
+   * Whether the next incarnation may execute an unanswered order, as where both use one id.
+   * It does so only after its first call, because nothing could fence the order before.
    */
   readonly ordersOutliveIncarnation: boolean;
-  /** Whether all lives have one name, as for an adapter that takes an id for a life. */
+  /** Whether all incarnations use one name, as with an adapter that reports an id as instance. */
   readonly shareOneInstance: boolean;
 }
 
 const WORKER = {
   callTimeoutMs: 400,
   maxLatencyMs: 4,
-  /** Time for a stop, at the most; milliseconds. */
+  /** Maximum duration of a stop, milliseconds. */
   stopMs: 200,
-  /** Orders without an answer are carried out this much later, milliseconds. */
+  /** Delay until an unanswered order is executed, milliseconds. */
   orderDelayMs: { least: 2_000, most: 12_000 },
-  /** Share of the orders that come late while the fault is on. */
+  /** Share of the orders that are delayed while the fault is active. */
   delayedOrderShare: 0.5,
   /** A task that crashes its worker does so this long after its start, milliseconds. */
   crashAfterMs: 10,
-  /** A worker that a task has crashed is back after this, at the most; milliseconds. */
+  /** Maximum time until a worker crashed by a task is back, milliseconds. */
   maxDownMs: 1_500,
-  /** A side has noticed by then that its worker is silent: a look that waits, and a call. */
+  /** Time within which a side detects a silent worker: a long poll and one call, milliseconds. */
   silenceDetectedMs: 700,
-  /** What is sent to a worker behind a cut may reach it up to this much later, milliseconds. */
+  /** Maximum delay of a call that reaches a disconnected worker, milliseconds. */
   maxHeldUpMs: 3_000,
-  /** Share of the calls that are held up at a cut; the others are lost. */
+  /** Share of the calls that are delayed by a cut; the others are lost. */
   heldUpShare: 0.5,
 } as const;
 
-/** How a worker is cut from its side while its life goes on. */
+/** How a worker is cut from its side while its incarnation runs on. */
 export type WorkerCut =
   /** Calls arrive, and their answers do not. */
   | "answers"
-  /** Calls do not arrive, or only some seconds later. */
+  /** Calls do not arrive, or arrive only some seconds later. */
   | "calls";
 
 export class WorkerModel implements TaskHost {
-  /** Whether orders may be carried out late, without an answer. */
+  /** Whether orders may be executed late, without an answer. */
   lateOrders = false;
-  /** When it was last heard, and undefined while it is. */
+  /** Since when the worker is unreachable; undefined while it is reachable. */
   silentSince: Monotonic | undefined;
-  /** When it was heard again. */
+  /** When the worker became reachable again. */
   reachableSince: Monotonic = -Infinity;
   /**
-   * From then on nothing that was sent to the present life lets it run anything; leases
-   * that looks bring once it is known to be silent are left out, as none is to be sent.
+   * When all leases sent to the current incarnation have expired. Leases that polls carry after
+   * the silence was detected are left out, because none may be sent then.
    */
   sentLeasesExpireBy: Monotonic = -Infinity;
   private cut: WorkerCut | undefined;
-  /** How long a look may wait for a worker short of processor time; milliseconds. */
+  /** Maximum delay of a poll while the worker is short of processor time, milliseconds. */
   maxPollDelayMs = 0;
-  /** Share of the calls whose connection falls silent. */
+  /** Share of the calls whose connection becomes silent. */
   private dropShare = 0;
   private incarnationCount = 0;
   private incarnation: WorkerIncarnation;
   private up = true;
-  /** Whether connections are refused while it is down, as by a process that is gone. */
+  /** Whether connections are refused while the worker is down, as by a process that has ended. */
   private refusesConnections = false;
   private readonly capacity: WorkerCapacity;
   private readonly runner: TaskRunner;
@@ -126,7 +126,7 @@
     return this.incarnation.instance;
   }
 
-  /** Ends that it still lists: they are not acknowledged. */
+  /** Number of ends that are still listed because they are not acknowledged. */
   get listedEnds(): number {
     return this.up ? this.incarnation.listedEnds.length : 0;
   }
@@ -135,7 +135,7 @@
     return this.capacity.milliCores;
   }
 
-  /** Its room shrinks or grows while it runs; its heartbeats tell it. */
+  /** Changes the capacity of the running worker; its heartbeats report the new value. */
   changeCapacity(milliCores: number): void {
     this.capacity.change(milliCores);
   }
@@ -144,12 +144,12 @@
     return this.up;
   }
 
-  /** Whether its side hears its heartbeats and answers. */
+  /** Whether its side receives its heartbeats and answers. */
   get isReachable(): boolean {
     return this.up && this.cut === undefined;
   }
 
-  /** It goes on by itself, and its side hears nothing of it. */
+  /** Cuts the worker from its side; the worker runs on. */
   disconnect(cut: WorkerCut): void {
     this.cut = cut;
     this.updateReachability();
@@ -160,13 +160,13 @@
     this.updateReachability();
   }
 
-  /** From now on that share of the calls to it gets no answer. */
+  /** Leaves the given share of the calls without an answer. */
   dropCalls(share: number): void {
     this.dropShare = share;
     if (share === 0) this.reachableSince = this.options.clock.monotonic();
   }
 
-  /** Whether calls to it may get no answer although it is up. */
+  /** Whether calls may get no answer although the worker is up. */
   get dropsCalls(): boolean {
     return this.dropShare > 0;
   }
@@ -181,7 +181,7 @@
     this.silentSince = undefined;
   }
 
-  /** All that runs there ends; nothing is listed. */
+  /** Ends all runs; none of these ends is listed. */
   crash(): void {
     this.up = false;
     this.updateReachability();
@@ -190,7 +190,7 @@
     this.incarnation.wakePolls();
   }
 
-  /** Its process is gone, and connections to it are refused; the next life comes by itself. */
+  /** Ends the process, so that connections are refused, and restarts it after `backMs`. */
   crashAndRestart(backMs: number): void {
     this.crash();
     this.refusesConnections = true;
@@ -199,7 +199,7 @@
     });
   }
 
-  /** Another life stands here from now on; one that is up ends before. */
+  /** Starts a new incarnation; one that is up crashes first. */
   revive(): void {
     if (this.up) this.crash();
     this.incarnation = this.createIncarnation();
@@ -248,7 +248,7 @@
     this.applyPoll(order);
     if (order.waitMs > 0) await incarnation.waitForEnd(order.waitMs);
     if (!this.up && this.refusesConnections) {
-      throw new WorkerSilentError("the call broke off");
+      throw new WorkerSilentError("the call was interrupted");
     }
     await this.delayPoll();
     await this.reach(instance);
@@ -310,7 +310,7 @@
   }
 
   /**
-   * @param act carries the call out, where it arrives although no answer comes
+   * @param act executes the call where it arrives although no answer is received
    * @throws WorkerSilentError, WorkerReplacedError
    */
   private async reach(
@@ -322,14 +322,18 @@
       if (act && this.incarnation.instance === instance)
         this.deliverWithoutAnswer(this.cut, act);
       await sleep(clock, WORKER.callTimeoutMs);
-      throw new WorkerSilentError("it is cut off");
+      throw new WorkerSilentError("the worker is cut off");
     }
     if (this.up && this.drawsDroppedCall()) return this.dropCall(instance, act);
     if (this.up) await sleep(clock, this.randomDelay(WORKER.maxLatencyMs));
     if (!this.up) {
       if (!this.refusesConnections) await sleep(clock, WORKER.callTimeoutMs);
       const mayHaveArrived = !this.refusesConnections;
-      throw new WorkerSilentError("it is down", undefined, mayHaveArrived);
+      throw new WorkerSilentError(
+        "the worker is down",
+        undefined,
+        mayHaveArrived,
+      );
     }
     if (this.incarnation.instance !== instance)
       throw new WorkerReplacedError(instance);
@@ -340,7 +344,7 @@
     return dropShare > 0 && this.options.random.next() < dropShare;
   }
 
-  /** @throws WorkerSilentError since the call's connection falls silent */
+  /** @throws WorkerSilentError because the connection of the call becomes silent */
   private async dropCall(
     instance: WorkerInstance,
     act?: () => void,
@@ -350,7 +354,7 @@
     if (act && this.incarnation.instance === instance)
       this.deliverWithoutAnswer(cut, act);
     await sleep(clock, WORKER.callTimeoutMs);
-    throw new WorkerSilentError("the connection fell silent");
+    throw new WorkerSilentError("the connection became silent");
   }
 
   private deliverWithoutAnswer(cut: WorkerCut, act: () => void): void {
@@ -365,15 +369,15 @@
   }
 
   /**
-   * The worker has not come to the look yet, or not to its answer.
-   * @throws WorkerSilentError when the worker ends before
+   * Delays a poll or its answer while the worker is short of processor time.
+   * @throws WorkerSilentError when the worker ends during the delay
    */
   private async delayPoll(): Promise<void> {
     if (this.maxPollDelayMs === 0) return;
     const { incarnation } = this;
     await sleep(this.options.clock, this.randomDelay(this.maxPollDelayMs));
     const isOver = this.incarnation !== incarnation || !this.up;
-    if (isOver) throw new WorkerSilentError("the call broke off");
+    if (isOver) throw new WorkerSilentError("the call was interrupted");
   }
 
   private async call<T>(instance: WorkerInstance, act: () => T): Promise<T> {
@@ -395,7 +399,7 @@
     throw new WorkerSilentError("the order got no answer");
   }
 
-  /** @throws TaskRefusedError when a higher epoch was seen */
+  /** @throws TaskRefusedError when a higher epoch was received */
   private raiseEpoch(epoch: Epoch): void {
     if (epoch < this.incarnation.epoch) {
       throw new TaskRefusedError("a higher epoch was seen", true);
@@ -403,7 +407,7 @@
     this.incarnation.epoch = epoch;
   }
 
-  /** The task that has just begun takes its worker down; the next life comes by itself. */
+  /** Crashes the worker shortly after the start of a crashing task; it restarts by itself. */
   private scheduleCrash(incarnation: WorkerIncarnation): void {
     const { clock } = this.options;
     clock.after(WORKER.crashAfterMs, () => {
@@ -417,7 +421,7 @@
   }
 }
 
-/** A fenced order that comes late does nothing, and gets no answer. */
+/** Executes a late order; a fenced one has no effect and gets no answer. */
 const ignoreFencing = (act: () => void): void => {
   try {
     act();
--- a/packages/checker/src/jobs/chanceSchedules.ts
+++ b/packages/checker/src/jobs/chanceSchedules.ts
@@ -1,6 +1,6 @@
 /**
- * Random schedules of tasks that crash nothing, on workers that end by chance, about one a
- * second: how often a job is given up, and how often without cause.
+ * Random schedules of tasks that crash no worker, on workers that crash at random, about one
+ * per second. They count the jobs that fail permanently, and those that do so without cause.
  */
 
 import { pickIndex, type SeededRandom } from "@rackspan/common";
@@ -9,35 +9,35 @@
 import { between } from "./scheduleEvents.js";
 
 const SCHEDULE = {
-  /** Work comes, and workers end, for this long, milliseconds. */
+  /** Duration of the phase with new jobs and crashes, milliseconds. */
   troubledMs: 60_000,
-  /** Between two jobs, at the most; milliseconds. */
+  /** Maximum time between two jobs, milliseconds. */
   maxPauseMs: 250,
-  /** Between two workers that end, milliseconds. */
+  /** Time between two crashes of workers, milliseconds. */
   endsEveryMs: { least: 600, most: 1_400 },
-  /** A worker is back after this, milliseconds. */
+  /** Time until a crashed worker is back, milliseconds. */
   backMs: 2_000,
-  /** Between two workers that get short of processor time, milliseconds. */
+  /** Interval at which a worker becomes short of processor time, milliseconds. */
   slowEveryMs: 250,
-  /** How long a look at such a worker waits, at the most, and for how long it is so. */
+  /** Maximum delay of a poll of such a worker, and duration of the shortage, milliseconds. */
   slow: { mostMs: 200, forMs: 1_000 },
-  /** All work is done this long after. */
+  /** Time within which all jobs finish afterwards, milliseconds. */
   finishMs: 60_000,
 } as const;
 
-/** Jobs are given up with cause once workers have ended under so many runs of one task. */
+/** A job may fail permanently once this many runs of one task ended by a crash of the worker. */
 const CRASHES_TO_FAIL = 2;
 
 export interface ChanceOutcome {
   readonly jobs: number;
-  /** Jobs that are shown as failed. */
+  /** Number of jobs that failed permanently. */
   readonly givenUp: number;
-  /** Those under whose tasks fewer workers have ended than the rules ask for. */
+  /** Number of failed jobs with fewer crashes of workers per task than the rules require. */
   readonly withoutCause: number;
   readonly violations: readonly JobViolation[];
 }
 
-/** Plays one seed to its rest. */
+/** Runs the schedule of one seed until all jobs should have finished. */
 export const runChanceSchedule = async (
   seed: number,
 ): Promise<ChanceOutcome> => {
--- a/packages/checker/src/jobs/eventMixes.ts
+++ b/packages/checker/src/jobs/eventMixes.ts
@@ -1,4 +1,4 @@
-/** Which events come up in each kind of schedule, and how often. */
+/** The events of each kind of schedule, with their weights. */
 
 import type { SeededRandom } from "@rackspan/common";
 import {
@@ -16,10 +16,10 @@
   type ScheduleEvent,
 } from "./scheduleEvents.js";
 
-/** With how often each comes, among all. */
+/** Events with their relative frequencies. */
 export type WeightedEvents = readonly (readonly [number, ScheduleEvent])[];
 
-/** The usual ones. */
+/** The basic events. */
 export const BASIC_EVENTS: WeightedEvents = [
   [40, submitJob],
   [8, cancelJob],
@@ -34,7 +34,7 @@
   [4, failStore],
 ];
 
-/** Harsher ones, beside those above. */
+/** The basic events and more severe faults. */
 export const HARSH_EVENTS: WeightedEvents = [
   ...BASIC_EVENTS,
   [25, submitSpecialJob],
@@ -51,7 +51,7 @@
   [1, (world, random) => world.losePower(between(random, 200, 2_000))],
 ];
 
-/** The leader's process is often short of processor time for a moment. */
+/** The basic events, and a leader that is often briefly short of processor time. */
 export const STARVED_LEADER_EVENTS: WeightedEvents = [
   ...BASIC_EVENTS,
   [
@@ -62,8 +62,8 @@
 ];
 
 /**
- * Tasks that crash their workers, leaders whose machines are suspended, workers
- * whose room changes. No worker crashes by itself, so no other job may be given up.
+ * Tasks that crash their workers, leaders whose machines are suspended, workers whose
+ * capacity changes. No worker crashes by itself, so no other job may fail permanently.
  */
 export const CRASHING_EVENTS: WeightedEvents = [
   [20, submitJob],
@@ -77,7 +77,7 @@
   [8, (world, random) => world.changeCapacity(between(random, 0.25, 1))],
 ];
 
-/** Zones that are evacuated, also all at once, beside everything harsh. */
+/** The harsh events, and evacuations of one or all availability zones. */
 export const EVACUATING_EVENTS: WeightedEvents = [
   ...HARSH_EVENTS,
   [
@@ -88,9 +88,9 @@
 ];
 
 /**
- * Workers whose lives stand under one id: at once, twice in a second, beside orders that
- * are carried out late, by the next life too. Sides go on: what one has forgotten it
- * cannot bar.
+ * Workers whose incarnations use one id and restart at once, also twice within a second,
+ * while orders are executed late, also by the next incarnation. Sides are not restarted,
+ * because a side cannot fence starts that it has no record of.
  */
 export const WORKER_RESTART_EVENTS: WeightedEvents = [
   [40, submitJob],
@@ -114,7 +114,7 @@
   [8, (world, random) => world.delayOrders(between(random, 500, 3_000))],
 ];
 
-/** The same, and sides that are started anew, which know nothing of the one before. */
+/** The worker restarts, and sides that restart without any state of the previous process. */
 export const SIDE_RESTART_EVENTS: WeightedEvents = [
   ...WORKER_RESTART_EVENTS,
   [5, (world) => world.restartSide()],
@@ -122,8 +122,8 @@
 ];
 
 /**
- * Connections that fall silent without a reset, between all ends, heartbeats that come
- * after their sender's end, and workers that are back at once; beside everything harsh.
+ * The harsh events, connections of all kinds that become silent without a reset, heartbeats
+ * that arrive after the end of their sender, and workers that are back at once.
  */
 export const SILENT_CONNECTION_EVENTS: WeightedEvents = [
   ...HARSH_EVENTS,
@@ -148,14 +148,14 @@
   [6, (world, random) => world.crashWorkers(0.4, between(random, 200, 400))],
 ];
 
-/** How a leader may be lost. */
+/** The ways in which a leader is lost. */
 export const LEADER_LOSSES: readonly ScheduleEvent[] = [
   (world) => world.leaders.kill(),
   (world, random) => world.leaders.freeze(between(random, 2_600, 6_000)),
   (world) => world.leaders.cutFromStore(),
 ];
 
-/** Beside leaders that are lost one after the other. */
+/** Events that run beside successive losses of leaders. */
 export const SUCCESSION_EVENTS: WeightedEvents = [
   [40, submitSmallJob],
   [6, cancelJob],
@@ -167,20 +167,20 @@
   [3, (world, random) => world.stopSide(between(random, 300, 6_000))],
 ];
 
-/** The same, and workers that fall silent as a leader is dropped. */
+/** The succession events, and workers that become silent as the leader is lost or replaced. */
 export const REPLACED_LEADER_EVENTS: WeightedEvents = [
   ...SUCCESSION_EVENTS,
   [8, silenceWorkerAndLoseLeader],
 ];
 
-/** Connections that fall silent between all ends, beside leaders that are lost in a row. */
+/** The succession events, and connections of all kinds that become silent. */
 export const SILENT_SUCCESSION_EVENTS: WeightedEvents = [
   ...SUCCESSION_EVENTS,
   [8, silenceLink],
   [4, silenceCalls],
 ];
 
-/** One of them, as often as its weight says. */
+/** Picks one event at random by weight. */
 export const pickEvent = (
   events: WeightedEvents,
   random: SeededRandom,
--- a/packages/checker/src/jobs/jobSchedules.ts
+++ b/packages/checker/src/jobs/jobSchedules.ts
@@ -28,31 +28,31 @@
 } from "./scheduleEvents.js";
 
 const SCHEDULE = {
-  /** Faults and work come for this long, milliseconds. */
+  /** Duration of the phase with faults and new jobs, milliseconds. */
   faultsMs: 24_000,
-  /** Between two events, milliseconds. */
+  /** Maximum time between two events, milliseconds. */
   maxPauseMs: 320,
-  /** After the last fault: take-overs, late orders and leases are over then. */
+  /** Time after the last fault until takeovers, late orders and leases are over, milliseconds. */
   settleMs: 22_000,
-  /** A cancelled job's tasks are gone this long after its cancel, in calm. */
+  /** Time within which the tasks of a cancelled job end without faults, milliseconds. */
   cancelledMs: 3_200,
-  /** All other work is done this long after that. */
+  /** Time within which all other jobs finish afterwards, milliseconds. */
   finishMs: 25_000,
-  /** Workers that fall silent one after the other, and what each round takes. */
+  /** Number of rounds with one silent worker each, and the jobs and milliseconds of a round. */
   rounds: 4,
   jobsPerRound: 6,
   roundMs: 14_000,
-  /** A worker that is lost in calm stays away this long, and its tasks begin elsewhere meanwhile. */
+  /** How long a lost worker stays down without other faults; its tasks start elsewhere. */
   workerDownMs: 9_000,
-  /** A side that is started anew attaches and renews the lease within this. */
+  /** Time within which a restarted side attaches and renews the lease, milliseconds. */
   sideRestartMs: 3_000,
 } as const;
 
 interface ScheduleOptions extends Omit<JobWorldOptions, "seed"> {
   readonly events: WeightedEvents;
-  /** How a leader is lost, some seconds after the one before; none is when undefined. */
+  /** The ways in which leaders are lost, some seconds apart; no leader is lost when undefined. */
   readonly losses?: readonly ScheduleEvent[];
-  /** Whether workers crash, or runs fail, by themselves, so that any job may be given up. */
+  /** Whether workers crash or runs fail by themselves, so that any job may fail permanently. */
   readonly mayFailPermanently: boolean;
 }
 
@@ -103,8 +103,8 @@
 };
 
 /**
- * Plays one seed with connections that fall silent and heartbeats of lives that are
- * over. @returns what broke, in order
+ * Runs one seed with connections that become silent and heartbeats of ended incarnations.
+ * @returns the violations, in order
  */
 export const runSilencedSchedule = (
   seed: number,
@@ -120,9 +120,9 @@
 };
 
 /**
- * Plays one seed with leaders that are lost in a row beside silent workers.
- * @param sharesOneId whether the lives of a worker stand under one id
- * @returns what broke, in order
+ * Runs one seed with successive losses of leaders beside silent workers.
+ * @param sharesOneId whether the incarnations of a worker use one id
+ * @returns the violations, in order
  */
 export const runSuccessionSchedule = (
   seed: number,
@@ -136,8 +136,8 @@
   });
 
 /**
- * Plays one seed with connections that fall silent, beside leaders that are lost in a
- * row and silent workers. @returns what broke, in order
+ * Runs one seed with connections that become silent, beside successive losses of leaders
+ * and silent workers. @returns the violations, in order
  */
 export const runSilentSuccessionSchedule = (
   seed: number,
@@ -147,25 +147,26 @@
 const REPLACED_LEADER: ScheduleOptions = {
   ...SUCCESSION,
   events: REPLACED_LEADER_EVENTS,
-  // The lease that leaders grant is longer by more than their term.
+  // The lease that leaders grant is longer than this by more than the length of their term.
   unattendedLeaseMs: 2_500,
   losses: [...LEADER_LOSSES, (world) => world.leaders.replaceWithoutNotice()],
   staysWithGrantingLeader: true,
 };
 
 /**
- * The same with leaders that the store drops without telling them, sides that stay with
- * a leader for as long as it grants, and workers whose return is hidden from it.
- * @returns what broke, in order
+ * Runs one seed like `runSuccessionSchedule`, with leaders that the store replaces without
+ * notice, sides that stay with a leader for as long as it grants leases, and workers that
+ * become reachable again while the leader is cut off from their side.
+ * @returns the violations, in order
  */
 export const runDroppedLeaderSchedule = (
   seed: number,
 ): Promise<readonly JobViolation[]> => runSchedule(seed, REPLACED_LEADER);
 
 /**
- * Plays one seed with workers that start again at once under their ids.
- * @param sharesOneInstance whether the adapter does not tell their lives apart
- * @returns what broke, in order
+ * Runs one seed with workers that restart at once under their ids.
+ * @param sharesOneInstance whether the adapter does not distinguish their incarnations
+ * @returns the violations, in order
  */
 export const runRebornSchedule = (
   seed: number,
@@ -179,54 +180,54 @@
     },
   });
 
-/** Plays one seed of the same with sides that are started anew. @returns what broke, in order */
+/** Runs one seed with restarts of workers and of sides. @returns the violations, in order */
 export const runForgettingSchedule = (
   seed: number,
 ): Promise<readonly JobViolation[]> =>
   runSchedule(seed, { ...WORKER_RESTARTS, events: SIDE_RESTART_EVENTS });
 
-/** Plays one seed with zones that are evacuated. @returns what broke, in order */
+/** Runs one seed with evacuated availability zones. @returns the violations, in order */
 export const runEvacuatingSchedule = (
   seed: number,
 ): Promise<readonly JobViolation[]> => runSchedule(seed, EVACUATIONS);
 
 /**
- * Plays one seed with tasks that crash their workers and machines that are
- * suspended. @returns what broke, in order
+ * Runs one seed with tasks that crash their workers and machines that are suspended.
+ * @returns the violations, in order
  */
 export const runCrashingSchedule = async (
   seed: number,
 ): Promise<readonly JobViolation[]> => runSchedule(seed, CRASHING_TASKS);
 
-/** Plays one seed to its rest. @returns what broke, in order */
+/** Runs one seed of the basic schedule until it is idle. @returns the violations, in order */
 export const runJobSchedule = (
   seed: number,
 ): Promise<readonly JobViolation[]> => runSchedule(seed, BASIC);
 
-/** Plays one seed with jobs of all kinds and more faults. @returns what broke, in order */
+/** Runs one seed with jobs of all kinds and more faults. @returns the violations, in order */
 export const runHarshSchedule = (
   seed: number,
 ): Promise<readonly JobViolation[]> => runSchedule(seed, HARSH);
 
 /**
- * Plays one seed with a leader that is short of processor time and many runs that
- * fail. @returns what broke, in order
+ * Runs one seed with a leader that is short of processor time and many failing runs.
+ * @returns the violations, in order
  */
 export const runStarvedSchedule = (
   seed: number,
 ): Promise<readonly JobViolation[]> => runSchedule(seed, STARVED_LEADER);
 
 /**
- * Plays one seed where leaders take what comes over former connections of a host.
- * Leaders do not: this repeats the schedules of seeds that were found so.
- * @returns what broke, in order
+ * Runs one seed where leaders handle messages over previous connections of a host. Real
+ * leaders close these; this variant reproduces the schedules of seeds that were found this way.
+ * @returns the violations, in order
  */
 export const runFormerSchedule = (
   seed: number,
 ): Promise<readonly JobViolation[]> =>
   runSchedule(seed, { ...BASIC, closesPreviousLinks: false });
 
-/** Each one 2 to 8 s after the one before, from now on. */
+/** Loses a leader 2 to 8 s after the previous loss, repeatedly until `endAt`. */
 const loseLeaders = (
   world: JobWorld,
   losses: readonly ScheduleEvent[],
@@ -258,7 +259,7 @@
   return world.history.violations;
 };
 
-/** Plays the world until it is idle, and checks what can be told only then. */
+/** Runs the world until it is idle, and checks what is known only at the end. */
 const finish = async (
   world: JobWorld,
   mayFailPermanently: boolean,
@@ -287,8 +288,8 @@
 };
 
 /**
- * Plays one seed of workers that fall silent one after the other, each as its leader is
- * lost or stays, with nothing else between them. @returns what broke, in order
+ * Runs one seed with workers that become silent one after the other, each while its leader is
+ * lost, replaced or stays, without other faults. @returns the violations, in order
  */
 export const runReturnSchedule = async (
   seed: number,
@@ -322,10 +323,9 @@
 };
 
 /**
- * Plays one seed of workers with lasting tasks that are lost one after the other while
- * all else is calm.
- * @param losses how many are lost
- * @returns what broke, in order
+ * Runs one seed with successive losses of workers that run lasting tasks, without other faults.
+ * @param losses the number of lost workers
+ * @returns the violations, in order
  */
 export const runLastingSchedule = async (
   seed: number,
--- a/packages/checker/src/jobs/scheduleEvents.ts
+++ b/packages/checker/src/jobs/scheduleEvents.ts
@@ -1,4 +1,4 @@
-/** Work and faults that come up in a random schedule, one at a time. */
+/** The events of random schedules: submitted work and injected faults. */
 
 import { pickIndex, type SeededRandom } from "@rackspan/common";
 import type { StoreFault } from "@rackspan/standins";
@@ -6,17 +6,17 @@
 import type { JobWorld } from "./JobWorld.js";
 import type { SilentDirection } from "./SideLink.js";
 
-/** What may happen in a schedule; it draws whatever it needs. */
+/** One event of a schedule, which draws its own random parameters. */
 export type ScheduleEvent = (world: JobWorld, random: SeededRandom) => void;
 
-/** Uniform between the two. */
+/** Draws a uniformly distributed value from `least` (inclusive) to `most` (exclusive). */
 export const between = (
   random: SeededRandom,
   least: number,
   most: number,
 ): number => least + random.next() * (most - least);
 
-/** Plain and lasting jobs of one or two steps. */
+/** Submits a plain or lasting job of one or two steps. */
 export const submitJob: ScheduleEvent = (world, random) => {
   const lasting = random.next() < 0.25;
   const demand = { memoryMiB: 100, accelerators: 0 };
@@ -33,7 +33,7 @@
   world.submit(hasNext ? [step, { ...step, after: [0] }] : [step]);
 };
 
-/** Gangs, tasks that fill or serve, limits by host, repeats. */
+/** Submits a job with a gang, filling or serving tasks, a limit per host, or repeats. */
 export const submitSpecialJob: ScheduleEvent = (world, random) => {
   const kind = pickIndex(random, 5);
   const demand = {
@@ -68,14 +68,14 @@
   }
 };
 
-/** Any job that was not cancelled yet. */
+/** Cancels a random job that was not cancelled yet. */
 export const cancelJob: ScheduleEvent = (world, random) => {
   const { wanted } = world.jobs;
   const id = wanted[pickIndex(random, wanted.length)];
   if (id !== undefined) world.cancel(id);
 };
 
-/** Its first task crashes each worker that starts it. */
+/** Submits a job whose first task crashes each worker that starts it. */
 export const submitCrashingJob: ScheduleEvent = (world, random) => {
   const taskCount = 1 + pickIndex(random, 3);
   const milliCores = 250 * (1 + pickIndex(random, 4));
@@ -85,7 +85,7 @@
   world.submitCrashing([{ taskCount, demand, estimateMs, lasting }]);
 };
 
-/** Small enough that three hosts have room for all that has piled up in a long wait. */
+/** Submits a job so small that three hosts have capacity for all jobs queued in a long wait. */
 export const submitSmallJob: ScheduleEvent = (world, random) => {
   const demand = { memoryMiB: 100, accelerators: 0, milliCores: 40 };
   const taskCount = 1 + pickIndex(random, 3);
@@ -94,7 +94,7 @@
   world.submit([{ taskCount, demand, estimateMs, lasting }]);
 };
 
-/** One worker is lost for good now and then; others are silent for a while. */
+/** Makes a worker silent: sometimes for good, otherwise for a limited time. */
 export const silenceWorker: ScheduleEvent = (world, random) => {
   const draw = random.next();
   const ms = between(random, 500, 14_000);
@@ -104,8 +104,8 @@
 };
 
 /**
- * A worker falls silent as its leader is lost, or stays; in half of the cases it comes
- * back while its side and the leader cannot reach each other.
+ * Makes a worker silent while its leader is lost, replaced or stays. In half of the cases the
+ * worker becomes reachable again while its side and the leader are cut off from each other.
  */
 export const silenceWorkerAndLoseLeader: ScheduleEvent = (world, random) => {
   const cut = random.next() < 0.6 ? "answers" : "calls";
@@ -135,7 +135,7 @@
   "both",
 ];
 
-/** For good, or until late bytes of it arrive beside the next connection. */
+/** Makes connections silent for good, or until delayed bytes arrive beside the next connection. */
 export const silenceLink: ScheduleEvent = (world, random) => {
   const way = SILENT_DIRECTIONS[
     pickIndex(random, SILENT_DIRECTIONS.length)
@@ -145,6 +145,6 @@
   else world.silenceLink(way, ms);
 };
 
-/** Of the calls to a worker some are lost, and some carried out at once or later. */
+/** Leaves calls to a worker unanswered: some are lost, others executed at once or later. */
 export const silenceCalls: ScheduleEvent = (world, random) =>
   world.silenceCalls(between(random, 0.1, 0.9), between(random, 200, 3_000));
