--- a/packages/checker/src/EntryNode.ts
+++ b/packages/checker/src/EntryNode.ts
@@ -1,4 +1,4 @@
-/** An entry's own parts, without its listeners, on a clock that can be paused. */
+/** The components of an entry, without its listeners, on a clock that can be paused. */
 
 import {
   brand,
@@ -77,7 +77,7 @@
   private readonly keys: KeyedRequests;
   private readonly loop: AttemptLoop;
   private readonly placer: UnitPlacer;
-  private readonly keeper: ClaimReconciler;
+  private readonly reconciler: ClaimReconciler;
   private readonly certifier: HostCertifier;
   private readonly drainer: HostDrainer;
   private readonly store: SnapshotStore;
@@ -148,7 +148,7 @@
       ...unitOptions,
       placer: placers.create("leastLoaded", { random }),
     });
-    this.keeper = new ClaimReconciler(unitOptions);
+    this.reconciler = new ClaimReconciler(unitOptions);
     this.certifier = new HostCertifier(unitOptions);
     this.drainer = new HostDrainer(unitOptions);
     this.keys = new KeyedRequests({
@@ -212,7 +212,7 @@
     return this.appender.submit(record, timeoutMs).catch(() => undefined);
   }
 
-  /** Appends a snapshot of the fold; nothing when it cannot be kept now. */
+  /** Appends a snapshot of the fold. @returns whether it was written */
   async writeSnapshot(): Promise<boolean> {
     if (!this.isReady) return false;
     const snapshot = {
@@ -225,7 +225,7 @@
     );
   }
 
-  /** One keyed request, as RequestRun serves it. */
+  /** Serves one keyed request in the same way as RequestRun. */
   async request(key: string): Promise<void> {
     const { history, mutant } = this.options;
     if (!this.isReady) return;
@@ -300,7 +300,7 @@
         history.record({ type: "configSeen", process: this.process, version });
       seen = version;
       this.drainer.sweep(hostList());
-      this.keeper.sweep();
+      this.reconciler.sweep();
       this.placer.sweep();
       this.certifier.sweep(hostList());
     }
@@ -317,7 +317,7 @@
   }
 }
 
-/** Mutant: tasks are started as soon as their claims are given to the appender. */
+/** Mutant: starts tasks as soon as their claims are passed to the appender. */
 const startBeforeReadBack = (
   appender: Appender,
   fold: Fold,
--- a/packages/checker/src/FakeLog.ts
+++ b/packages/checker/src/FakeLog.ts
@@ -1,4 +1,4 @@
-/** The log service in memory, on the passed-in clock, with faults. */
+/** An in-memory log service on the given clock, with faults. */
 
 import {
   ChangeSignal,
@@ -20,10 +20,10 @@
 interface Stream {
   oldest: number;
   readonly entries: Buffer[];
-  readonly grown: ChangeSignal;
+  readonly entryAppended: ChangeSignal;
 }
 
-export interface KeptEntry {
+export interface AppendedEntry {
   readonly stream: string;
   readonly data: Buffer;
 }
@@ -34,10 +34,10 @@
 export class FakeLog implements LogService {
   down = false;
   slow = false;
-  /** How many appends to come lose their answer after they took effect. */
+  /** Number of next appends whose answers are lost after they took effect. */
   loseAnswers = 0;
-  /** Emits each entry that was kept, also where its writer got no answer. */
-  readonly kept = new Emitter<KeptEntry>();
+  /** Emits each appended entry, also where the writer got no answer. */
+  readonly appended = new Emitter<AppendedEntry>();
   private readonly streams = new Map<string, Stream>();
 
   constructor(private readonly clock: Clock) {}
@@ -45,10 +45,10 @@
   async append(name: string, data: Buffer): Promise<Offset> {
     await sleep(this.clock, this.slow ? SLOW_MS : APPEND_MS);
     if (this.down) throw new LogUnavailableError("down");
-    const { entries, oldest, grown } = this.stream(name);
+    const { entries, oldest, entryAppended } = this.stream(name);
     entries.push(data);
-    this.kept.emit({ stream: name, data });
-    grown.notify();
+    this.appended.emit({ stream: name, data });
+    entryAppended.notify();
     if (this.loseAnswers > 0) {
       this.loseAnswers -= 1;
       throw new LogAnswerLostError("lost");
@@ -61,7 +61,7 @@
     const end = (): number => stream.oldest + stream.entries.length;
     await sleep(this.clock, this.slow ? SLOW_MS : 1);
     if (!this.down && from >= end() && waitMs > 0)
-      await stream.grown.wait(this.clock, waitMs);
+      await stream.entryAppended.wait(this.clock, waitMs);
     if (this.down) throw new LogUnavailableError("down");
     const { oldest } = stream;
     if (from < oldest) throw new RetentionError(name, from, offset(oldest));
@@ -75,14 +75,14 @@
     };
   }
 
-  /** The offset that the next entry of the stream will get. */
+  /** The offset of the next entry of the stream. */
   end(name: string): number {
     const { oldest, entries } = this.stream(name);
     return oldest + entries.length;
   }
 
-  /** Drops entries below the offset, as retention does after a long time. */
-  cut(name: string, below: number): void {
+  /** Drops the entries below the offset, as log retention does. */
+  truncate(name: string, below: number): void {
     const stream = this.stream(name);
     const dropped = Math.max(0, below - stream.oldest);
     stream.oldest += stream.entries.splice(0, dropped).length;
@@ -92,7 +92,7 @@
     const stream = this.streams.get(name) ?? {
       oldest: 0,
       entries: [],
-      grown: new ChangeSignal(),
+      entryAppended: new ChangeSignal(),
     };
     this.streams.set(name, stream);
     return stream;
--- a/packages/checker/src/FakeWorker.ts
+++ b/packages/checker/src/FakeWorker.ts
@@ -1,4 +1,4 @@
-/** A worker in memory: leases and the run of tasks on the passed-in clock. */
+/** An in-memory worker that models leases and task runs on the given clock. */
 
 import {
   sleep,
@@ -19,12 +19,12 @@
 } from "@rackspan/ports";
 import type { History } from "./history.js";
 
-interface Held {
+interface TaskRecord {
   status: WorkerTask;
-  done: number;
+  progressMs: number;
   readonly startedAt: number;
-  readonly end: Timer;
-  lapse: Timer;
+  readonly endTimer: Timer;
+  leaseTimer: Timer;
 }
 
 export interface FakeWorkerOptions {
@@ -32,7 +32,7 @@
   readonly clock: Clock;
   readonly history: History;
   readonly capacity: Resources;
-  /** Mutant: obeys a side process that has been replaced. */
+  /** Mutant: whether the worker executes orders of a replaced side process. */
   readonly ignoreOwner: boolean;
 }
 
@@ -41,13 +41,13 @@
 
 export class FakeWorker implements Worker {
   loseAnswers = 0;
-  /** How much longer the next order to start is on its way. */
+  /** Extra delay of the next start order, milliseconds. */
   delayNextStartMs = 0;
-  /** Calls do not arrive, and no process ever learns how its tasks end. */
-  private cut = false;
+  /** Whether calls no longer arrive, so that no process receives the ends of the tasks. */
+  private isUnreachable = false;
   private owner: Incarnation | undefined;
-  private gone = false;
-  private readonly held = new Map<TaskId, Held>();
+  private isKilled = false;
+  private readonly tasks = new Map<TaskId, TaskRecord>();
   private readonly stopped = new Set<TaskId>();
 
   constructor(private readonly options: FakeWorkerOptions) {
@@ -55,23 +55,26 @@
     options.history.record({ type: "capacity", host, capacity });
   }
 
-  /** The host is lost, with all that runs on it. */
+  /** Ends the host and all tasks on it. */
   kill(): void {
-    this.loseResults();
-    for (const task of this.held.keys()) this.end(task, "lapsed");
-    this.gone = true;
+    this.recordLostResults();
+    for (const task of this.tasks.keys()) this.end(task, "lapsed");
+    this.isKilled = true;
   }
 
-  /** The platform has given the host up, though its tasks run until their leases end. */
+  /**
+   * Makes the host unreachable: the platform treats it as lost, but its tasks run until their
+   * leases expire.
+   */
   abandon(): void {
-    this.loseResults();
-    this.cut = true;
+    this.recordLostResults();
+    this.isUnreachable = true;
   }
 
-  /** What had ended here with a result and is not forgotten yet may never be heard of. */
-  private loseResults(): void {
+  /** Records the results of ended tasks that no process may ever receive. */
+  private recordLostResults(): void {
     const { history } = this.options;
-    for (const { status } of this.held.values()) {
+    for (const { status } of this.tasks.values()) {
       if (status.state !== "succeeded" && status.state !== "checkpointed")
         continue;
       history.record({ type: "resultLost", task: status.task });
@@ -94,10 +97,10 @@
     this.delayNextStartMs = 0;
     if (delayMs > 0) await sleep(this.options.clock, delayMs);
     return this.call(owner, () => {
-      const known = this.held.get(order.task);
+      const known = this.tasks.get(order.task);
       if (known) return known.status;
       if (this.stopped.has(order.task))
-        throw new WorkerRefusedError("it was stopped before");
+        throw new WorkerRefusedError("the task was stopped before");
       return this.run(order);
     });
   }
@@ -109,10 +112,10 @@
   ): Promise<WorkerState> {
     return this.call(owner, () => {
       for (const task of tasks) {
-        const held = this.held.get(task);
-        if (held?.status.state !== "running") continue;
-        held.lapse.cancel();
-        held.lapse = this.lapseTimer(task, leaseMs);
+        const record = this.tasks.get(task);
+        if (record?.status.state !== "running") continue;
+        record.leaseTimer.cancel();
+        record.leaseTimer = this.startLeaseTimer(task, leaseMs);
       }
       return this.state();
     });
@@ -121,7 +124,7 @@
   stop(owner: Incarnation, task: TaskId, checkpoint: boolean): Promise<void> {
     return this.call(owner, () => {
       this.stopped.add(task);
-      if (this.held.get(task)?.status.state !== "running") return;
+      if (this.tasks.get(task)?.status.state !== "running") return;
       this.end(task, checkpoint ? "checkpointed" : "stopped");
     });
   }
@@ -132,8 +135,8 @@
 
   forget(owner: Incarnation, task: TaskId): Promise<void> {
     return this.call(owner, () => {
-      if (this.held.get(task)?.status.state !== "running")
-        this.held.delete(task);
+      if (this.tasks.get(task)?.status.state !== "running")
+        this.tasks.delete(task);
     });
   }
 
@@ -146,7 +149,8 @@
     effect: () => T,
   ): Promise<T> {
     await sleep(this.options.clock, CALL_MS);
-    if (this.cut || this.gone) throw new WorkerOutcomeUnknownError("cut");
+    if (this.isUnreachable || this.isKilled)
+      throw new WorkerOutcomeUnknownError("cut");
     const isOwner =
       owner === undefined || owner === this.owner || this.options.ignoreOwner;
     if (!isOwner)
@@ -160,7 +164,7 @@
   }
 
   private state(): WorkerState {
-    const tasks = [...this.held.values()].map(({ status }) => status);
+    const tasks = [...this.tasks.values()].map(({ status }) => status);
     return {
       capacity: this.options.capacity,
       longestLeaseMs: LONGEST_LEASE_MS,
@@ -171,7 +175,7 @@
   private run(order: StartOrder): WorkerTask {
     const { clock, history, host } = this.options;
     const { task, resources, fencingToken, notes, checkpoint } = order;
-    const done = Number(checkpoint ?? 0);
+    const progressMs = Number(checkpoint ?? 0);
     const runMs = Number(order.program.args["runMs"] ?? 1_000);
     const status: WorkerTask = {
       task,
@@ -189,34 +193,36 @@
       resources,
       checkpoint,
     });
-    this.held.set(task, {
+    this.tasks.set(task, {
       status,
-      done,
+      progressMs,
       startedAt: clock.monotonic(),
-      end: clock.after(Math.max(1, runMs - done), () =>
+      endTimer: clock.after(Math.max(1, runMs - progressMs), () =>
         this.end(task, "succeeded"),
       ),
-      lapse: this.lapseTimer(task, order.leaseMs),
+      leaseTimer: this.startLeaseTimer(task, order.leaseMs),
     });
     return status;
   }
 
-  private lapseTimer(task: TaskId, leaseMs: number): Timer {
+  private startLeaseTimer(task: TaskId, leaseMs: number): Timer {
     const ms = Math.min(leaseMs, LONGEST_LEASE_MS);
     return this.options.clock.after(ms, () => this.end(task, "lapsed"));
   }
 
   private end(task: TaskId, state: WorkerTask["state"]): void {
     const { clock, history, host } = this.options;
-    const held = this.held.get(task);
-    if (held?.status.state !== "running") return;
-    held.end.cancel();
-    held.lapse.cancel();
-    const progress = Math.round(held.done + clock.monotonic() - held.startedAt);
+    const record = this.tasks.get(task);
+    if (record?.status.state !== "running") return;
+    record.endTimer.cancel();
+    record.leaseTimer.cancel();
+    const progress = Math.round(
+      record.progressMs + clock.monotonic() - record.startedAt,
+    );
     const checkpoint = state === "checkpointed" ? String(progress) : undefined;
-    held.status = { ...held.status, state, checkpoint };
-    const unit = held.status.notes["unit"] ?? "";
-    const end = this.cut ? "unseen" : state;
+    record.status = { ...record.status, state, checkpoint };
+    const unit = record.status.notes["unit"] ?? "";
+    const end = this.isUnreachable ? "unseen" : state;
     history.record({ type: "taskEnded", host, unit, task, end, checkpoint });
   }
 }
--- a/packages/checker/src/HostLink.ts
+++ b/packages/checker/src/HostLink.ts
@@ -1,4 +1,4 @@
-/** The connection of one entry to one host's side process, with faults. */
+/** The connection of one entry to the side process of one host, with faults. */
 
 import {
   sleep,
@@ -26,12 +26,12 @@
 
 export interface HostLinkOptions {
   readonly host: string;
-  /** The clock of the entry that calls. */
+  /** The clock of the calling entry. */
   readonly clock: Clock;
-  /** The side process that runs there now. */
+  /** Returns the side process that currently runs on the host. */
   readonly side: () => SideNode | undefined;
   readonly isCut: () => boolean;
-  /** Mutants. */
+  /** Switches of mutants. */
   readonly skipTaskFence: boolean;
   readonly skipRequestFence: boolean;
 }
@@ -41,7 +41,7 @@
 const ADDRESS = { host: "127.0.0.1", port: 1 };
 
 export class HostLink implements HostControl, AttemptPeer {
-  /** How many calls to come lose their answer after they took effect. */
+  /** Number of next calls whose answers are lost after they took effect. */
   loseAnswers = 0;
   endpoint: EndpointState | undefined;
   readonly record: HostRecord;
@@ -56,7 +56,7 @@
     return { ...this.status, tasks: this.status.tasks ?? [], placing: [] };
   }
 
-  /** Whether requests may be sent there. */
+  /** Whether requests may be sent to the host. */
   get serves(): boolean {
     return (
       this.status?.ready === true &&
@@ -67,7 +67,7 @@
 
   async sync(): Promise<void> {
     this.status = await this.call((side) =>
-      side.board.read({ incarnation: undefined, revision: -1 }, 0),
+      side.statusPublisher.read({ incarnation: undefined, revision: -1 }, 0),
     );
     if (this.endpoint?.incarnation === this.status.incarnation) return;
     this.endpoint = new EndpointState(this.status, ADDRESS);
@@ -141,7 +141,7 @@
     return this.status?.incarnation;
   }
 
-  /** The call may take effect even when the caller has stopped waiting. */
+  /** Calls the side; the call may take effect even after the caller has stopped waiting. */
   private call<T>(effect: (side: SideNode) => Promise<T> | T): Promise<T> {
     const { clock, host } = this.options;
     return new Promise((resolve, reject) => {
@@ -171,13 +171,13 @@
     if (side.clock.isDead || isCut()) throw new LostAnswerError(`${host} died`);
     if (this.loseAnswers > 0) {
       this.loseAnswers -= 1;
-      throw new LostAnswerError(`${host} answered in vain`);
+      throw new LostAnswerError(`the answer of ${host} was lost`);
     }
     return value;
   }
 }
 
-/** What a handler refuses arrives as a remote error, as over the wire. */
+/** Converts the refusal of a handler to a remote error, as on the wire. */
 const toRemote = (err: unknown): unknown => {
   if (!(err instanceof RackspanError)) return err;
   if (err instanceof ConnectError || err instanceof LostAnswerError) return err;
--- a/packages/checker/src/ProcessClock.ts
+++ b/packages/checker/src/ProcessClock.ts
@@ -1,15 +1,15 @@
-/** One process's clock: it can be paused, and ends with its process. */
+/** The clock of one process, which can be paused and stops at the end of the process. */
 
 import type { Clock, Instant, Monotonic, Timer } from "@rackspan/common";
 
 export class ProcessClock implements Clock {
   private paused = false;
-  private isBusy = false;
+  private isStarved = false;
   private dead = false;
   private suspendedMs = 0;
-  private readonly late = new Set<() => void>();
-  /** What came from outside while the process stood still, in order. */
-  private arrived: (() => void)[] = [];
+  private readonly overdue = new Set<() => void>();
+  /** Handlers of messages that arrived while the process was paused, in order. */
+  private queuedMessages: (() => void)[] = [];
 
   constructor(private readonly base: Clock) {}
 
@@ -28,45 +28,45 @@
   after(ms: number, callback: () => void): Timer {
     const fire = (): void => {
       if (this.dead) return;
-      if (this.paused || this.isBusy) this.late.add(fire);
+      if (this.paused || this.isStarved) this.overdue.add(fire);
       else callback();
     };
     const timer = this.base.after(ms, fire);
     return {
       cancel: () => {
         timer.cancel();
-        this.late.delete(fire);
+        this.overdue.delete(fire);
       },
     };
   }
 
-  /** Something comes from outside: it is taken now, or once the process goes on. */
-  arrive(take: () => void): void {
+  /** Handles a message from outside now, or once the process resumes. */
+  receive(handle: () => void): void {
     if (this.dead) return;
-    if (this.paused) this.arrived.push(take);
-    else take();
+    if (this.paused) this.queuedMessages.push(handle);
+    else handle();
   }
 
-  /** Resolves once the process runs; never for a dead one. */
+  /** Resolves once the process runs; never for a dead process. */
   running(): Promise<void> {
     if (!this.paused && !this.dead) return Promise.resolve();
-    return new Promise((resolve) => this.late.add(resolve));
+    return new Promise((resolve) => this.overdue.add(resolve));
   }
 
   get isDead(): boolean {
     return this.dead;
   }
 
-  /** Whether its process takes nothing, or runs no timer. */
-  get standsStill(): boolean {
-    return this.paused || this.isBusy;
+  /** Whether the process handles no messages or runs no timers. */
+  get isStalled(): boolean {
+    return this.paused || this.isStarved;
   }
 
   pause(): void {
     this.paused = true;
   }
 
-  /** Its machine is suspended: its steady clock stands still as well. */
+  /** Suspends the machine of the process, which also stops its monotonic clock. */
   suspend(ms: number): void {
     if (this.paused || this.dead) return;
     this.paused = true;
@@ -76,37 +76,37 @@
     });
   }
 
-  /** It has more to take than it can: until it catches up no timer runs. */
+  /** Overloads the process: no timer runs until `catchUp`. */
   starve(): void {
-    this.isBusy = true;
+    this.isStarved = true;
   }
 
   resume(): void {
     this.paused = false;
-    const late = [...this.late];
-    this.late.clear();
+    const overdue = [...this.overdue];
+    this.overdue.clear();
     if (this.dead) return;
-    for (const callback of late) callback();
+    for (const callback of overdue) callback();
   }
 
-  /** Goes on as processes do: takes what has arrived, and only then its late timers. */
+  /** Resumes as real processes do: handles queued messages before overdue timers. */
   catchUp(): void {
     this.paused = false;
-    this.isBusy = false;
-    const { arrived, late } = this;
-    this.arrived = [];
-    for (const take of arrived) this.after(0, take);
-    for (const callback of [...late]) {
-      // One that was cancelled meanwhile is late no more.
+    this.isStarved = false;
+    const { queuedMessages, overdue } = this;
+    this.queuedMessages = [];
+    for (const handle of queuedMessages) this.after(0, handle);
+    for (const callback of [...overdue]) {
+      // A timer that was cancelled meanwhile must not run.
       this.base.after(0, () => {
-        if (late.delete(callback)) callback();
+        if (overdue.delete(callback)) callback();
       });
     }
   }
 
   kill(): void {
     this.dead = true;
-    this.late.clear();
-    this.arrived = [];
+    this.overdue.clear();
+    this.queuedMessages = [];
   }
 }
--- a/packages/checker/src/SideNode.ts
+++ b/packages/checker/src/SideNode.ts
@@ -1,4 +1,4 @@
-/** A side process's own parts, without its listener, on a clock that can be paused. */
+/** The components of a side process, without its listener, on a clock that can be paused. */
 
 import {
   freshId,
@@ -29,12 +29,12 @@
 }
 
 export class SideNode {
-  /** Name and generation, as histories name hosts. */
+  /** Name and generation of the host, as in histories. */
   readonly label: string;
   readonly clock: ProcessClock;
   readonly incarnation = freshId<Incarnation>();
   readonly fences: RequestFences;
-  readonly board: StatusPublisher;
+  readonly statusPublisher: StatusPublisher;
   readonly handlers: Handlers<SideMethods>;
   readonly tasks: TaskSupervisor;
   private readonly stop = new AbortController();
@@ -76,7 +76,7 @@
     const gate = new AdmissionGate({ clock, ...settings.admission });
     this.fences = new RequestFences(clock, 1_000);
     const { tasks, fences } = this;
-    this.board = new StatusPublisher({
+    this.statusPublisher = new StatusPublisher({
       settings,
       incarnation,
       tasks,
@@ -90,7 +90,7 @@
       tasks,
       commitments,
       fences,
-      statusPublisher: this.board,
+      statusPublisher: this.statusPublisher,
     });
   }
 
--- a/packages/checker/src/World.ts
+++ b/packages/checker/src/World.ts
@@ -1,4 +1,4 @@
-/** Two entries and three hosts on fakes of the platform, and the faults that are injected. */
+/** Simulates two entries and three hosts on fakes of the platform, and injects faults. */
 
 import {
   brand,
@@ -26,9 +26,9 @@
 const ENTRIES = ["entry-1", "entry-2"] as const;
 const CAPACITY: Resources = { processors: 4, memoryMiB: 100, accelerators: 1 };
 const HOST_LIST_LAG_MS = 700;
-const FINALE_MS = 90_000;
-const FINALE_STEP_MS = 1_000;
-const FINALE_LEAST_MS = 12_000;
+const MAX_SETTLE_MS = 90_000;
+const SETTLE_STEP_MS = 1_000;
+const MIN_SETTLE_MS = 12_000;
 const QUOTA = "team-a";
 
 interface Host {
@@ -36,7 +36,7 @@
   generation: number;
   worker: FakeWorker;
   side: SideNode | undefined;
-  /** Entries that cannot reach it. */
+  /** Entries that cannot reach the host. */
   readonly cutFrom: Set<string>;
 }
 
@@ -47,7 +47,7 @@
   private readonly random: SeededRandom;
   private readonly hosts: Host[] = [];
   private readonly entries = new Map<string, EntryNode>();
-  private readonly listed = new Map<HostId, HostRecord>();
+  private readonly hostList = new Map<HostId, HostRecord>();
   private readonly faults: RequestFault[] = [];
   private readonly jobs: string[] = [];
   private quotaValue = 0;
@@ -98,13 +98,13 @@
       void this.entry(index)?.submit({ type: "cancel", unit: jobUnitId(name) });
   }
 
-  /** Sends a request, or repeats an earlier key at some entry. */
+  /** Sends a request to an entry, possibly with the key of an earlier request. */
   request(index: number, key: number, fault: RequestFault): void {
     if (fault !== "none") this.faults.push(fault);
     void this.entry(index)?.request(`k${key}`);
   }
 
-  /** Operators who all start from the version that they read now. */
+  /** Submits changes by several operators, each based on the version that its entry shows now. */
   changeConfig(operators: number): void {
     for (let operator = 0; operator < operators; operator += 1) {
       const entry = this.entry(operator);
@@ -149,7 +149,7 @@
     if (!host.side) this.startSide(host);
   }
 
-  /** A second side process starts while the first is paused; the first then goes on. */
+  /** Starts a second side process while the first is paused; the first then resumes. */
   replacePausedSide(index: number, pausedMs: number): void {
     const host = this.host(index);
     const old = host.side;
@@ -170,7 +170,7 @@
     this.clock.after(ms, () => entry?.clock.resume());
   }
 
-  /** The host and all on it are gone; the host list learns of its replacement later. */
+  /** Replaces a host that was lost with all its tasks; the host list shows this later. */
   replaceHost(index: number): void {
     const host = this.host(index);
     host.side?.kill();
@@ -181,8 +181,8 @@
   }
 
   /**
-   * The host list shows a replacement though the old host runs on, out of reach,
-   * until its leases run out: the platform has given up on it.
+   * Replaces a host that runs on, unreachable, until its leases expire; the platform treats it
+   * as lost, and the host list shows the replacement.
    */
   abandonHost(index: number): void {
     const host = this.host(index);
@@ -205,8 +205,8 @@
     } as const;
     void this.entry(index)
       ?.submit(record)
-      .then((verdict) => {
-        if (!verdict?.accepted || host.generation !== generation) return;
+      .then((result) => {
+        if (!result?.accepted || host.generation !== generation) return;
         this.history.record({
           type: "hostLeaving",
           host: `${host.name}@${generation}`,
@@ -229,7 +229,7 @@
     }
   }
 
-  /** The next order to start at the host arrives late. */
+  /** Delays the next start order at the host. */
   delayStart(index: number, ms: number): void {
     const host = this.host(index);
     host.worker.delayNextStartMs = ms;
@@ -240,17 +240,17 @@
     this.clock.after(ms, () => (this.log[kind] = false));
   }
 
-  /** Drops what a snapshot covers and every running entry has read. */
+  /** Drops the log entries that a snapshot covers and every running entry has read. */
   cutRetention(index: number): void {
     const entry = this.entry(index);
     if (!entry) return;
     const covered = entry.follower.position;
-    void entry.writeSnapshot().then((kept) => {
-      if (!kept) return;
+    void entry.writeSnapshot().then((written) => {
+      if (!written) return;
       const positions = [...this.entries.values()].map(
         ({ follower }) => follower.position,
       );
-      this.log.cut("records", Math.min(covered, ...positions));
+      this.log.truncate("records", Math.min(covered, ...positions));
     });
   }
 
@@ -258,7 +258,7 @@
     return this.clock.advance(ms);
   }
 
-  /** Ends all faults, waits until nothing is left to do, and notes how things stand. */
+  /** Ends all faults, waits until the world is idle, and records the final state. */
   async finish(): Promise<void> {
     this.log.down = false;
     this.log.slow = false;
@@ -267,7 +267,8 @@
     for (const host of this.hosts) {
       host.cutFrom.clear();
       host.side?.clock.resume();
-      if (host.side?.board.leaving) this.replaceHost(this.hosts.indexOf(host));
+      if (host.side?.statusPublisher.leaving)
+        this.replaceHost(this.hosts.indexOf(host));
       else if (!host.side) this.startSide(host);
     }
     for (const [name, entry] of this.entries) {
@@ -277,22 +278,22 @@
       this.entries.delete(name);
     }
     ENTRIES.forEach((_, index) => this.restartEntry(index));
-    // Appends that were under way may still land: rest counts only after a while.
-    await this.advance(FINALE_LEAST_MS);
+    // Pending appends may still take effect: idleness is checked only after a minimum time.
+    await this.advance(MIN_SETTLE_MS);
     for (
       let passed = 0;
-      passed < FINALE_MS && !this.isAtRest();
-      passed += FINALE_STEP_MS
+      passed < MAX_SETTLE_MS && !this.isIdle();
+      passed += SETTLE_STEP_MS
     ) {
-      await this.advance(FINALE_STEP_MS);
+      await this.advance(SETTLE_STEP_MS);
     }
-    this.recordFinals();
+    this.recordFinalState();
     for (const entry of this.entries.values()) entry.kill();
     for (const { side } of this.hosts) side?.kill();
   }
 
-  /** Everything that was kept is read, and nothing is left to do. */
-  private isAtRest(): boolean {
+  /** Whether all entries have read the whole log and no unit is unfinished. */
+  private isIdle(): boolean {
     const end = this.log.end(RECORD_STREAM);
     return [...this.entries.values()].every(
       ({ isReady, follower, fold }) =>
@@ -300,7 +301,7 @@
     );
   }
 
-  private recordFinals(): void {
+  private recordFinalState(): void {
     for (const [process, { fold }] of this.entries) {
       for (const name of this.jobs) {
         const unit = jobUnitId(name);
@@ -352,7 +353,7 @@
       rack: "r1",
     } as HostRecord;
     this.clock.after(HOST_LIST_LAG_MS, () =>
-      this.listed.set(record.host, record),
+      this.hostList.set(record.host, record),
     );
   }
 
@@ -369,7 +370,7 @@
       sideOf: (host) =>
         this.hosts.find((candidate) => candidate.name === host)?.side,
       createLink: (host, entryClock) => this.createLink(name, host, entryClock),
-      hostList: () => [...this.listed.values()],
+      hostList: () => [...this.hostList.values()],
       entries: () => [...this.entries.keys()].map(hostId),
       peerSnapshot: () => {
         const peer = [...this.entries.values()].find(
--- a/packages/checker/src/checkHistory.ts
+++ b/packages/checker/src/checkHistory.ts
@@ -1,4 +1,4 @@
-/** Checks each invariant of the requests, tasks and configuration over a history. */
+/** Checks the invariants of requests, tasks and configuration over a history. */
 
 import {
   addResources,
@@ -39,7 +39,7 @@
 ): readonly EventOf<T>[] =>
   events.filter((event): event is EventOf<T> => event.type === type);
 
-/** A host that is leaving may still take what was under way, for this long. */
+/** How long a leaving host may still start work that was already under way, milliseconds. */
 const LEAVING_GRACE_MS = 5_000;
 
 const checkCommitment = (events: readonly HistoryEvent[]): Violation[] => {
@@ -100,7 +100,7 @@
   return violations;
 };
 
-/** Each attempt starts once, success comes once, and no accepted job is lost. */
+/** Checks that each attempt starts once, each unit succeeds once, and no accepted job is lost. */
 const checkResumesOnce = (events: readonly HistoryEvent[]): Violation[] => {
   const violations: Violation[] = [];
   const report = (detail: string, at: number): void => {
@@ -128,20 +128,23 @@
   );
   for (const { unit, finish, at } of ofType(events, "jobFinal")) {
     if (accepted.has(unit) && finish === undefined)
-      report(`${unit} never came to an end`, at);
+      report(`${unit} never finished`, at);
     if (finish === "succeeded" && !everSucceeded.has(unit)) {
-      report(`${unit} is said to have succeeded`, at);
+      report(
+        `${unit} is recorded as succeeded, but no task of it succeeded`,
+        at,
+      );
     }
   }
   violations.push(...checkCheckpoints(events));
   return violations;
 };
 
-/** A start after a checkpoint goes on from the last one of its unit. */
+/** Checks that a start after a checkpoint resumes from the last checkpoint of its unit. */
 const checkCheckpoints = (events: readonly HistoryEvent[]): Violation[] => {
   const last = new Map<string, string>();
   const lost = new Set(ofType(events, "resultLost").map(({ task }) => task));
-  /** Units whose last checkpoint may or may not have been heard of. */
+  /** Last checkpoints of units that may or may not have been received. */
   const uncertain = new Map<string, string>();
   const violations: Violation[] = [];
   for (const event of events) {
@@ -151,12 +154,12 @@
     }
     if (event.type !== "taskStarted") continue;
     const expected = last.get(event.unit);
-    const isHeardOf =
+    const wasReceived =
       event.checkpoint !== undefined &&
       event.checkpoint === uncertain.get(event.unit);
-    if (isHeardOf) last.set(event.unit, event.checkpoint);
-    if (isHeardOf || event.checkpoint === expected) continue;
-    const detail = `${event.task} went on from ${event.checkpoint}, not ${expected}`;
+    if (wasReceived) last.set(event.unit, event.checkpoint);
+    if (wasReceived || event.checkpoint === expected) continue;
+    const detail = `${event.task} resumed from ${event.checkpoint}, not ${expected}`;
     violations.push({ invariant: "resumes-once", detail, at: event.at });
   }
   return violations;
@@ -209,7 +212,7 @@
     if (since === undefined || event.at <= since + LEAVING_GRACE_MS) continue;
     violations.push({
       invariant: "leaving",
-      detail: `${event.host} was given work`,
+      detail: `${event.host} received work`,
       at: event.at,
     });
   }
@@ -225,7 +228,10 @@
       at,
     }));
 
-/** Accepted changes build on what they name, no process goes back, and all end alike. */
+/**
+ * Checks that accepted changes are based on the version that they name, that no process returns
+ * to an older version, and that all processes end with the same value.
+ */
 const checkConfig = (events: readonly HistoryEvent[]): Violation[] => {
   const violations: Violation[] = [];
   const report = (detail: string, at: number): void => {
@@ -250,7 +256,7 @@
   const seen = new Map<string, number>();
   for (const { process, version, at } of ofType(events, "configSeen")) {
     if (version < (seen.get(process) ?? 0))
-      report(`${process} went back to ${version}`, at);
+      report(`${process} returned to version ${version}`, at);
     seen.set(process, version);
   }
   for (const { process, name, value, at } of ofType(events, "configFinal")) {
--- a/packages/checker/src/fakeAttempts.ts
+++ b/packages/checker/src/fakeAttempts.ts
@@ -1,4 +1,4 @@
-/** Sending of requests without a network, with the faults that a network has. */
+/** Sends requests without a network, with the faults of a network. */
 
 import { sleep, type Clock, type RequestId } from "@rackspan/common";
 import type { SentAttempt } from "@rackspan/entry";
@@ -10,7 +10,7 @@
 import type { History } from "./history.js";
 import type { SideNode } from "./SideNode.js";
 
-/** `late`: it arrives after the entry has given up. `answer-lost`: it ran unheard. */
+/** `late`: arrives after the timeout of the entry. `answer-lost`: runs, but its answer is lost. */
 export type RequestFault =
   "none" | "not-sent" | "lost" | "late" | "answer-lost";
 
@@ -21,11 +21,11 @@
   readonly nextFault: () => RequestFault;
 }
 
-const TRIP_MS = 2;
-const LATE_MS = 400;
-const GIVE_UP_MS = 100;
+const LATENCY_MS = 2;
+const LATE_ARRIVAL_MS = 400;
+const TIMEOUT_MS = 100;
 
-/** Reads one header of a flat list. */
+/** Reads one header of a flat list of names and values. */
 const headerOf = (headers: readonly string[], name: string): string => {
   const at = headers.findIndex(
     (value, index) => index % 2 === 0 && value === name,
@@ -42,12 +42,12 @@
   sideOf,
   nextFault,
 }: FakeAttemptsOptions) => {
-  const arrive = (options: AttemptOptions) => {
+  const deliver = (options: AttemptOptions) => {
     const side = sideOf(headerOf(options.headers, HEADER.INCARNATION));
     if (!side || side.clock.isDead) return undefined;
     const request = headerOf(options.headers, HEADER.REQUEST_ID) as RequestId;
     const attempt = Number(headerOf(options.headers, HEADER.ATTEMPT));
-    const start = side.board.leaving
+    const start = side.statusPublisher.leaving
       ? "fenced"
       : side.fences.tryStart({ request, attempt });
     if (start !== "started") {
@@ -66,15 +66,16 @@
     const fail = (mayHaveRun: boolean): never => {
       throw new AttemptFailedError(mayHaveRun, options.address, fault);
     };
-    await sleep(clock, TRIP_MS);
+    await sleep(clock, LATENCY_MS);
     if (fault === "not-sent") return fail(false);
-    if (fault === "late") clock.after(LATE_MS, () => void arrive(options));
+    if (fault === "late")
+      clock.after(LATE_ARRIVAL_MS, () => void deliver(options));
     if (fault === "lost" || fault === "late") {
-      await sleep(clock, GIVE_UP_MS);
+      await sleep(clock, TIMEOUT_MS);
       return fail(true);
     }
-    const answer = arrive(options);
-    await sleep(clock, TRIP_MS);
+    const answer = deliver(options);
+    await sleep(clock, LATENCY_MS);
     if (answer === undefined || fault === "answer-lost") return fail(true);
     return answer;
   };
--- a/packages/checker/src/followLog.ts
+++ b/packages/checker/src/followLog.ts
@@ -1,4 +1,4 @@
-/** What the log itself saw, by the rules with nothing switched off. */
+/** Records what the log accepted, by a fold without any mutant. */
 
 import {
   decodeBatch,
@@ -23,18 +23,17 @@
   }
 };
 
-/** Notes what was accepted, also where no writer heard of it. */
+/** Records accepted records in the history, also where the writer got no answer. */
 export const followLog = (log: FakeLog, history: History): void => {
-  const truth = new Fold();
-  log.kept.on(({ stream, data }) => {
-    if (stream === RECORD_STREAM) truth.applyBatch(decodeBatch(data));
+  const fold = new Fold();
+  log.appended.on(({ stream, data }) => {
+    if (stream === RECORD_STREAM) fold.applyBatch(decodeBatch(data));
   });
-  truth.applied.on(({ record, result: verdict }) => {
-    if (!verdict.accepted) return;
+  fold.applied.on(({ record, result }) => {
+    if (!result.accepted) return;
     if (record.type === "submit") {
       history.record({ type: "jobAccepted", unit: jobUnitId(record.job.name) });
     }
-    if (record.type === "apply")
-      recordConfig(history, record, verdict.sequence);
+    if (record.type === "apply") recordConfig(history, record, result.sequence);
   });
 };
--- a/packages/checker/src/history.ts
+++ b/packages/checker/src/history.ts
@@ -1,14 +1,14 @@
-/** What callers, operators, workers and the log saw in one run, in the order of time. */
+/** The events that callers, operators, workers and the log observed in one run, by time. */
 
 import type { Resources } from "@rackspan/common";
 
-/** Hosts go by name and generation, as `host-1@2`: a replacement is another machine. */
-interface At {
+/** Events name hosts by name and generation, as `host-1@2`: a replacement is another machine. */
+interface Timed {
   /** Milliseconds since the start of the run. */
   readonly at: number;
 }
 
-export type HistoryEvent = At &
+export type HistoryEvent = Timed &
   (
     | {
         readonly type: "capacity";
@@ -31,10 +31,10 @@
         readonly end: string;
         readonly checkpoint: string | undefined;
       }
-    /** Its success or checkpoint was on a host that was lost before anybody is known to have heard. */
+    /** The result of the task was on a host that was lost before its receipt was confirmed. */
     | { readonly type: "resultLost"; readonly task: string }
     | { readonly type: "jobAccepted"; readonly unit: string }
-    /** The end of the run, after all faults have ended. */
+    /** The state at the end of the run, after all faults have ended. */
     | {
         readonly type: "jobFinal";
         readonly unit: string;
@@ -67,7 +67,7 @@
         readonly version: number;
         readonly base: number;
       }
-    /** What a ready process holds. */
+    /** The configuration version of a ready process. */
     | {
         readonly type: "configSeen";
         readonly process: string;
@@ -81,9 +81,9 @@
       }
   );
 
-/** A member of the union without its time, as recorders give it. */
-export type Recorded = HistoryEvent extends infer E
-  ? E extends At
+/** An event without its time, which the history adds. */
+export type UntimedEvent = HistoryEvent extends infer E
+  ? E extends Timed
     ? Omit<E, "at">
     : never
   : never;
@@ -93,7 +93,7 @@
 
   constructor(private readonly now: () => number) {}
 
-  record(event: Recorded): void {
+  record(event: UntimedEvent): void {
     this.events.push({ ...event, at: this.now() } as HistoryEvent);
   }
 }
--- a/packages/checker/src/jobs/LeaderModel.ts
+++ b/packages/checker/src/jobs/LeaderModel.ts
@@ -84,7 +84,7 @@
 
   /** Whether the leader handles reports and sends orders. */
   get canDecide(): boolean {
-    const isAwake = !this.clock.isDead && !this.clock.standsStill;
+    const isAwake = !this.clock.isDead && !this.clock.isStalled;
     return isAwake && this.engine !== undefined && this.mayDecide();
   }
 
--- a/packages/checker/src/jobs/SideLink.ts
+++ b/packages/checker/src/jobs/SideLink.ts
@@ -140,7 +140,7 @@
 
   sendToLeader(arrive: () => void): void {
     this.toLeader.send(() =>
-      this.options.leaderClock.arrive(() => {
+      this.options.leaderClock.receive(() => {
         if (this.toLeader.isOpen) arrive();
       }),
     );
@@ -161,7 +161,9 @@
   closeAtSide(onLeaderClosed: () => void): void {
     this.toSide.isOpen = false;
     this.toLeader.send(() =>
-      this.options.leaderClock.arrive(() => this.closeAtLeader(onLeaderClosed)),
+      this.options.leaderClock.receive(() =>
+        this.closeAtLeader(onLeaderClosed),
+      ),
     );
   }
 
--- a/packages/checker/src/schedules.ts
+++ b/packages/checker/src/schedules.ts
@@ -1,4 +1,4 @@
-/** Schedules of work and faults, as fast-check makes and shrinks them. */
+/** Schedules of work and faults that fast-check generates and shrinks. */
 
 import fc from "fast-check";
 import type { RequestFault } from "./fakeAttempts.js";
@@ -165,7 +165,7 @@
   readonly events: World["history"]["events"];
 }
 
-/** Runs one schedule to its rest, and checks what was seen. */
+/** Runs one schedule until it is idle, and checks the recorded history. */
 export const runSchedule = async (
   { seed, steps }: Schedule,
   mutant?: Mutant,
--- a/packages/checker/tests/checkHistory.test.ts
+++ b/packages/checker/tests/checkHistory.test.ts
@@ -48,8 +48,8 @@
   capacity,
 });
 
-/** A run in which all is well. */
-const SOUND: readonly HistoryEvent[] = [
+/** A history without violations. */
+const VALID: readonly HistoryEvent[] = [
   hasCapacity("h@1"),
   hasCapacity("i@1"),
   { at: 1, type: "jobAccepted", unit: "a" },
@@ -76,11 +76,11 @@
   { at: 16, type: "configFinal", process: "e", name: "q", value: 2 },
 ];
 
-test("a sound history has no violation", () => {
-  expect(checkHistory(SOUND)).toEqual([]);
+test("a valid history has no violations", () => {
+  expect(checkHistory(VALID)).toEqual([]);
 });
 
-const BROKEN: readonly (readonly [
+const INVALID: readonly (readonly [
   Invariant,
   string,
   readonly HistoryEvent[],
@@ -107,7 +107,7 @@
   ],
   [
     "resumes-once",
-    "a checkpoint that is passed over",
+    "a skipped checkpoint",
     [started(20, "a#3"), ended(21, "a#3", "stopped")],
   ],
   [
@@ -133,7 +133,7 @@
   ],
   [
     "own-answer",
-    "half an answer",
+    "an incomplete answer",
     [
       {
         at: 20,
@@ -146,7 +146,7 @@
   ],
   [
     "not-run",
-    "a request that ran after all",
+    "a request that ran although it was reported as not run",
     [{ at: 20, type: "requestRan", request: "r2", key: "k2", host: "i@1" }],
   ],
   [
@@ -162,7 +162,7 @@
   ],
   [
     "config",
-    "a change based on a version that was gone",
+    "a change based on an outdated version",
     [
       {
         at: 20,
@@ -176,26 +176,26 @@
   ],
   [
     "config",
-    "a process that goes back",
+    "a process that returns to an older version",
     [{ at: 20, type: "configSeen", process: "e", version: 4 }],
   ],
   [
     "config",
-    "a process that ends with something else",
+    "a process that ends with another value",
     [{ at: 20, type: "configFinal", process: "f", name: "q", value: 1 }],
   ],
 ];
 
-for (const [invariant, what, events] of BROKEN) {
-  test(`${what} breaks "${invariant}"`, () => {
-    const found = checkHistory([...SOUND, ...events]).map(
+for (const [invariant, what, events] of INVALID) {
+  test(`${what} violates "${invariant}"`, () => {
+    const found = checkHistory([...VALID, ...events]).map(
       (violation) => violation.invariant,
     );
     expect(found).toEqual(expect.includes(invariant));
   });
 }
 
-test("every invariant has a history that breaks it", () => {
-  const covered = new Set(BROKEN.map(([invariant]) => invariant));
+test("every invariant has a history that violates it", () => {
+  const covered = new Set(INVALID.map(([invariant]) => invariant));
   expect(INVARIANTS.filter((invariant) => !covered.has(invariant))).toEqual([]);
 });
--- a/packages/checker/tests/mutants.test.ts
+++ b/packages/checker/tests/mutants.test.ts
@@ -10,15 +10,15 @@
 } from "@rackspan/checker";
 
 const SEEDS = [1, 2, 3, 4] as const;
-const RUNS_A_SEED = 300;
+const RUNS_PER_SEED = 300;
 
-/** Not noticed by schedules so far; the unit tests of the side and the fold show what they are for. */
+/** Mutants that no schedule detects so far; unit tests of the side and the fold cover them. */
 const UNIT_TESTED: ReadonlySet<Mutant> = new Set([
   "no-reservation-expiry",
   "no-deduplication",
 ]);
 
-/** A start that is on its way while its side process is replaced; random schedules seldom meet it. */
+/** A start in flight while its side process is replaced; random schedules rarely contain one. */
 const LATE_START: Schedule = {
   seed: 1,
   steps: [
@@ -29,13 +29,13 @@
   ],
 };
 
-const isNoticed = async (mutant: Mutant): Promise<boolean> => {
+const isDetected = async (mutant: Mutant): Promise<boolean> => {
   if ((await runSchedule(LATE_START, mutant)).violations.length > 0)
     return true;
   for (const seed of SEEDS) {
     for (const schedule of fc.sample(schedules, {
       seed,
-      numRuns: RUNS_A_SEED,
+      numRuns: RUNS_PER_SEED,
     })) {
       const { violations } = await runSchedule(schedule, mutant);
       if (violations.length > 0) return true;
@@ -44,13 +44,13 @@
   return false;
 };
 
-test("a late start under a replaced side process is refused by the worker", async () => {
+test("the worker refuses a late start of a replaced side process", async () => {
   expect((await runSchedule(LATE_START)).violations).toEqual([]);
 });
 
 for (const mutant of MUTANTS) {
   if (UNIT_TESTED.has(mutant)) continue;
-  test(`some schedule notices "${mutant}"`, async () => {
-    expect(await isNoticed(mutant)).toEqual(true);
+  test(`some schedule detects "${mutant}"`, async () => {
+    expect(await isDetected(mutant)).toEqual(true);
   });
 }
--- a/packages/checker/tests/workerModel.test.ts
+++ b/packages/checker/tests/workerModel.test.ts
@@ -1,4 +1,4 @@
-/** Lives of the modelled worker. */
+/** Incarnations of the modelled worker. */
 
 import { test } from "node:test";
 import { expect } from "earl";
@@ -29,7 +29,7 @@
   saves: false,
 };
 
-test("a life that takes the place of one that is up leaves no run behind", async () => {
+test("a new incarnation of a worker that is up ends all runs of the previous one", async () => {
   const clock = new ManualClock();
   const history = new RunHistory();
   const worker = new WorkerModel({
