--- a/packages/checker/src/FakeLog.ts
+++ b/packages/checker/src/FakeLog.ts
@@ -44,14 +44,14 @@
 
   async append(name: string, data: Buffer): Promise<Offset> {
     await sleep(this.clock, this.slow ? SLOW_MS : APPEND_MS);
-    if (this.down) throw new LogUnavailableError("down");
+    if (this.down) throw new LogUnavailableError("the log is down");
     const { entries, oldest, entryAppended } = this.stream(name);
     entries.push(data);
     this.appended.emit({ stream: name, data });
     entryAppended.notify();
     if (this.loseAnswers > 0) {
       this.loseAnswers -= 1;
-      throw new LogAnswerLostError("lost");
+      throw new LogAnswerLostError("the answer was lost");
     }
     return offset(oldest + entries.length - 1);
   }
@@ -62,7 +62,7 @@
     await sleep(this.clock, this.slow ? SLOW_MS : 1);
     if (!this.down && from >= end() && waitMs > 0)
       await stream.entryAppended.wait(this.clock, waitMs);
-    if (this.down) throw new LogUnavailableError("down");
+    if (this.down) throw new LogUnavailableError("the log is down");
     const { oldest } = stream;
     if (from < oldest) throw new RetentionError(name, from, offset(oldest));
     const entries = stream.entries
--- a/packages/checker/src/FakeWorker.ts
+++ b/packages/checker/src/FakeWorker.ts
@@ -150,7 +150,7 @@
   ): Promise<T> {
     await sleep(this.options.clock, CALL_MS);
     if (this.isUnreachable || this.isKilled)
-      throw new WorkerOutcomeUnknownError("cut");
+      throw new WorkerOutcomeUnknownError("the host is unreachable");
     const isOwner =
       owner === undefined || owner === this.owner || this.options.ignoreOwner;
     if (!isOwner)
@@ -158,7 +158,7 @@
     const result = effect();
     if (this.loseAnswers > 0) {
       this.loseAnswers -= 1;
-      throw new WorkerOutcomeUnknownError("lost");
+      throw new WorkerOutcomeUnknownError("the answer was lost");
     }
     return result;
   }
--- a/packages/checker/src/HostLink.ts
+++ b/packages/checker/src/HostLink.ts
@@ -146,7 +146,7 @@
     const { clock, host } = this.options;
     return new Promise((resolve, reject) => {
       const timer = clock.after(TIMEOUT_MS, () =>
-        reject(new LostAnswerError(`${host} is silent`)),
+        reject(new LostAnswerError(`${host} did not answer in time`)),
       );
       const settle = (done: () => void): void => {
         timer.cancel();
@@ -162,13 +162,14 @@
   private async exchange<T>(
     effect: (side: SideNode) => Promise<T> | T,
   ): Promise<T> {
-    const { clock, side: sideNow, isCut, host } = this.options;
+    const { clock, side: findSide, isCut, host } = this.options;
     await sleep(clock, CALL_MS);
-    const side = sideNow();
-    if (!side || isCut()) throw new ConnectError(host, "cut");
+    const side = findSide();
+    if (!side || isCut()) throw new ConnectError(host, "the link is cut");
     await side.clock.running();
     const value = await effect(side);
-    if (side.clock.isDead || isCut()) throw new LostAnswerError(`${host} died`);
+    if (side.clock.isDead || isCut())
+      throw new LostAnswerError(`${host} became unreachable during the call`);
     if (this.loseAnswers > 0) {
       this.loseAnswers -= 1;
       throw new LostAnswerError(`the answer of ${host} was lost`);
--- a/packages/checker/src/jobs/HostModel.ts
+++ b/packages/checker/src/jobs/HostModel.ts
@@ -177,8 +177,8 @@
   }
 
   /** Makes the current connection silent for the given time; both ends stay open. */
-  silenceLink(way: SilentDirection, ms: number): void {
-    this.link?.fallSilent(way, this.options.clock.monotonic() + ms);
+  silenceLink(direction: SilentDirection, ms: number): void {
+    this.link?.fallSilent(direction, this.options.clock.monotonic() + ms);
   }
 
   private startSide(): SideProcess {
--- a/packages/checker/src/jobs/JobWorld.ts
+++ b/packages/checker/src/jobs/JobWorld.ts
@@ -218,9 +218,9 @@
   }
 
   /** Makes a worker short of processor time: polls and their answers are delayed. */
-  slowWorker(mostMs: number, forMs: number): void {
+  slowWorker(maxDelayMs: number, forMs: number): void {
     const { worker } = this.pickHost();
-    worker.maxPollDelayMs = mostMs;
+    worker.maxPollDelayMs = maxDelayMs;
     this.clock.after(forMs, () => (worker.maxPollDelayMs = 0));
   }
 
@@ -307,13 +307,13 @@
   }
 
   /** Makes a connection between a side and its leader silent; new connections work. */
-  silenceLink(way: SilentDirection, ms: number): void {
-    this.pickHost().silenceLink(way, ms);
+  silenceLink(direction: SilentDirection, ms: number): void {
+    this.pickHost().silenceLink(direction, ms);
   }
 
   /** Makes the connections of all sides silent at once. */
-  silenceLinks(way: SilentDirection, ms: number): void {
-    for (const host of this.hosts) host.silenceLink(way, ms);
+  silenceLinks(direction: SilentDirection, ms: number): void {
+    for (const host of this.hosts) host.silenceLink(direction, ms);
   }
 
   /** Makes connections to a worker silent, each with one call on it; new connections work. */
@@ -324,14 +324,14 @@
   }
 
   /** Delays the heartbeats of a worker for the given time. */
-  delayHeartbeats(lateMs: number, forMs: number): void {
+  delayHeartbeats(maxDelayMs: number, forMs: number): void {
     const host = this.pickHost();
-    host.maxHeartbeatDelayMs = lateMs;
+    host.maxHeartbeatDelayMs = maxDelayMs;
     this.clock.after(forMs, () => (host.maxHeartbeatDelayMs = 0));
   }
 
   /** Delays the heartbeats of a worker and crashes it twice within that time. */
-  crashWithLateHeartbeats(lateMs: number, backMs: number): void {
+  crashWithLateHeartbeats(maxDelayMs: number, backMs: number): void {
     const host = this.pickHost();
     const { worker } = host;
     const crash = (): void => {
@@ -339,10 +339,10 @@
       worker.crash();
       this.clock.after(backMs, () => worker.revive());
     };
-    host.maxHeartbeatDelayMs = lateMs;
-    this.clock.after(lateMs / 3, crash);
-    this.clock.after((2 * lateMs) / 3, crash);
-    this.clock.after(lateMs, () => (host.maxHeartbeatDelayMs = 0));
+    host.maxHeartbeatDelayMs = maxDelayMs;
+    this.clock.after(maxDelayMs / 3, crash);
+    this.clock.after((2 * maxDelayMs) / 3, crash);
+    this.clock.after(maxDelayMs, () => (host.maxHeartbeatDelayMs = 0));
   }
 
   drain(ms: number): void {
--- a/packages/checker/src/jobs/SideLink.ts
+++ b/packages/checker/src/jobs/SideLink.ts
@@ -151,10 +151,10 @@
     return this.toSide.isSilent || this.toLeader.isSilent;
   }
 
-  /** Delivers nothing until the given time, or ever when it is infinite; the ends stay open. */
-  fallSilent(way: SilentDirection, until: Monotonic): void {
-    if (way !== "to-leader") this.toSide.silence(until);
-    if (way !== "to-side") this.toLeader.silence(until);
+  /** Delivers nothing until the given time, or nothing any more when it is infinite. */
+  fallSilent(direction: SilentDirection, until: Monotonic): void {
+    if (direction !== "to-leader") this.toSide.silence(until);
+    if (direction !== "to-side") this.toLeader.silence(until);
   }
 
   /** Closes the end of the side; the leader is notified once the link delivers. */
--- a/packages/checker/src/jobs/WorkerModel.ts
+++ b/packages/checker/src/jobs/WorkerModel.ts
@@ -362,8 +362,8 @@
     const { incarnation } = this;
     const isLost = cut === "calls" && random.next() >= WORKER.heldUpShare;
     if (isLost) return;
-    const mostMs = cut === "calls" ? WORKER.maxHeldUpMs : WORKER.maxLatencyMs;
-    clock.after(this.randomDelay(mostMs), () => {
+    const maxMs = cut === "calls" ? WORKER.maxHeldUpMs : WORKER.maxLatencyMs;
+    clock.after(this.randomDelay(maxMs), () => {
       if (this.incarnation === incarnation && this.up) ignoreFencing(act);
     });
   }
@@ -402,7 +402,7 @@
   /** @throws TaskRefusedError when a higher epoch was received */
   private raiseEpoch(epoch: Epoch): void {
     if (epoch < this.incarnation.epoch) {
-      throw new TaskRefusedError("a higher epoch was seen", true);
+      throw new TaskRefusedError("a higher epoch was received", true);
     }
     this.incarnation.epoch = epoch;
   }
@@ -416,8 +416,8 @@
     });
   }
 
-  private randomDelay(mostMs: number): number {
-    return this.options.random.next() * mostMs;
+  private randomDelay(maxMs: number): number {
+    return this.options.random.next() * maxMs;
   }
 }
 
--- a/packages/checker/src/jobs/chanceSchedules.ts
+++ b/packages/checker/src/jobs/chanceSchedules.ts
@@ -10,17 +10,17 @@
 
 const SCHEDULE = {
   /** Duration of the phase with new jobs and crashes, milliseconds. */
-  troubledMs: 60_000,
+  faultsMs: 60_000,
   /** Maximum time between two jobs, milliseconds. */
   maxPauseMs: 250,
   /** Time between two crashes of workers, milliseconds. */
-  endsEveryMs: { least: 600, most: 1_400 },
+  crashEveryMs: { least: 600, most: 1_400 },
   /** Time until a crashed worker is back, milliseconds. */
   backMs: 2_000,
   /** Interval at which a worker becomes short of processor time, milliseconds. */
   slowEveryMs: 250,
   /** Maximum delay of a poll of such a worker, and duration of the shortage, milliseconds. */
-  slow: { mostMs: 200, forMs: 1_000 },
+  slow: { maxDelayMs: 200, forMs: 1_000 },
   /** Time within which all jobs finish afterwards, milliseconds. */
   finishMs: 60_000,
 } as const;
@@ -51,7 +51,7 @@
   });
   const { clock, random, history } = world;
   await clock.advance(2_000);
-  const endAt = clock.monotonic() + SCHEDULE.troubledMs;
+  const endAt = clock.monotonic() + SCHEDULE.faultsMs;
   const repeat = (act: () => void, nextMs: () => number): void => {
     if (clock.monotonic() >= endAt) return;
     act();
@@ -60,17 +60,17 @@
   repeat(
     () => world.crashAndRestartWorker(SCHEDULE.backMs),
     () =>
-      between(random, SCHEDULE.endsEveryMs.least, SCHEDULE.endsEveryMs.most),
+      between(random, SCHEDULE.crashEveryMs.least, SCHEDULE.crashEveryMs.most),
   );
   repeat(
-    () => world.slowWorker(SCHEDULE.slow.mostMs, SCHEDULE.slow.forMs),
+    () => world.slowWorker(SCHEDULE.slow.maxDelayMs, SCHEDULE.slow.forMs),
     () => SCHEDULE.slowEveryMs,
   );
   repeat(
     () => submitHarmlessJob(world, random),
     () => random.next() * SCHEDULE.maxPauseMs,
   );
-  await clock.advance(SCHEDULE.troubledMs + SCHEDULE.finishMs);
+  await clock.advance(SCHEDULE.faultsMs + SCHEDULE.finishMs);
   for (const id of world.jobs.wanted) {
     if (!world.jobs.hasEnded(id))
       history.add("not-finished", clock.monotonic(), id);
--- a/packages/checker/src/jobs/scheduleEvents.ts
+++ b/packages/checker/src/jobs/scheduleEvents.ts
@@ -137,12 +137,12 @@
 
 /** Makes connections silent for good, or until delayed bytes arrive beside the next connection. */
 export const silenceLink: ScheduleEvent = (world, random) => {
-  const way = SILENT_DIRECTIONS[
+  const direction = SILENT_DIRECTIONS[
     pickIndex(random, SILENT_DIRECTIONS.length)
   ] as SilentDirection;
   const ms = random.next() < 0.5 ? Infinity : between(random, 100, 5_000);
-  if (random.next() < 0.2) world.silenceLinks(way, ms);
-  else world.silenceLink(way, ms);
+  if (random.next() < 0.2) world.silenceLinks(direction, ms);
+  else world.silenceLink(direction, ms);
 };
 
 /** Leaves calls to a worker unanswered: some are lost, others executed at once or later. */
