--- a/packages/checker/src/jobs/JobWorld.ts
+++ b/packages/checker/src/jobs/JobWorld.ts
@@ -1,4 +1,4 @@
-/** A site on one clock: hosts, one leader after the other, jobs, faults. */
+/** Simulates a site on one clock: hosts, successive leaders, jobs and faults. */
 
 import {
   brand,
@@ -23,12 +23,12 @@
 import { LEADERSHIP, VIEW_LAG_MS } from "./LeaderModel.js";
 import { LeaderSuccession } from "./LeaderSuccession.js";
 import { RunHistory } from "./RunHistory.js";
-import type { SilentWay } from "./SideLink.js";
+import type { SilentDirection } from "./SideLink.js";
 import { SubmittedJobs } from "./SubmittedJobs.js";
-import { TakeoverWaits } from "./TakeoverWaits.js";
+import { RestartDelayChecker } from "./RestartDelayChecker.js";
 import {
   WorkerModel,
-  type LivesOfWorker,
+  type IncarnationOptions,
   type WorkerCut,
 } from "./WorkerModel.js";
 
@@ -42,12 +42,12 @@
 const WORLD = {
   hosts: 5,
   milliCores: 4_000,
-  /** How often it is looked at what waits, milliseconds. */
-  lookEveryMs: 25,
-  /** Workers that may be silent at once, so that the others have room for all. */
-  mostSilent: 2,
-  /** A link is cut this long before a worker's return that it hides, milliseconds. */
-  hiddenBeforeMs: 100,
+  /** Interval of the checks of restart delays, milliseconds. */
+  checkEveryMs: 25,
+  /** Maximum number of silent workers, so that the others have capacity for all tasks. */
+  maxSilentWorkers: 2,
+  /** The link is cut this long before the worker is reachable again behind the cut, milliseconds. */
+  cutBeforeReturnMs: 100,
 } as const;
 
 const QUEUE: QueueSpec = {
@@ -66,24 +66,24 @@
 export interface JobWorldOptions {
   readonly seed: number;
   /** See LeaderModelOptions. */
-  readonly endsFormerLinks: boolean;
-  /** How far ahead sides renew the leases of their workers, milliseconds. */
+  readonly closesPreviousLinks: boolean;
+  /** How far ahead sides renew the leases of their workers without a leader, milliseconds. */
   readonly unattendedLeaseMs: number;
   /**
-   * Whether a leader that stood still takes all that has come before its late
-   * timers, as processes do; else these come in the order in which they were due.
+   * Whether a leader that was stalled handles all queued messages before its overdue
+   * timers, as real processes do; otherwise they run in the order in which they were due.
    */
-  readonly takesArrivalsFirst: boolean;
-  /** Share of the runs that fail by themselves. */
+  readonly deliversMessagesBeforeTimers: boolean;
+  /** Share of the runs that fail without an injected fault. */
   readonly failShare: number;
-  /** How often a task may fail. */
+  /** Failure limit of a task. */
   readonly maxAttempts: number;
   /** See WorkerModelOptions. */
-  readonly lives?: LivesOfWorker | undefined;
-  /** Whether the waits of tasks of silent workers are checked. */
-  readonly judgesWaits?: boolean;
-  /** Whether sides ask the store who leads only once nothing was granted for a while. */
-  readonly staysWithGranter?: boolean;
+  readonly incarnations?: IncarnationOptions | undefined;
+  /** Whether the restart delays of tasks of silent workers are checked. */
+  readonly checksRestartDelays?: boolean;
+  /** Whether sides query the store for the leader only after a time without any grant. */
+  readonly staysWithGrantingLeader?: boolean;
 }
 
 export class JobWorld {
@@ -95,12 +95,12 @@
   readonly random: SeededRandom;
   readonly jobs: SubmittedJobs;
   readonly leaders: LeaderSuccession;
-  /** Zones that leaders see as evacuated. */
+  /** Availability zones that leaders see as evacuated. */
   private readonly evacuated = new Set<AvailabilityZone>();
   private evacuations = 0;
-  /** By zone: only the last evacuation that was asked for takes it back. */
+  /** Latest evacuation by availability zone; only the latest one may end it. */
   private readonly lastEvacuation = new Map<AvailabilityZone, number>();
-  private readonly waits: TakeoverWaits;
+  private readonly restartDelays: RestartDelayChecker;
 
   constructor(private readonly options: JobWorldOptions) {
     this.random = new SeededRandom(options.seed);
@@ -117,7 +117,7 @@
     this.hosts = Array.from({ length: WORLD.hosts }, (_, index) =>
       this.buildHost(`h${index + 1}`, zoneAt(index)),
     );
-    this.waits = new TakeoverWaits({
+    this.restartDelays = new RestartDelayChecker({
       clock: this.clock,
       history: this.history,
       hosts: () => this.hosts,
@@ -125,17 +125,17 @@
       isWanted: (task) => this.jobs.isWanted(task),
     });
     this.leaders.begin();
-    if (options.judgesWaits) this.judgeWaits();
+    if (options.checksRestartDelays) this.checkRestartDelays();
   }
 
   submit(steps: readonly Partial<StepSpec>[], repeat?: RepeatSpec): void {
     const job = this.jobs.add(steps, repeat);
     this.clock.after(this.random.next() * VIEW_LAG_MS, () =>
-      this.leaders.tell((leader) => leader.addJob(job)),
+      this.leaders.sendToLeader((leader) => leader.addJob(job)),
     );
   }
 
-  /** A job whose first task crashes each worker that starts it. */
+  /** Submits a job whose first task crashes each worker that starts it. */
   submitCrashing(steps: readonly Partial<StepSpec>[]): void {
     this.jobs.crashNext();
     this.submit(steps);
@@ -145,11 +145,11 @@
     this.jobs.cancel(id);
     const delayMs = this.random.next() * VIEW_LAG_MS;
     this.clock.after(VIEW_LAG_MS + delayMs, () =>
-      this.leaders.tell((leader) => leader.cancelJob(id)),
+      this.leaders.sendToLeader((leader) => leader.cancelJob(id)),
     );
   }
 
-  /** Workers fall silent together and come back as other lives. */
+  /** Crashes a share of the workers together; they return as new incarnations. */
   crashWorkers(share: number, downMs: number): void {
     for (const host of this.hosts) {
       if (this.random.next() >= share || !host.worker.isUp) continue;
@@ -161,8 +161,8 @@
   }
 
   /**
-   * A worker falls silent, and is back under another life after that time; never when
-   * it is infinite. Does nothing while enough others are silent.
+   * Crashes a worker, which returns as a new incarnation after the given time, or never when
+   * it is infinite. Does nothing while the maximum number of workers is silent.
    */
   loseWorker(downMs: number): void {
     this.silenceWorker(
@@ -172,20 +172,24 @@
     );
   }
 
-  /** A worker falls silent and goes on by itself; its side hears it again after that time. */
+  /** Cuts a worker, which runs on, from its side; reconnects it after the given time. */
   cutWorker(cut: WorkerCut, ms: number): HostModel | undefined {
     return this.silenceWorker(
-      ({ worker }) => worker.cutOff(cut),
-      ({ worker }) => worker.rejoin(),
+      ({ worker }) => worker.disconnect(cut),
+      ({ worker }) => worker.reconnect(),
       ms,
     );
   }
 
-  /** It comes back while its side and the leader cannot reach each other. */
-  hideReturn(cut: WorkerCut, ms: number, cutLinkMs: number): void {
+  /** Cuts a worker that becomes reachable again while its side and the leader are cut off. */
+  reconnectWorkerBehindCut(
+    cut: WorkerCut,
+    ms: number,
+    cutLinkMs: number,
+  ): void {
     const host = this.cutWorker(cut, ms);
     if (!host) return;
-    this.clock.after(ms - WORLD.hiddenBeforeMs, () => (host.isCut = true));
+    this.clock.after(ms - WORLD.cutBeforeReturnMs, () => (host.isCut = true));
     this.clock.after(ms + cutLinkMs, () => (host.isCut = false));
   }
 
@@ -194,35 +198,35 @@
     end: (host: HostModel) => void,
     ms: number,
   ): HostModel | undefined {
-    const host = this.anyHost();
-    const silent = this.hosts.filter(({ worker }) => !worker.isHeard);
-    const isEnough = silent.length >= WORLD.mostSilent;
+    const host = this.pickHost();
+    const silent = this.hosts.filter(({ worker }) => !worker.isReachable);
+    const isEnough = silent.length >= WORLD.maxSilentWorkers;
     if (isEnough || silent.includes(host)) return undefined;
     const runs = this.history
       .openRuns()
       .filter((run) => run.host === host.host);
     begin(host);
-    this.waits.noteSilent(host, runs);
+    this.restartDelays.recordSilent(host, runs);
     if (ms < Infinity) this.clock.after(ms, () => end(host));
     return host;
   }
 
-  /** A worker ends whatever runs there; connections to it are refused until it is back. */
-  breakWorkerDown(backMs: number): void {
-    const { worker } = this.anyHost();
-    if (worker.isUp) worker.breakDown(backMs);
+  /** Crashes a worker with all its runs; connections to it are refused until it is back. */
+  crashAndRestartWorker(backMs: number): void {
+    const { worker } = this.pickHost();
+    if (worker.isUp) worker.crashAndRestart(backMs);
   }
 
-  /** A worker is short of processor time: its looks and their answers wait. */
-  slowWorker(mostMs: number, forMs: number): void {
-    const { worker } = this.anyHost();
-    worker.slowMs = mostMs;
-    this.clock.after(forMs, () => (worker.slowMs = 0));
+  /** Makes a worker short of processor time: polls and their answers are delayed. */
+  slowWorker(maxDelayMs: number, forMs: number): void {
+    const { worker } = this.pickHost();
+    worker.maxPollDelayMs = maxDelayMs;
+    this.clock.after(forMs, () => (worker.maxPollDelayMs = 0));
   }
 
-  /** A worker crashes and is back at once; after that time once more. */
+  /** Crashes a worker, which returns at once, and crashes it again after the given time. */
   crashTwice(ms: number): void {
-    const { worker } = this.anyHost();
+    const { worker } = this.pickHost();
     const crash = (): void => {
       if (!worker.isUp) return;
       worker.crash();
@@ -233,48 +237,48 @@
   }
 
   cutLink(ms: number): void {
-    const host = this.anyHost();
+    const host = this.pickHost();
     host.isCut = true;
     this.clock.after(ms, () => (host.isCut = false));
   }
 
-  carryOutLate(ms: number): void {
-    const host = this.anyHost();
+  delayOrders(ms: number): void {
+    const host = this.pickHost();
     host.worker.lateOrders = true;
     this.clock.after(ms, () => (host.worker.lateOrders = false));
   }
 
-  /** @param overlapMs for which the side before runs beside the next one */
+  /** @param overlapMs how long the previous side runs beside the new one, milliseconds */
   restartSide(overlapMs = 0): void {
-    this.anyHost().restartSide(overlapMs);
+    this.pickHost().restartSide(overlapMs);
   }
 
-  loseSide(ms: number): void {
-    this.anyHost().loseSide(ms);
+  stopSide(ms: number): void {
+    this.pickHost().stopSide(ms);
   }
 
-  /** A worker drains, says that it leaves, and ends up to some milliseconds later. */
-  leave(drainMs: number, lingerMs: number, downMs: number): void {
-    const host = this.anyHost();
+  /** Drains and deregisters a worker, which ends `lingerMs` later and returns after `downMs`. */
+  drainAndDeregister(drainMs: number, lingerMs: number, downMs: number): void {
+    const host = this.pickHost();
     const { instance } = host.worker;
     if (!host.worker.isUp || host.draining) return;
     host.draining = true;
     this.clock.after(drainMs, () => {
       host.draining = false;
       if (host.worker.instance !== instance || !host.worker.isUp) return;
-      host.leave(lingerMs);
+      host.deregister(lingerMs);
       this.clock.after(lingerMs + downMs, () => host.worker.revive());
     });
   }
 
-  /** All workers, sides and the leader end at once, and come back. */
+  /** Ends the leader, all sides and all workers at once; they start again. */
   losePower(downMs: number): void {
     this.leaders.kill();
     for (const host of this.hosts) host.restartSide();
     this.crashWorkers(1, downMs);
   }
 
-  /** Nothing more is to begin in a zone, or in any; it is taken back after that time. */
+  /** Evacuates a share of the availability zones and ends the evacuation after the given time. */
   evacuate(share: number, ms: number): void {
     for (const zone of ZONES) {
       if (this.random.next() < share) this.evacuateZone(zone, ms);
@@ -294,66 +298,67 @@
       if (this.lastEvacuation.get(zone) !== number) return;
       for (const { host } of hosts) history.noteTakenBack(host);
       evacuated.delete(zone);
-      this.leaders.tell((leader) => leader.noteOperator());
+      this.leaders.sendToLeader((leader) => leader.handleOperatorChange());
     });
   }
 
   resetLink(): void {
-    this.anyHost().resetLink();
+    this.pickHost().resetLink();
   }
 
-  /** A connection between a side and its leader falls silent; new ones work. */
-  silenceLink(way: SilentWay, ms: number): void {
-    this.anyHost().silenceLink(way, ms);
+  /** Makes a connection between a side and its leader silent; new connections work. */
+  silenceLink(direction: SilentDirection, ms: number): void {
+    this.pickHost().silenceLink(direction, ms);
   }
 
-  /** Those of all sides at once. */
-  silenceLinks(way: SilentWay, ms: number): void {
-    for (const host of this.hosts) host.silenceLink(way, ms);
+  /** Makes the connections of all sides silent at once. */
+  silenceLinks(direction: SilentDirection, ms: number): void {
+    for (const host of this.hosts) host.silenceLink(direction, ms);
   }
 
-  /** Connections to a worker fall silent, each with one call on it; new ones work. */
+  /** Makes connections to a worker silent, each with one call on it; new connections work. */
   silenceCalls(share: number, forMs: number): void {
-    const { worker } = this.anyHost();
-    worker.loseCalls(share);
-    this.clock.after(forMs, () => worker.loseCalls(0));
+    const { worker } = this.pickHost();
+    worker.dropCalls(share);
+    this.clock.after(forMs, () => worker.dropCalls(0));
   }
 
-  /** A worker's heartbeats come late for a while. */
-  delayBeats(lateMs: number, forMs: number): void {
-    const host = this.anyHost();
-    host.beatsLateMs = lateMs;
-    this.clock.after(forMs, () => (host.beatsLateMs = 0));
+  /** Delays the heartbeats of a worker for the given time. */
+  delayHeartbeats(maxDelayMs: number, forMs: number): void {
+    const host = this.pickHost();
+    host.maxHeartbeatDelayMs = maxDelayMs;
+    this.clock.after(forMs, () => (host.maxHeartbeatDelayMs = 0));
   }
 
-  /** Its heartbeats come late, and it ends twice within that time. */
-  crashBesideLateBeats(lateMs: number, backMs: number): void {
-    const host = this.anyHost();
+  /** Delays the heartbeats of a worker and crashes it twice within that time. */
+  crashWithLateHeartbeats(maxDelayMs: number, backMs: number): void {
+    const host = this.pickHost();
     const { worker } = host;
     const crash = (): void => {
       if (!worker.isUp) return;
       worker.crash();
       this.clock.after(backMs, () => worker.revive());
     };
-    host.beatsLateMs = lateMs;
-    this.clock.after(lateMs / 3, crash);
-    this.clock.after((2 * lateMs) / 3, crash);
-    this.clock.after(lateMs, () => (host.beatsLateMs = 0));
+    host.maxHeartbeatDelayMs = maxDelayMs;
+    this.clock.after(maxDelayMs / 3, crash);
+    this.clock.after((2 * maxDelayMs) / 3, crash);
+    this.clock.after(maxDelayMs, () => (host.maxHeartbeatDelayMs = 0));
   }
 
   drain(ms: number): void {
-    const host = this.anyHost();
+    const host = this.pickHost();
     host.draining = true;
     this.clock.after(ms, () => (host.draining = false));
   }
 
-  /** @param share of the room that workers have at first */
-  changeRoom(share: number): void {
-    this.anyHost().worker.changeRoom(share * WORLD.milliCores);
+  /** @param share of the initial capacity of workers */
+  changeCapacity(share: number): void {
+    this.pickHost().worker.changeCapacity(share * WORLD.milliCores);
   }
 
-  restoreRooms(): void {
-    for (const { worker } of this.hosts) worker.changeRoom(WORLD.milliCores);
+  restoreCapacities(): void {
+    for (const { worker } of this.hosts)
+      worker.changeCapacity(WORLD.milliCores);
   }
 
   failStore(fault: StoreFault, ms: number): void {
@@ -361,13 +366,13 @@
     this.clock.after(ms, () => (this.store.fault = "none"));
   }
 
-  private judgeWaits(): void {
-    this.waits.look();
-    this.clock.after(WORLD.lookEveryMs, () => this.judgeWaits());
+  private checkRestartDelays(): void {
+    this.restartDelays.check();
+    this.clock.after(WORLD.checkEveryMs, () => this.checkRestartDelays());
   }
 
-  /** Runs of cancelled jobs. */
-  unwantedRuns(): readonly JobTaskId[] {
+  /** Open runs of cancelled jobs. */
+  runsOfCancelledJobs(): readonly JobTaskId[] {
     return this.history
       .openRuns()
       .map(({ task }) => task)
@@ -391,7 +396,7 @@
     );
   }
 
-  private anyHost(): HostModel {
+  private pickHost(): HostModel {
     return this.hosts[pickIndex(this.random, this.hosts.length)] as HostModel;
   }
 
@@ -407,7 +412,7 @@
       gangs: this.gangs,
       milliCores,
       traitsOf: (task) => this.jobs.traitsOf(task),
-      lives: this.options.lives,
+      incarnations: this.options.incarnations,
     });
     return new HostModel({
       host,
@@ -418,9 +423,9 @@
       worker,
       unattendedLeaseMs: this.options.unattendedLeaseMs,
       longestLeaseMs: LEADERSHIP.leaseMs,
-      onOrder: (task) => this.waits.noteOrdered(task),
-      takesArrivalsFirst: this.options.takesArrivalsFirst,
-      staysWithGranter: this.options.staysWithGranter ?? false,
+      onStartOrder: (task) => this.restartDelays.recordStartOrder(task),
+      deliversMessagesBeforeTimers: this.options.deliversMessagesBeforeTimers,
+      staysWithGrantingLeader: this.options.staysWithGrantingLeader ?? false,
       findLeader: () => this.leaders.named,
     });
   }
--- a/packages/checker/src/jobs/LeaderModel.ts
+++ b/packages/checker/src/jobs/LeaderModel.ts
@@ -1,4 +1,4 @@
-/** One term of leading: the product's own engine in a process that may stand still. */
+/** Models one term of a leader: the real job engine in a process that can be paused. */
 
 import {
   Metrics,
@@ -31,14 +31,14 @@
 
 export const LEADERSHIP = {
   ttlMs: 2_500,
-  /** The leader stops deciding this long before its term may be over. */
+  /** The leader stops deciding this long before its term may have ended. */
   marginMs: 150,
   joinEveryMs: 500,
   leaseMs: 6_000,
   stopMs: 200,
 } as const;
 
-/** Longest time until a leader sees what the store keeps, milliseconds. */
+/** Maximum delay until a leader sees what the store has persisted, milliseconds. */
 export const VIEW_LAG_MS = 60;
 
 export interface LeaderModelOptions {
@@ -46,11 +46,11 @@
   readonly clock: Clock;
   readonly store: StoreClient;
   readonly queue: QueueSpec;
-  /** Whether a host that attaches ends its connection before, as leaders do. */
-  readonly endsFormerLinks: boolean;
-  /** What the entry's view says of the zone now. */
+  /** Whether an attaching host closes its previous connection, as at real leaders. */
+  readonly closesPreviousLinks: boolean;
+  /** Whether the view of the entry currently shows the availability zone as evacuated. */
   readonly isEvacuated: (zone: AvailabilityZone) => boolean;
-  /** Jobs as the entry's view holds them now, and whether they were cancelled. */
+  /** Jobs in the current view of the entry, and whether they were cancelled. */
   readonly jobs: () => Iterable<{
     readonly accepted: AcceptedJob;
     readonly isCancelled: boolean;
@@ -59,18 +59,18 @@
 
 export class LeaderModel {
   readonly clock: ProcessClock;
-  /** Whether it reaches sides and not the store. */
+  /** Whether the leader reaches sides but not the store. */
   isCutFromStore = false;
-  /** When the store last confirmed its term, by the store's own time. */
+  /** When the store last confirmed the term, by the clock of the store. */
   confirmedAt: Monotonic;
   engine: JobEngine | undefined;
   private readonly links = new Map<HostId, SideLink>();
-  /** The connection of each host that attached last. */
+  /** The connection over which each host attached last. */
   private readonly attached = new Map<HostId, SideLink>();
-  /** By host: when all that this leader has granted its worker is over. */
-  private readonly grantsOverBy = new Map<HostId, Monotonic>();
+  /** By host: when all leases that this leader has granted to its worker have expired. */
+  private readonly grantExpiry = new Map<HostId, Monotonic>();
   private readonly writers: TopicWriter[] = [];
-  private isOver = false;
+  private hasEnded = false;
 
   constructor(private readonly options: LeaderModelOptions) {
     this.clock = new ProcessClock(options.clock);
@@ -82,18 +82,18 @@
     return this.clock.isDead;
   }
 
-  /** Whether it takes reports and gives orders. */
-  get leads(): boolean {
-    const isAwake = !this.clock.isDead && !this.clock.standsStill;
+  /** Whether the leader handles reports and sends orders. */
+  get canDecide(): boolean {
+    const isAwake = !this.clock.isDead && !this.clock.isStalled;
     return isAwake && this.engine !== undefined && this.mayDecide();
   }
 
-  /** From then on the host's worker runs nothing that this leader has let it run. */
-  grantsOverAt(host: HostId): Monotonic {
-    return this.grantsOverBy.get(host) ?? -Infinity;
+  /** When the last lease that this leader granted to the worker of the host expires. */
+  grantsExpireAt(host: HostId): Monotonic {
+    return this.grantExpiry.get(host) ?? -Infinity;
   }
 
-  /** Reads what the store keeps, and begins. */
+  /** Reads the stored state and starts the engine. */
   async begin(): Promise<void> {
     const { epoch, queue } = this.options;
     const takenOverAt = this.clock.monotonic();
@@ -103,7 +103,7 @@
     await hostsWriter.fenceLowerEpochs();
     const progress = await this.read(TOPICS.progress);
     const hosts = await this.read(TOPICS.hosts);
-    if (this.isOver || this.isDead) return;
+    if (this.hasEnded || this.isDead) return;
     const roster: Roster = new Map(
       [...hosts].map(([key, value]) => [
         key as unknown as HostId,
@@ -144,8 +144,8 @@
     this.engine = engine;
     for (const { accepted, isCancelled } of this.options.jobs()) {
       const { id } = accepted.spec;
-      const kept = progress.get(id as unknown as string);
-      engine.addJob(accepted, kept && decodeProgress(id, kept));
+      const stored = progress.get(id as unknown as string);
+      engine.addJob(accepted, stored && decodeProgress(id, stored));
       if (isCancelled) engine.cancelJob(id);
     }
     engine.start();
@@ -157,16 +157,16 @@
   }
 
   addJob(job: AcceptedJob): void {
-    if (!this.isOver) this.engine?.addJob(job, undefined);
+    if (!this.hasEnded) this.engine?.addJob(job, undefined);
   }
 
   cancelJob(id: JobId): void {
-    if (!this.isOver) this.engine?.cancelJob(id);
+    if (!this.hasEnded) this.engine?.cancelJob(id);
   }
 
-  /** The operator has written something. */
-  noteOperator(): void {
-    if (!this.isOver) this.engine?.handleOperatorChange();
+  /** Handles a change by the operator. */
+  handleOperatorChange(): void {
+    if (!this.hasEnded) this.engine?.handleOperatorChange();
   }
 
   addLink(host: HostId, link: SideLink): void {
@@ -174,21 +174,21 @@
   }
 
   attach(host: HostId, link: SideLink): Epoch | undefined {
-    if (this.isOver || !this.engine) return undefined;
+    if (this.hasEnded || !this.engine) return undefined;
     this.engine.attach(host, link);
-    if (this.options.endsFormerLinks) this.endFormer(host, link);
+    if (this.options.closesPreviousLinks) this.closePreviousLink(host, link);
     return this.options.epoch;
   }
 
-  private endFormer(host: HostId, link: SideLink): void {
-    const former = this.attached.get(host);
+  private closePreviousLink(host: HostId, link: SideLink): void {
+    const previous = this.attached.get(host);
     this.attached.set(host, link);
-    if (former === link) return;
-    former?.closeAtLeader(() => this.detach(host, former));
+    if (previous === link) return;
+    previous?.closeAtLeader(() => this.detach(host, previous));
   }
 
   detach(host: HostId, link: SideLink): void {
-    if (!this.isOver) this.engine?.detach(host, link);
+    if (!this.hasEnded) this.engine?.detach(host, link);
   }
 
   report(
@@ -196,43 +196,44 @@
     zone: AvailabilityZone,
     report: HostReport,
   ): Grant | undefined {
-    if (this.isOver || !this.engine) return undefined;
+    if (this.hasEnded || !this.engine) return undefined;
     const now = this.clock.monotonic();
-    this.grantsOverBy.set(host, latestLeaseExpiry(now, LEADERSHIP.leaseMs));
+    this.grantExpiry.set(host, latestLeaseExpiry(now, LEADERSHIP.leaseMs));
     return this.engine.handleReport(host, zone, report);
   }
 
-  /** @returns whether it may still grant leases; undefined when it does not answer */
-  noteWorkerSilent(
+  /** @returns whether the leader may still grant leases; undefined when it does not answer */
+  handleWorkerSilent(
     host: HostId,
     overInMs: number | undefined,
     neverBegun: readonly RunRef[],
   ): boolean | undefined {
-    if (this.isOver) return undefined;
+    if (this.hasEnded) return undefined;
     return this.engine?.handleWorkerSilent(host, overInMs, neverBegun);
   }
 
-  noteWorkerGone(
+  handleWorkerGone(
     host: HostId,
     instance: WorkerInstance,
     lostRuns: readonly LostRun[],
     unheardEnds: readonly RunRef[],
   ): void {
-    if (this.isOver) return;
+    if (this.hasEnded) return;
     void this.engine?.handleWorkerGone(host, instance, lostRuns, unheardEnds);
   }
 
-  /** Its term is over: it decides nothing more, and its connections end. */
+  /** Ends the term: the leader makes no more decisions and closes its connections. */
   end(): void {
-    if (this.isOver) return;
-    this.isOver = true;
+    if (this.hasEnded) return;
+    this.hasEnded = true;
     this.engine?.stop();
-    for (const writer of this.writers) writer.close(new Error("term over"));
+    for (const writer of this.writers)
+      writer.close(new Error("the term has ended"));
     this.closeLinks();
   }
 
   kill(): void {
-    this.isOver = true;
+    this.hasEnded = true;
     this.clock.kill();
     this.closeLinks();
   }
@@ -246,12 +247,12 @@
   private mayDecide(): boolean {
     const { ttlMs, marginMs } = LEADERSHIP;
     const age = this.clock.leaseTime() - this.confirmedAt;
-    return !this.isOver && age < ttlMs - marginMs;
+    return !this.hasEnded && age < ttlMs - marginMs;
   }
 
   private renew(): void {
     this.clock.after(LEADERSHIP.joinEveryMs, () => {
-      if (this.isOver) return;
+      if (this.hasEnded) return;
       if (this.clock.leaseTime() - this.confirmedAt >= LEADERSHIP.ttlMs) {
         this.end();
         return;
@@ -286,8 +287,8 @@
           records.flatMap(({ key, value }) => (value ? [[key, value]] : [])),
         );
       } catch {
-        // The store is away: it is asked again for as long as the term lasts.
-        if (this.isOver || this.isDead) return new Map();
+        // The store is unavailable: the read is retried for as long as the term lasts.
+        if (this.hasEnded || this.isDead) return new Map();
         await new Promise<void>((resolve) => this.clock.after(100, resolve));
       }
     }
--- a/packages/checker/src/jobs/LeaderSuccession.ts
+++ b/packages/checker/src/jobs/LeaderSuccession.ts
@@ -1,4 +1,4 @@
-/** The leaders of a modelled site, one after the other, and how each is lost or delayed. */
+/** The successive leaders of a modelled site, and the faults that end or delay them. */
 
 import type { Clock, Epoch } from "@rackspan/common";
 import {
@@ -7,7 +7,7 @@
   type LeaderModelOptions,
 } from "./LeaderModel.js";
 
-/** How often the store looks whether a term is over, milliseconds. */
+/** Interval at which the store checks whether the term has ended, milliseconds. */
 const ELECTION_MS = 100;
 
 export interface LeaderSuccessionOptions extends Omit<
@@ -16,7 +16,7 @@
 > {
   readonly clock: Clock;
   /** See JobWorldOptions. */
-  readonly takesArrivalsFirst: boolean;
+  readonly deliversMessagesBeforeTimers: boolean;
 }
 
 export class LeaderSuccession {
@@ -29,17 +29,17 @@
     this.elect();
   }
 
-  /** The last one that began, also after its end. */
+  /** The leader with the latest term, also after its end. */
   get latest(): LeaderModel | undefined {
     return this.leader;
   }
 
-  /** The one that the store names. */
+  /** The leader that the store names. */
   get named(): LeaderModel | undefined {
     return this.leader?.isDead ? undefined : this.leader;
   }
 
-  tell(act: (leader: LeaderModel) => void): void {
+  sendToLeader(act: (leader: LeaderModel) => void): void {
     const { leader } = this;
     leader?.clock.after(0, () => act(leader));
   }
@@ -49,14 +49,14 @@
     if (!leader || leader.isDead) return;
     leader.clock.pause();
     this.options.clock.after(ms, () =>
-      this.options.takesArrivalsFirst
+      this.options.deliversMessagesBeforeTimers
         ? leader.clock.catchUp()
         : leader.clock.resume(),
     );
   }
 
-  /** What comes is taken, but the leader's timers wait: it is short of processor time. */
-  starve(ms: number): void {
+  /** Makes the leader short of processor time: messages are handled, but its timers wait. */
+  starveOfProcessorTime(ms: number): void {
     const { leader } = this;
     if (!leader || leader.isDead) return;
     leader.clock.starve();
@@ -71,19 +71,19 @@
     this.leader?.kill();
   }
 
-  /** For good: the store gives the leadership to another one once its term is over. */
+  /** Cuts the leader from the store for good: another one is elected once its term has ended. */
   cutFromStore(): void {
     if (this.leader) this.leader.isCutFromStore = true;
   }
 
-  /** The store makes another entry lead at once, and the one before does not hear of it. */
-  drop(): void {
-    if (!this.leader?.leads) return;
+  /** The store elects another entry at once, and the previous leader is not notified. */
+  replaceWithoutNotice(): void {
+    if (!this.leader?.canDecide) return;
     this.leader.isCutFromStore = true;
     this.beginTerm();
   }
 
-  /** The store makes another entry lead once the last one's term is over. */
+  /** Elects another entry once the last term has ended. */
   private elect(): void {
     const { leader } = this;
     const { clock } = this.options;
--- a/packages/checker/src/jobs/SideLink.ts
+++ b/packages/checker/src/jobs/SideLink.ts
@@ -1,6 +1,6 @@
 /**
- * One connection between a side and a leader: messages arrive late but in their
- * order, wait while the link is cut or silent, and are lost when an end has closed.
+ * Models one connection between a side and a leader: messages are delayed but stay in
+ * order, wait while the link is cut or silent, and are lost once an end has closed.
  */
 
 import type {
@@ -20,7 +20,7 @@
 
 const LINK = {
   maxDelayMs: 30,
-  /** While the link is cut, it is looked at this often; milliseconds. */
+  /** Interval at which a cut link is checked, milliseconds. */
   cutPollMs: 25,
 } as const;
 
@@ -32,19 +32,19 @@
 
 export interface SideLinkOptions {
   readonly clock: Clock;
-  /** Stands still while the leader's process does. */
+  /** Stops while the leader's process is paused. */
   readonly leaderClock: ProcessClock;
   readonly random: Random;
   readonly isCut: () => boolean;
   readonly side: SideHandlers;
-  /** The leader orders a start. */
-  readonly onOrder: (task: JobTaskId) => void;
+  /** Called when the leader orders a start. */
+  readonly onStartOrder: (task: JobTaskId) => void;
   /** See JobWorldOptions. */
-  readonly takesArrivalsFirst: boolean;
+  readonly deliversMessagesBeforeTimers: boolean;
 }
 
-/** One direction; its receiver may close before its sender knows. */
-class Lane {
+/** One direction of a link; its receiver may close before its sender is notified. */
+class LinkDirection {
   isOpen = true;
   private silentUntil: Monotonic = -Infinity;
   private readonly queue: (() => void)[] = [];
@@ -74,8 +74,8 @@
     });
   }
 
-  /** Nothing arrives until then, and neither end hears of it. */
-  hush(until: Monotonic): void {
+  /** Delivers nothing until the given time; neither end is notified. */
+  silence(until: Monotonic): void {
     this.silentUntil = Math.max(this.silentUntil, until);
   }
 
@@ -88,18 +88,21 @@
   }
 }
 
-/** Which way nothing arrives any more over a connection that stays open. */
-export type SilentWay = "to-side" | "to-leader" | "both";
+/** The direction in which an open connection no longer delivers messages. */
+export type SilentDirection = "to-side" | "to-leader" | "both";
 
 export class SideLink implements HostSession {
-  private readonly toSide: Lane;
-  private readonly toLeader: Lane;
+  private readonly toSide: LinkDirection;
+  private readonly toLeader: LinkDirection;
   private readonly pending = new Set<(reason: Error) => void>();
 
   constructor(private readonly options: SideLinkOptions) {
-    const { clock, leaderClock, takesArrivalsFirst } = options;
-    this.toSide = new Lane(clock, options);
-    this.toLeader = new Lane(takesArrivalsFirst ? clock : leaderClock, options);
+    const { clock, leaderClock, deliversMessagesBeforeTimers } = options;
+    this.toSide = new LinkDirection(clock, options);
+    this.toLeader = new LinkDirection(
+      deliversMessagesBeforeTimers ? clock : leaderClock,
+      options,
+    );
   }
 
   get isOpenAtSide(): boolean {
@@ -111,7 +114,7 @@
   }
 
   startTask(call: StartTaskCall): Promise<HostCallResult> {
-    this.options.onOrder(call.task);
+    this.options.onStartOrder(call.task);
     return this.callSide(() => this.options.side.start(call));
   }
 
@@ -120,50 +123,55 @@
   }
 
   acknowledge(instance: WorkerInstance, acknowledged: number): void {
-    this.tellSide(() => this.options.side.acknowledge(instance, acknowledged));
+    this.sendToSide(() =>
+      this.options.side.acknowledge(instance, acknowledged),
+    );
   }
 
   describe(): void {
-    // Paces are not modelled.
+    // Pacing is not modelled.
   }
 
-  tellSide(arrive: () => void): void {
+  sendToSide(arrive: () => void): void {
     this.toSide.send(() => {
       if (this.toSide.isOpen) arrive();
     });
   }
 
-  tellLeader(arrive: () => void): void {
+  sendToLeader(arrive: () => void): void {
     this.toLeader.send(() =>
-      this.options.leaderClock.arrive(() => {
+      this.options.leaderClock.receive(() => {
         if (this.toLeader.isOpen) arrive();
       }),
     );
   }
 
-  /** Whether one of its directions carries nothing now. */
+  /** Whether at least one direction currently delivers nothing. */
   get isSilent(): boolean {
     return this.toSide.isSilent || this.toLeader.isSilent;
   }
 
-  /** Nothing arrives until then, for good when it is infinite; the ends stay open. */
-  fallSilent(way: SilentWay, until: Monotonic): void {
-    if (way !== "to-leader") this.toSide.hush(until);
-    if (way !== "to-side") this.toLeader.hush(until);
+  /** Delivers nothing until the given time, or nothing any more when it is infinite. */
+  fallSilent(direction: SilentDirection, until: Monotonic): void {
+    if (direction !== "to-leader") this.toSide.silence(until);
+    if (direction !== "to-side") this.toLeader.silence(until);
   }
 
-  /** The side's end closes; the leader hears of it when the link lets it. */
+  /** Closes the end of the side; the leader is notified once the link delivers. */
   closeAtSide(onLeaderClosed: () => void): void {
     this.toSide.isOpen = false;
     this.toLeader.send(() =>
-      this.options.leaderClock.arrive(() => this.closeAtLeader(onLeaderClosed)),
+      this.options.leaderClock.receive(() =>
+        this.closeAtLeader(onLeaderClosed),
+      ),
     );
   }
 
   closeAtLeader(onClosed: () => void): void {
     if (!this.toLeader.isOpen) return;
     this.toLeader.isOpen = false;
-    for (const reject of this.pending) reject(new Error("closed"));
+    for (const reject of this.pending)
+      reject(new Error("the connection was closed"));
     this.pending.clear();
     this.toSide.send(() => (this.toSide.isOpen = false));
     onClosed();
@@ -179,12 +187,12 @@
         reject(reason);
       };
       const timer = this.options.leaderClock.after(ENGINE.orderTimeoutMs, () =>
-        fail(new Error("no answer")),
+        fail(new Error("the order got no answer in time")),
       );
       this.pending.add(fail);
-      this.tellSide(() => {
+      this.sendToSide(() => {
         void act().then((result) =>
-          this.tellLeader(() => {
+          this.sendToLeader(() => {
             timer.cancel();
             this.pending.delete(fail);
             resolve(result);
--- a/packages/checker/src/jobs/chanceSchedules.ts
+++ b/packages/checker/src/jobs/chanceSchedules.ts
@@ -1,6 +1,6 @@
 /**
- * Random schedules of tasks that crash nothing, on workers that end by chance, about one a
- * second: how often a job is given up, and how often without cause.
+ * Random schedules of tasks that crash no worker, on workers that crash at random, about one
+ * per second. They count the jobs that fail permanently, and those that do so without cause.
  */
 
 import { pickIndex, type SeededRandom } from "@rackspan/common";
@@ -8,68 +8,69 @@
 import type { JobViolation } from "./RunHistory.js";
 import { between } from "./scheduleEvents.js";
 
-const CHANCE = {
-  /** Work comes, and workers end, for this long, milliseconds. */
-  troubledMs: 60_000,
-  /** Between two jobs, at the most; milliseconds. */
+const SCHEDULE = {
+  /** Duration of the phase with new jobs and crashes, milliseconds. */
+  faultsMs: 60_000,
+  /** Maximum time between two jobs, milliseconds. */
   maxPauseMs: 250,
-  /** Between two workers that end, milliseconds. */
-  endsEveryMs: { least: 600, most: 1_400 },
-  /** A worker is back after this, milliseconds. */
+  /** Time between two crashes of workers, milliseconds. */
+  crashEveryMs: { least: 600, most: 1_400 },
+  /** Time until a crashed worker is back, milliseconds. */
   backMs: 2_000,
-  /** Between two workers that get short of processor time, milliseconds. */
+  /** Interval at which a worker becomes short of processor time, milliseconds. */
   slowEveryMs: 250,
-  /** How long a look at such a worker waits, at the most, and for how long it is so. */
-  slow: { mostMs: 200, forMs: 1_000 },
-  /** All work is done this long after. */
+  /** Maximum delay of a poll of such a worker, and duration of the shortage, milliseconds. */
+  slow: { maxDelayMs: 200, forMs: 1_000 },
+  /** Time within which all jobs finish afterwards, milliseconds. */
   finishMs: 60_000,
 } as const;
 
-/** Jobs are given up with cause once workers have ended under so many runs of one task. */
-const CRASHES_TO_GIVE_UP = 2;
+/** A job may fail permanently once this many runs of one task ended by a crash of the worker. */
+const CRASHES_TO_FAIL = 2;
 
 export interface ChanceOutcome {
   readonly jobs: number;
-  /** Jobs that are shown as failed. */
+  /** Number of jobs that failed permanently. */
   readonly givenUp: number;
-  /** Those under whose tasks fewer workers have ended than the rules ask for. */
+  /** Number of failed jobs with fewer crashes of workers per task than the rules require. */
   readonly withoutCause: number;
   readonly violations: readonly JobViolation[];
 }
 
-/** Plays one seed to its rest. */
+/** Runs the schedule of one seed until all jobs should have finished. */
 export const runChanceSchedule = async (
   seed: number,
 ): Promise<ChanceOutcome> => {
   const world = new JobWorld({
     seed,
-    endsFormerLinks: true,
+    closesPreviousLinks: true,
     unattendedLeaseMs: Infinity,
-    takesArrivalsFirst: true,
+    deliversMessagesBeforeTimers: true,
     failShare: 0,
     maxAttempts: 3,
   });
   const { clock, random, history } = world;
   await clock.advance(2_000);
-  const endAt = clock.monotonic() + CHANCE.troubledMs;
+  const endAt = clock.monotonic() + SCHEDULE.faultsMs;
   const repeat = (act: () => void, nextMs: () => number): void => {
     if (clock.monotonic() >= endAt) return;
     act();
     clock.after(nextMs(), () => repeat(act, nextMs));
   };
   repeat(
-    () => world.breakWorkerDown(CHANCE.backMs),
-    () => between(random, CHANCE.endsEveryMs.least, CHANCE.endsEveryMs.most),
+    () => world.crashAndRestartWorker(SCHEDULE.backMs),
+    () =>
+      between(random, SCHEDULE.crashEveryMs.least, SCHEDULE.crashEveryMs.most),
   );
   repeat(
-    () => world.slowWorker(CHANCE.slow.mostMs, CHANCE.slow.forMs),
-    () => CHANCE.slowEveryMs,
+    () => world.slowWorker(SCHEDULE.slow.maxDelayMs, SCHEDULE.slow.forMs),
+    () => SCHEDULE.slowEveryMs,
   );
   repeat(
-    () => submitInnocent(world, random),
-    () => random.next() * CHANCE.maxPauseMs,
+    () => submitHarmlessJob(world, random),
+    () => random.next() * SCHEDULE.maxPauseMs,
   );
-  await clock.advance(CHANCE.troubledMs + CHANCE.finishMs);
+  await clock.advance(SCHEDULE.faultsMs + SCHEDULE.finishMs);
   for (const id of world.jobs.wanted) {
     if (!world.jobs.hasEnded(id))
       history.add("not-finished", clock.monotonic(), id);
@@ -77,7 +78,7 @@
   world.checkEnds();
   const givenUp = world.jobs.wanted.filter((id) => world.jobs.hasFailed(id));
   const withoutCause = givenUp.filter(
-    (id) => history.mostCrashes(id) < CRASHES_TO_GIVE_UP,
+    (id) => history.mostCrashes(id) < CRASHES_TO_FAIL,
   );
   for (const id of withoutCause) {
     history.add("given-up", clock.monotonic(), id);
@@ -100,7 +101,7 @@
   violations: [...a.violations, ...b.violations],
 });
 
-const submitInnocent = (world: JobWorld, random: SeededRandom): void => {
+const submitHarmlessJob = (world: JobWorld, random: SeededRandom): void => {
   const milliCores = 250 * (1 + pickIndex(random, 3));
   const demand = { memoryMiB: 100, accelerators: 0, milliCores };
   const estimateMs = between(random, 200, 1_500);
--- a/packages/checker/src/jobs/eventMixes.ts
+++ b/packages/checker/src/jobs/eventMixes.ts
@@ -1,11 +1,11 @@
-/** Which events come up in each kind of schedule, and how often. */
+/** The events of each kind of schedule, with their weights. */
 
 import type { SeededRandom } from "@rackspan/common";
 import {
   between,
   cancelJob,
   failStore,
-  silenceBesideLoss,
+  silenceWorkerAndLoseLeader,
   silenceCalls,
   silenceLink,
   silenceWorker,
@@ -16,15 +16,15 @@
   type ScheduleEvent,
 } from "./scheduleEvents.js";
 
-/** With how often each comes, among all. */
+/** Events with their relative frequencies. */
 export type WeightedEvents = readonly (readonly [number, ScheduleEvent])[];
 
-/** The usual ones. */
-export const EVENTS: WeightedEvents = [
+/** The basic events. */
+export const BASIC_EVENTS: WeightedEvents = [
   [40, submitJob],
   [8, cancelJob],
   [7, (world, random) => world.crashWorkers(0.5, between(random, 100, 900))],
-  [5, (world, random) => world.carryOutLate(between(random, 500, 3_000))],
+  [5, (world, random) => world.delayOrders(between(random, 500, 3_000))],
   [6, (world, random) => world.cutLink(between(random, 100, 8_000))],
   [4, (world) => world.resetLink()],
   [4, (world) => world.restartSide()],
@@ -34,15 +34,15 @@
   [4, failStore],
 ];
 
-/** Harsher ones, beside those above. */
+/** The basic events and more severe faults. */
 export const HARSH_EVENTS: WeightedEvents = [
-  ...EVENTS,
+  ...BASIC_EVENTS,
   [25, submitSpecialJob],
   [3, (world, random) => world.restartSide(between(random, 50, 1_500))],
   [
     4,
     (world, random) =>
-      world.leave(
+      world.drainAndDeregister(
         between(random, 200, 2_500),
         between(random, 0, 6),
         between(random, 50, 1_500),
@@ -51,15 +51,19 @@
   [1, (world, random) => world.losePower(between(random, 200, 2_000))],
 ];
 
-/** The leader's process is often short of processor time for a moment. */
-export const STARVED_EVENTS: WeightedEvents = [
-  ...EVENTS,
-  [20, (world, random) => world.leaders.starve(between(random, 200, 1_500))],
+/** The basic events, and a leader that is often briefly short of processor time. */
+export const STARVED_LEADER_EVENTS: WeightedEvents = [
+  ...BASIC_EVENTS,
+  [
+    20,
+    (world, random) =>
+      world.leaders.starveOfProcessorTime(between(random, 200, 1_500)),
+  ],
 ];
 
 /**
- * Tasks that crash their workers, leaders whose machines are suspended, workers
- * whose room changes. No worker crashes by itself, so no other job may be given up.
+ * Tasks that crash their workers, leaders whose machines are suspended, workers whose
+ * capacity changes. No worker crashes by itself, so no other job may fail permanently.
  */
 export const CRASHING_EVENTS: WeightedEvents = [
   [20, submitJob],
@@ -70,10 +74,10 @@
   [3, (world) => world.restartSide()],
   [5, (world, random) => world.leaders.suspend(between(random, 500, 9_000))],
   [3, (world) => world.leaders.kill()],
-  [8, (world, random) => world.changeRoom(between(random, 0.25, 1))],
+  [8, (world, random) => world.changeCapacity(between(random, 0.25, 1))],
 ];
 
-/** Zones that are evacuated, also all at once, beside everything harsh. */
+/** The harsh events, and evacuations of one or all availability zones. */
 export const EVACUATING_EVENTS: WeightedEvents = [
   ...HARSH_EVENTS,
   [
@@ -84,11 +88,11 @@
 ];
 
 /**
- * Workers whose lives stand under one id: at once, twice in a second, beside orders that
- * are carried out late, by the next life too. Sides go on: what one has forgotten it
- * cannot bar.
+ * Workers whose incarnations use one id and restart at once, also twice within a second,
+ * while orders are executed late, also by the next incarnation. Sides are not restarted,
+ * because a side cannot fence starts that it has no record of.
  */
-export const REBORN_EVENTS: WeightedEvents = [
+export const WORKER_RESTART_EVENTS: WeightedEvents = [
   [40, submitJob],
   [25, submitSpecialJob],
   [8, cancelJob],
@@ -99,7 +103,7 @@
   [
     4,
     (world, random) =>
-      world.leave(
+      world.drainAndDeregister(
         between(random, 200, 2_500),
         between(random, 0, 6),
         between(random, 50, 1_500),
@@ -107,28 +111,28 @@
   ],
   [10, (world, random) => world.crashTwice(between(random, 1, 1_000))],
   [6, (world, random) => world.crashWorkers(0.4, between(random, 0, 40))],
-  [8, (world, random) => world.carryOutLate(between(random, 500, 3_000))],
+  [8, (world, random) => world.delayOrders(between(random, 500, 3_000))],
 ];
 
-/** The same, and sides that are started anew, which know nothing of the one before. */
-export const FORGETTING_EVENTS: WeightedEvents = [
-  ...REBORN_EVENTS,
+/** The worker restarts, and sides that restart without any state of the previous process. */
+export const SIDE_RESTART_EVENTS: WeightedEvents = [
+  ...WORKER_RESTART_EVENTS,
   [5, (world) => world.restartSide()],
-  [5, (world, random) => world.loseSide(between(random, 300, 3_000))],
+  [5, (world, random) => world.stopSide(between(random, 300, 3_000))],
 ];
 
 /**
- * Connections that fall silent without a reset, between all ends, heartbeats that come
- * after their sender's end, and workers that are back at once; beside everything harsh.
+ * The harsh events, connections of all kinds that become silent without a reset, heartbeats
+ * that arrive after the end of their sender, and workers that are back at once.
  */
-export const SILENCED_EVENTS: WeightedEvents = [
+export const SILENT_CONNECTION_EVENTS: WeightedEvents = [
   ...HARSH_EVENTS,
   [12, silenceLink],
   [8, silenceCalls],
   [
     6,
     (world, random) =>
-      world.delayBeats(
+      world.delayHeartbeats(
         between(random, 200, 6_000),
         between(random, 500, 6_000),
       ),
@@ -136,7 +140,7 @@
   [
     10,
     (world, random) =>
-      world.crashBesideLateBeats(
+      world.crashWithLateHeartbeats(
         between(random, 300, 5_000),
         between(random, 1, 600),
       ),
@@ -144,39 +148,39 @@
   [6, (world, random) => world.crashWorkers(0.4, between(random, 200, 400))],
 ];
 
-/** How a leader may be lost. */
+/** The ways in which a leader is lost. */
 export const LEADER_LOSSES: readonly ScheduleEvent[] = [
   (world) => world.leaders.kill(),
   (world, random) => world.leaders.freeze(between(random, 2_600, 6_000)),
   (world) => world.leaders.cutFromStore(),
 ];
 
-/** Beside leaders that are lost one after the other. */
+/** Events that run beside successive losses of leaders. */
 export const SUCCESSION_EVENTS: WeightedEvents = [
   [40, submitSmallJob],
   [6, cancelJob],
   [8, silenceWorker],
-  [6, (world, random) => world.carryOutLate(between(random, 500, 3_000))],
+  [6, (world, random) => world.delayOrders(between(random, 500, 3_000))],
   [3, (world, random) => world.cutLink(between(random, 100, 3_000))],
   [3, (world) => world.resetLink()],
   [3, (world) => world.restartSide()],
-  [3, (world, random) => world.loseSide(between(random, 300, 6_000))],
+  [3, (world, random) => world.stopSide(between(random, 300, 6_000))],
 ];
 
-/** The same, and workers that fall silent as a leader is dropped. */
-export const DROPPED_EVENTS: WeightedEvents = [
+/** The succession events, and workers that become silent as the leader is lost or replaced. */
+export const REPLACED_LEADER_EVENTS: WeightedEvents = [
   ...SUCCESSION_EVENTS,
-  [8, silenceBesideLoss],
+  [8, silenceWorkerAndLoseLeader],
 ];
 
-/** Connections that fall silent between all ends, beside leaders that are lost in a row. */
+/** The succession events, and connections of all kinds that become silent. */
 export const SILENT_SUCCESSION_EVENTS: WeightedEvents = [
   ...SUCCESSION_EVENTS,
   [8, silenceLink],
   [4, silenceCalls],
 ];
 
-/** One of them, as often as its weight says. */
+/** Picks one event at random by weight. */
 export const pickEvent = (
   events: WeightedEvents,
   random: SeededRandom,
