--- a/bench/src/path.ts
+++ b/bench/src/path.ts
@@ -56,7 +56,7 @@
     "the entry is ready",
     async () => (await operator.run("status")).code === 0,
   );
-  await operator.must("apply", writeTemporary([SERVICE]), "--wait");
+  await operator.runOrThrow("apply", writeTemporary([SERVICE]), "--wait");
   await waitUntil(
     "both endpoints run",
     () => platform.tasks.entries.length === 2,
--- a/bench/src/roleWorker.ts
+++ b/bench/src/roleWorker.ts
@@ -26,7 +26,7 @@
 }
 
 class UncountedLedger extends RequestLedger {
-  override ran(): void {
+  override record(): void {
     // A long run would fill the memory with its own record.
   }
 }
--- a/packages/harness/src/EventWatch.ts
+++ b/packages/harness/src/EventStreamClient.ts
@@ -3,14 +3,14 @@
 import type { IncomingMessage } from "node:http";
 
 /** Connects, from after the given event where there is one. */
-export type OpenWatch = (
+export type OpenEventStream = (
   lastEventId: number | undefined,
 ) => Promise<IncomingMessage>;
 
 const EVENT_PATTERN = /id: (\d+)\ndata: ([^\n]*)\n\n/g;
 const RECONNECT_MS = 50;
 
-export class EventWatch {
+export class EventStreamClient {
   readonly ids: number[] = [];
   /** Endpoints that sent events, in the order of their first one. */
   readonly endpoints = new Set<string>();
@@ -19,7 +19,7 @@
   private closed = false;
   private res: IncomingMessage | undefined;
 
-  constructor(private readonly openWatch: OpenWatch) {}
+  constructor(private readonly openWatch: OpenEventStream) {}
 
   /** Opens the watch; from then on it is opened again whenever it ends. */
   async start(): Promise<void> {
--- a/packages/harness/src/OperatorSession.ts
+++ b/packages/harness/src/OperatorSession.ts
@@ -27,7 +27,7 @@
   }
 
   /** @throws when the command does not succeed */
-  async must(...args: string[]): Promise<string> {
+  async runOrThrow(...args: string[]): Promise<string> {
     const { code, out, err } = await this.run(...args);
     if (code !== EXIT_CODE.OK)
       throw new Error(`rackspan ${args.join(" ")}: ${code}: ${err}`);
--- a/packages/harness/src/Site.ts
+++ b/packages/harness/src/Site.ts
@@ -13,7 +13,7 @@
 import { SideProcess, sideSettingsSchema } from "@rackspan/side";
 import { OperatorSession } from "./OperatorSession.js";
 import type { SiteDescription } from "./siteFile.js";
-import { StandinPlatform, type WorkerPlace } from "./StandinPlatform.js";
+import { StandinPlatform, type WorkerDescription } from "./StandinPlatform.js";
 import { waitUntil } from "./waitUntil.js";
 
 type Overrides = Readonly<Record<string, unknown>>;
@@ -64,24 +64,24 @@
   }
 
   entry(name: string): EntryProcess {
-    return found(this.entries.get(hostId(name)), name);
+    return requireFound(this.entries.get(hostId(name)), name);
   }
 
   side(name: string): SideProcess {
-    return found(this.sides.get(hostId(name)), name);
+    return requireFound(this.sides.get(hostId(name)), name);
   }
 
-  workerPlace(name: string): WorkerPlace {
+  workerDescription(name: string): WorkerDescription {
     const { workers } = this.options.description;
-    return found(
+    return requireFound(
       workers.find(({ host }) => host === name),
       name,
     );
   }
 
   async startSide(name: string, generation = 1): Promise<SideProcess> {
-    const place = this.workerPlace(name);
-    const worker = found(this.platform.workers.get(place.host), name);
+    const place = this.workerDescription(name);
+    const worker = requireFound(this.platform.workers.get(place.host), name);
     const { host, availabilityZone, rack } = place;
     const settings = sideSettingsSchema.parse({
       host,
@@ -106,7 +106,7 @@
 
   async startEntry(name: string): Promise<EntryProcess> {
     const { entries } = this.options.description;
-    const place = found(
+    const place = requireFound(
       entries.find(({ host }) => host === name),
       name,
     );
@@ -169,10 +169,10 @@
     const sidesReady = [...this.sides.values()].every(
       ({ tasks }) => tasks.ready,
     );
-    return entriesReady && sidesReady && this.knowsAllSides();
+    return entriesReady && sidesReady && this.hasAllSidesReady();
   }
 
-  private knowsAllSides(): boolean {
+  private hasAllSidesReady(): boolean {
     return [...this.entries.values()].every(
       ({ sides }) =>
         sides.views().filter(({ ready }) => ready).length === this.sides.size,
@@ -180,7 +180,7 @@
   }
 }
 
-const found = <T>(value: T | undefined, name: string): T => {
+const requireFound = <T>(value: T | undefined, name: string): T => {
   if (value === undefined) throw new Error(`this site has no ${name}`);
   return value;
 };
--- a/packages/harness/src/StandinPlatform.ts
+++ b/packages/harness/src/StandinPlatform.ts
@@ -14,7 +14,7 @@
 const LONGEST_LEASE_MS = 60_000;
 const FIRST_GENERATION = brand<HostGeneration>(1);
 
-export type WorkerPlace = SiteDescription["workers"][number];
+export type WorkerDescription = SiteDescription["workers"][number];
 
 export class StandinPlatform {
   readonly log = new LogStandin();
@@ -32,7 +32,7 @@
   }
 
   /** A fresh worker in the place of one that is gone. */
-  async startWorker(place: WorkerPlace): Promise<WorkerStandin> {
+  async startWorker(place: WorkerDescription): Promise<WorkerStandin> {
     const { accelerators, host, workerPort } = place;
     const worker = new WorkerStandin({
       name: host,
@@ -48,7 +48,7 @@
 
   /** Shows an endpoint host on the host list. */
   listWorker(
-    place: WorkerPlace,
+    place: WorkerDescription,
     address: string,
     changes: Partial<HostRecord> = {},
   ): void {
--- a/packages/harness/src/index.ts
+++ b/packages/harness/src/index.ts
@@ -1,5 +1,5 @@
 export * from "./Caller.js";
-export * from "./EventWatch.js";
+export * from "./EventStreamClient.js";
 export * from "./knownRed.js";
 export * from "./OperatorSession.js";
 export * from "./runTestFiles.js";
--- a/packages/harness/src/knownRed.ts
+++ b/packages/harness/src/knownRed.ts
@@ -43,26 +43,26 @@
   readonly passed: boolean;
 }
 
-export interface Verdict {
+export interface OutcomeComparison {
   /** Tests that failed and are not listed. */
   readonly unexpected: readonly string[];
   /** Listed tests that failed, as expected. */
   readonly knownRed: readonly KnownRed[];
   /** Listed tests that did not fail: they passed, or were not run. */
-  readonly listedInVain: readonly KnownRed[];
+  readonly notFailed: readonly KnownRed[];
 }
 
 /** Compares what failed with what is known to fail. */
-export const judgeOutcomes = (
+export const compareOutcomes = (
   outcomes: readonly TestOutcome[],
   listed: readonly KnownRed[],
-): Verdict => {
+): OutcomeComparison => {
   const failed = outcomes.filter(({ passed }) => !passed);
   const failedNames = new Set(failed.map(({ test }) => test));
   const listedNames = new Set(listed.map(({ test }) => test));
   return {
     unexpected: [...failedNames].filter((name) => !listedNames.has(name)),
     knownRed: listed.filter(({ test }) => failedNames.has(test)),
-    listedInVain: listed.filter(({ test }) => !failedNames.has(test)),
+    notFailed: listed.filter(({ test }) => !failedNames.has(test)),
   };
 };
--- a/packages/harness/tests/failures.test.ts
+++ b/packages/harness/tests/failures.test.ts
@@ -6,7 +6,7 @@
 import {
   Caller,
   describeSite,
-  EventWatch,
+  EventStreamClient,
   OperatorSession,
   Site,
   waitUntil,
@@ -67,13 +67,13 @@
   waitUntil(`${id} has ${finish}`, () => unitAt(site, id)?.finish === finish);
 
 const submit = async (site: Site, ...jobs: object[]): Promise<void> => {
-  await site.operator.must("submit", writeDeclarations(jobs));
+  await site.operator.runOrThrow("submit", writeDeclarations(jobs));
 };
 
 /** Every step done at least once, and the whole job succeeded exactly once. */
 const expectWhole = (site: Site, id: string, steps = 40): void => {
-  expect(site.platform.tasks.successes().get(id)).toEqual(1);
-  expect(site.platform.tasks.stepsOf(id).size).toEqual(steps);
+  expect(site.platform.tasks.successCounts().get(id)).toEqual(1);
+  expect(site.platform.tasks.stepCountsOf(id).size).toEqual(steps);
   expect(site.platform.tasks.overlaps).toEqual(0);
 };
 
@@ -98,7 +98,7 @@
   await waitUntil("it runs", () => isRunning(site, "job/a"));
   const host = String(unitAt(site, "job/a")?.claim?.host);
   await site.killSide(host);
-  const place = site.workerPlace(host);
+  const place = site.workerDescription(host);
   await site.platform.workers.get(place.host)?.kill();
   site.platform.hostList.remove(place.host);
   await finishes(site, "job/a", "succeeded");
@@ -119,7 +119,11 @@
     unitAt(site, "job/a")?.phase,
     unitAt(site, "job/a")?.attempt,
   ]).toEqual(["claimed", 1]);
-  await site.operator.must("fence", host, "--i-have-checked-that-it-is-down");
+  await site.operator.runOrThrow(
+    "fence",
+    host,
+    "--i-have-checked-that-it-is-down",
+  );
   await finishes(site, "job/a", "succeeded");
   expectWhole(site, "job/a", 150);
 });
@@ -167,7 +171,7 @@
   await waitUntil("it runs", () => isRunning(site, "job/a"));
   site.platform.log.server.faults.mode = "down";
   await waitUntil("it has ended", () =>
-    site.platform.tasks.successes().has("job/a"),
+    site.platform.tasks.successCounts().has("job/a"),
   );
   const refused = await site.operator.run(
     "submit",
@@ -185,13 +189,13 @@
   await submit(site, job("a", { steps: 100 }));
   await waitUntil(
     "it has done some steps",
-    () => site.platform.tasks.stepsOf("job/a").size > 5,
+    () => site.platform.tasks.stepCountsOf("job/a").size > 5,
   );
   const host = String(unitAt(site, "job/a")?.claim?.host);
-  await site.operator.must("drain", host);
+  await site.operator.runOrThrow("drain", host);
   await finishes(site, "job/a", "succeeded");
   expectWhole(site, "job/a", 100);
-  const times = [...site.platform.tasks.stepsOf("job/a").values()];
+  const times = [...site.platform.tasks.stepCountsOf("job/a").values()];
   expect(times.every((count) => count === 1)).toEqual(true);
   expect(site.platform.tasks.entries.length).toEqual(2);
 });
@@ -201,13 +205,13 @@
   await submit(site, job("a", { steps: 100_000 }));
   await waitUntil(
     "it runs",
-    () => site.platform.tasks.stepsOf("job/a").size > 2,
+    () => site.platform.tasks.stepCountsOf("job/a").size > 2,
   );
-  await site.operator.must("throttle", "job/a", "--share", "0.01");
-  const before = site.platform.tasks.stepsOf("job/a").size;
+  await site.operator.runOrThrow("throttle", "job/a", "--share", "0.01");
+  const before = site.platform.tasks.stepCountsOf("job/a").size;
   await new Promise((resolve) => setTimeout(resolve, 500));
   // Unlimited it would do some 25 steps in that time, limited none or one.
-  const steps = site.platform.tasks.stepsOf("job/a").size - before;
+  const steps = site.platform.tasks.stepCountsOf("job/a").size - before;
   const runs = site.platform.tasks.entries.length;
   expect({ runs, isSlow: steps <= 2 }).toEqual({ runs: 1, isSlow: true });
   const { code } = await site.operator.run(
@@ -249,7 +253,7 @@
     job("long", { steps: 10_000 }, { priority: "urgent" }),
   );
   await waitUntil("it runs", () => isRunning(site, "job/long"));
-  await site.operator.must("cancel", "job/long");
+  await site.operator.runOrThrow("cancel", "job/long");
   await finishes(site, "job/long", "cancelled");
   for (const { name } of jobs) await finishes(site, `job/${name}`, "succeeded");
   for (const worker of site.platform.workers.values()) {
@@ -262,7 +266,7 @@
   const site = await startSite(1, 2);
   await submit(site, job("a", { steps: 3 }));
   await finishes(site, "job/a", "succeeded");
-  const before = await site.operator.must("get", "config", "--json");
+  const before = await site.operator.runOrThrow("get", "config", "--json");
   await site.killEntry("entry-1");
   await site.killEntry("entry-2");
   await site.startEntry("entry-1");
@@ -270,7 +274,9 @@
     "it has read the log",
     () => site.entry("entry-1").notReadyReason() === undefined,
   );
-  expect(await site.operator.must("get", "config", "--json")).toEqual(before);
+  expect(await site.operator.runOrThrow("get", "config", "--json")).toEqual(
+    before,
+  );
   expect(unitAt(site, "job/a")?.finish).toEqual("succeeded");
 });
 
@@ -318,7 +324,11 @@
 };
 
 const startService = async (site: Site): Promise<void> => {
-  await site.operator.must("apply", writeDeclarations([SERVICE]), "--wait");
+  await site.operator.runOrThrow(
+    "apply",
+    writeDeclarations([SERVICE]),
+    "--wait",
+  );
   await waitUntil("both endpoints are in service", () =>
     [...site.entries.values()].every(({ sides, fold }) =>
       fold.config
@@ -332,7 +342,9 @@
   const site = await startSite(2, 1);
   await startService(site);
   const [url] = site.urls;
-  const watch = new EventWatch(() => caller.open(`${url}/halls/1?watch`));
+  const watch = new EventStreamClient(() =>
+    caller.open(`${url}/halls/1?watch`),
+  );
   await watch.start();
   await waitUntil("the watch has events", () => watch.ids.length > 2);
   const slow = Array.from({ length: 6 }, () =>
--- a/packages/harness/tests/knownRed.test.ts
+++ b/packages/harness/tests/knownRed.test.ts
@@ -1,6 +1,10 @@
 import { test } from "node:test";
 import { expect } from "earl";
-import { judgeOutcomes, MAX_KNOWN_RED, parseKnownRed } from "@rackspan/harness";
+import {
+  compareOutcomes,
+  MAX_KNOWN_RED,
+  parseKnownRed,
+} from "@rackspan/harness";
 
 const LINE = "a task runs once | given back twice | 19 | npm test, no seed";
 
@@ -33,14 +37,16 @@
 test("only listed tests may fail, and only while they fail", () => {
   const listed = parseKnownRed(LINE);
   const fails = { test: "a task runs once", passed: false };
-  expect(judgeOutcomes([fails], listed)).toEqual({
+  expect(compareOutcomes([fails], listed)).toEqual({
     unexpected: [],
     knownRed: listed,
-    listedInVain: [],
+    notFailed: [],
   });
   const other = { test: "another", passed: false };
-  expect(judgeOutcomes([fails, other], listed).unexpected).toEqual(["another"]);
+  expect(compareOutcomes([fails, other], listed).unexpected).toEqual([
+    "another",
+  ]);
   const mended = { test: "a task runs once", passed: true };
-  expect(judgeOutcomes([mended], listed).listedInVain).toEqual(listed);
-  expect(judgeOutcomes([], listed).listedInVain).toEqual(listed);
+  expect(compareOutcomes([mended], listed).notFailed).toEqual(listed);
+  expect(compareOutcomes([], listed).notFailed).toEqual(listed);
 });
--- a/packages/harness/tests/requests.test.ts
+++ b/packages/harness/tests/requests.test.ts
@@ -43,7 +43,11 @@
 
 before(async () => {
   await site.start();
-  await site.operator.must("apply", writeDeclarations(DECLARATIONS), "--wait");
+  await site.operator.runOrThrow(
+    "apply",
+    writeDeclarations(DECLARATIONS),
+    "--wait",
+  );
   await waitUntil("three endpoints are in service", () =>
     [...site.entries.values()].every(
       ({ sides, fold }) =>
@@ -255,7 +259,7 @@
   expect([second.status, second.body]).toEqual([first.status, first.body]);
   expect(second.headers["rackspan-replayed"]).toEqual("true");
   expect((await send(1, "43")).status).toEqual(422);
-  expect(site.platform.requests.timesKeyRan("k-2")).toEqual(1);
+  expect(site.platform.requests.runCountOfKey("k-2")).toEqual(1);
 });
 
 test("of one key at two entries at once, one runs and the other is told that it is not known", async () => {
@@ -268,7 +272,7 @@
   const answers = await Promise.all([send(0), send(1)]);
   const statuses = answers.map(({ status }) => status).sort();
   expect(statuses).toEqual([200, 409]);
-  expect(site.platform.requests.timesKeyRan("k-3")).toEqual(1);
+  expect(site.platform.requests.runCountOfKey("k-3")).toEqual(1);
 });
 
 test("while the log is down quick requests go on, and keyed ones are refused as not run", async () => {
@@ -282,7 +286,7 @@
     });
     expect(refused.headers["rackspan-reason"]).toEqual("log-unavailable");
     expect(refused.headers["rackspan-outcome"]).toEqual("not-run");
-    expect(site.platform.requests.timesKeyRan("k-4")).toEqual(0);
+    expect(site.platform.requests.runCountOfKey("k-4")).toEqual(0);
   } finally {
     site.platform.log.server.faults.reset();
   }
--- a/packages/standins/src/EndpointStandin.ts
+++ b/packages/standins/src/EndpointStandin.ts
@@ -86,7 +86,7 @@
   }
 
   private record(req: IncomingMessage, path: string): void {
-    this.options.requests.ran({
+    this.options.requests.record({
       request: String(req.headers["rackspan-request-id"]),
       attempt: String(req.headers["rackspan-attempt"]),
       key: req.headers["idempotency-key"] as string | undefined,
--- a/packages/standins/src/HostListStandin.ts
+++ b/packages/standins/src/HostListStandin.ts
@@ -13,14 +13,14 @@
   private readonly shown = new Map<HostId, HostRecord>();
 
   put(record: HostRecord): void {
-    this.later(() => this.shown.set(record.host, record));
+    this.applyAfterLag(() => this.shown.set(record.host, record));
   }
 
   remove(host: HostId): void {
-    this.later(() => this.shown.delete(host));
+    this.applyAfterLag(() => this.shown.delete(host));
   }
 
-  private later(change: () => void): void {
+  private applyAfterLag(change: () => void): void {
     if (this.lagMs <= 0) change();
     else setTimeout(change, this.lagMs).unref();
   }
--- a/packages/standins/src/LogStandin.ts
+++ b/packages/standins/src/LogStandin.ts
@@ -23,7 +23,7 @@
   private readonly clock = new SystemClock();
 
   /** Drops entries of the stream below the offset, as retention does. */
-  cut(name: string, oldest: number): void {
+  truncateBefore(name: string, oldest: number): void {
     const stream = this.stream(name);
     const dropped = Math.min(
       stream.entries.length,
@@ -34,7 +34,7 @@
   }
 
   /** The offset that the next entry of the stream will get. */
-  end(name: string): number {
+  endOffset(name: string): number {
     const stream = this.stream(name);
     return stream.oldest + stream.entries.length;
   }
--- a/packages/standins/src/MemoryStore.ts
+++ b/packages/standins/src/MemoryStore.ts
@@ -21,7 +21,7 @@
   type TopicName,
 } from "@rackspan/ports";
 
-interface ProducerMark {
+interface ProducerState {
   epoch: number;
   /** Number of the last append, of whatever epoch; 0 before the first. */
   sequence: number;
@@ -30,11 +30,11 @@
 }
 
 /** Appends of a producer that may be repeated. */
-const KEPT_ANSWERS = 5;
+const MAX_REMEMBERED_APPENDS = 5;
 
 interface Topic {
   readonly records: StoredRecord[];
-  readonly producers: Map<string, ProducerMark>;
+  readonly producers: Map<string, ProducerState>;
   readonly waiting: Set<() => void>;
 }
 
@@ -46,7 +46,7 @@
 /** What becomes of the calls while a fault is on. */
 export type StoreFault = "none" | "refuses" | "loses-answers" | "silent";
 
-const SILENCE_MS = 500;
+const NO_ANSWER_AFTER_MS = 500;
 
 export class MemoryStore implements StoreClient {
   fault: StoreFault = "none";
@@ -63,13 +63,13 @@
   constructor(private readonly clock: Clock) {}
 
   async append(req: AppendRequest): Promise<number> {
-    await this.pass("before");
+    await this.applyFault("before");
     const topic = this.topic(req.topic);
     const end = appendTo(topic, req);
     this.appends += 1;
     for (const wake of topic.waiting) wake();
     topic.waiting.clear();
-    await this.pass("after");
+    await this.applyFault("after");
     return end;
   }
 
@@ -79,7 +79,7 @@
     waitMs,
     signal,
   }: ReadRequest): Promise<ReadResponse> {
-    await this.pass("before");
+    await this.applyFault("before");
     const { records, waiting } = this.topic(topic);
     if (records.length <= from && waitMs > 0) {
       await new Promise<void>((resolve) => {
@@ -93,14 +93,14 @@
       });
     }
     signal?.throwIfAborted();
-    await this.pass("after");
+    await this.applyFault("after");
     const page = records.slice(from, from + this.maxReadRecords);
     const end = Math.max(from, records.length);
     return { records: page, next: from + page.length, end };
   }
 
   async readNewest(topic: TopicName): Promise<RecordPage> {
-    await this.pass("before");
+    await this.applyFault("before");
     const { records } = this.topic(topic);
     const newest = new Map(records.map((record) => [record.key, record]));
     const kept = [...newest.values()].filter(
@@ -110,7 +110,7 @@
   }
 
   async join(req: JoinRequest): Promise<JoinResponse> {
-    await this.pass("before");
+    await this.applyFault("before");
     this.expireMembers();
     const expiresAt = this.clock.monotonic() + req.ttlMs;
     const known = this.members.find(({ name }) => name === req.member);
@@ -121,7 +121,7 @@
     }
     this.ownerName ??= req.member;
     const owns = this.ownerName === req.member;
-    await this.pass("after");
+    await this.applyFault("after");
     return {
       generation: this.generation as unknown as Epoch,
       ownsPartition: owns,
@@ -129,20 +129,20 @@
   }
 
   async leave(_group: string, member: string): Promise<void> {
-    await this.pass("before");
-    this.dropMember(member);
-    await this.pass("after");
+    await this.applyFault("before");
+    this.removeMember(member);
+    await this.applyFault("after");
   }
 
   async owner(): Promise<string | undefined> {
-    await this.pass("before");
+    await this.applyFault("before");
     this.expireMembers();
     return this.ownerName;
   }
 
   /** Takes the partition from its owner, who is not told. */
   revoke(): void {
-    if (this.ownerName !== undefined) this.dropMember(this.ownerName);
+    if (this.ownerName !== undefined) this.removeMember(this.ownerName);
   }
 
   recordsOf(topic: TopicName): readonly StoredRecord[] {
@@ -153,7 +153,7 @@
     // Nothing is open.
   }
 
-  private dropMember(member: string): void {
+  private removeMember(member: string): void {
     const before = this.members.length;
     this.members = this.members.filter(({ name }) => name !== member);
     if (this.members.length === before) return;
@@ -165,7 +165,7 @@
     if (this.timesWait) return;
     const now = this.clock.monotonic();
     for (const { name, expiresAt } of this.members) {
-      if (expiresAt <= now) this.dropMember(name);
+      if (expiresAt <= now) this.removeMember(name);
     }
   }
 
@@ -178,7 +178,7 @@
     return topic;
   }
 
-  private async pass(when: "before" | "after"): Promise<void> {
+  private async applyFault(when: "before" | "after"): Promise<void> {
     switch (this.fault) {
       case "none":
         return;
@@ -187,14 +187,16 @@
         return;
       case "loses-answers":
         if (when === "before") return;
-        return this.fallSilent();
+        return this.failWithoutAnswer();
       case "silent":
-        return this.fallSilent();
+        return this.failWithoutAnswer();
     }
   }
 
-  private async fallSilent(): Promise<never> {
-    await new Promise<void>((resolve) => this.clock.after(SILENCE_MS, resolve));
+  private async failWithoutAnswer(): Promise<never> {
+    await new Promise<void>((resolve) =>
+      this.clock.after(NO_ANSWER_AFTER_MS, resolve),
+    );
     throw new StoreAnswerLostError("no answer");
   }
 }
@@ -208,7 +210,7 @@
   { records, stamp, ...req }: AppendRequest,
 ): number => {
   const { producer, epoch, sequence } = stamp;
-  const mark = topic.producers.get(producer) ?? newMark(epoch);
+  const mark = topic.producers.get(producer) ?? newProducerState(epoch);
   topic.producers.set(producer, mark);
   if (epoch < mark.epoch) throw new FencedError("a higher epoch was seen");
   const continues = mark.epoch === epoch && mark.sequence > 0;
@@ -224,25 +226,25 @@
     topic.records.push({ ...record, offset: topic.records.length });
   }
   const end = topic.records.length;
-  noteAnswer(mark, sequence, end);
+  rememberAnswer(mark, sequence, end);
   return end;
 };
 
-const newMark = (epoch: number): ProducerMark => ({
+const newProducerState = (epoch: number): ProducerState => ({
   epoch,
   sequence: 0,
   answers: new Map(),
 });
 
-const noteAnswer = (
-  mark: ProducerMark,
+const rememberAnswer = (
+  mark: ProducerState,
   sequence: number,
   end: number,
 ): void => {
   mark.sequence = sequence;
   mark.answers.delete(sequence);
   mark.answers.set(sequence, end);
-  if (mark.answers.size <= KEPT_ANSWERS) return;
+  if (mark.answers.size <= MAX_REMEMBERED_APPENDS) return;
   const [oldest] = mark.answers.keys();
   if (oldest !== undefined) mark.answers.delete(oldest);
 };
--- a/packages/standins/src/RequestLedger.ts
+++ b/packages/standins/src/RequestLedger.ts
@@ -13,17 +13,17 @@
   private readonly byRequest = new Map<string, number>();
   private readonly byKey = new Map<string, number>();
 
-  ran(run: RequestRun): void {
+  record(run: RequestRun): void {
     this.runs.push(run);
-    this.byRequest.set(run.request, this.timesRun(run.request) + 1);
-    if (run.key) this.byKey.set(run.key, this.timesKeyRan(run.key) + 1);
+    this.byRequest.set(run.request, this.runCountOf(run.request) + 1);
+    if (run.key) this.byKey.set(run.key, this.runCountOfKey(run.key) + 1);
   }
 
-  timesRun(request: string): number {
+  runCountOf(request: string): number {
     return this.byRequest.get(request) ?? 0;
   }
 
-  timesKeyRan(key: string): number {
+  runCountOfKey(key: string): number {
     return this.byKey.get(key) ?? 0;
   }
 }
--- a/packages/standins/src/TaskLedger.ts
+++ b/packages/standins/src/TaskLedger.ts
@@ -1,6 +1,6 @@
 /** What really ran where, as the stand-in workers saw it; the demo and tests check it. */
 
-export interface LedgerEntry {
+export interface TaskRun {
   readonly unit: string;
   readonly task: string;
   readonly worker: string;
@@ -10,13 +10,13 @@
 }
 
 export class TaskLedger {
-  readonly entries: LedgerEntry[] = [];
+  readonly entries: TaskRun[] = [];
   /** Times a unit was started while another task of it ran. */
   overlaps = 0;
   private readonly running = new Map<string, number>();
   private readonly steps = new Map<string, Map<number, number>>();
 
-  started(unit: string, task: string, worker: string): LedgerEntry {
+  recordStart(unit: string, task: string, worker: string): TaskRun {
     const already = this.running.get(unit) ?? 0;
     if (already > 0) this.overlaps += 1;
     this.running.set(unit, already + 1);
@@ -25,7 +25,7 @@
     return entry;
   }
 
-  ended(entry: LedgerEntry, end: string): void {
+  recordEnd(entry: TaskRun, end: string): void {
     entry.endedAt = Date.now();
     entry.end = end;
     this.running.set(entry.unit, (this.running.get(entry.unit) ?? 1) - 1);
@@ -39,12 +39,12 @@
   }
 
   /** How often each step of a unit was done. */
-  stepsOf(unit: string): ReadonlyMap<number, number> {
+  stepCountsOf(unit: string): ReadonlyMap<number, number> {
     return this.steps.get(unit) ?? new Map();
   }
 
   /** Units whose tasks succeeded, and how often. */
-  successes(): ReadonlyMap<string, number> {
+  successCounts(): ReadonlyMap<string, number> {
     const counts = new Map<string, number>();
     for (const { unit, end } of this.entries) {
       if (end === "succeeded") counts.set(unit, (counts.get(unit) ?? 0) + 1);
--- a/packages/standins/src/WorkerStandin.ts
+++ b/packages/standins/src/WorkerStandin.ts
@@ -20,7 +20,7 @@
 import { PROGRAMS } from "./programs.js";
 import type { RunningProgram } from "./programTypes.js";
 import type { RequestLedger } from "./RequestLedger.js";
-import type { LedgerEntry, TaskLedger } from "./TaskLedger.js";
+import type { TaskRun, TaskLedger } from "./TaskLedger.js";
 
 export interface WorkerOptions {
   readonly name: string;
@@ -30,11 +30,11 @@
   readonly requests: RequestLedger;
 }
 
-interface HeldTask {
+interface WorkerTaskRun {
   status: WorkerTask;
   readonly program: RunningProgram;
-  readonly ledger: LedgerEntry;
-  lapse: NodeJS.Timeout;
+  readonly ledger: TaskRun;
+  leaseTimer: NodeJS.Timeout;
 }
 
 const owned = { owner: idSchema<Incarnation>() };
@@ -66,32 +66,32 @@
   checkpoint: z.boolean(),
 });
 
-class Refused extends Error {}
+class RefusedError extends Error {}
 
 export class WorkerStandin {
   readonly server = new JsonServer((request) => this.handle(request));
   /** Makes each start fail at once, as a broken host does. */
-  failsEverything = false;
+  failsEveryStart = false;
   /** Highest sum of resources that ran at once, to hold against the capacity. */
   peak: Resources = { processors: 0, memoryMiB: 0, accelerators: 0 };
   private owner: Incarnation | undefined;
-  private readonly held = new Map<TaskId, HeldTask>();
+  private readonly taskRuns = new Map<TaskId, WorkerTaskRun>();
   /** Names that were stopped before they were started: a late start is refused. */
-  private readonly stoppedNames = new Set<TaskId>();
+  private readonly stoppedBeforeStart = new Set<TaskId>();
 
   constructor(private readonly options: WorkerOptions) {}
 
   /** Names of tasks that run now. */
   get running(): readonly TaskId[] {
-    return [...this.held.values()]
+    return [...this.taskRuns.values()]
       .filter(({ status }) => status.state === "running")
       .map(({ status }) => status.task);
   }
 
   /** Ends everything at once, as the loss of the host does. */
   async kill(): Promise<void> {
-    for (const task of this.held.values()) this.end(task, "lapsed");
-    this.held.clear();
+    for (const task of this.taskRuns.values()) this.end(task, "lapsed");
+    this.taskRuns.clear();
     await this.server.close();
   }
 
@@ -99,7 +99,7 @@
     try {
       return { body: await this.dispatch(url.pathname, body) };
     } catch (err) {
-      if (err instanceof Refused)
+      if (err instanceof RefusedError)
         return { status: 409, body: { error: err.message } };
       throw err;
     }
@@ -126,31 +126,31 @@
       case "/usage":
         return { samples: this.usage() };
       default:
-        throw new Refused(`no such call: ${path}`);
+        throw new RefusedError(`no such call: ${path}`);
     }
   }
 
   private state() {
     const { capacity, longestLeaseMs } = this.options;
-    const tasks = [...this.held.values()].map(({ status }) => status);
+    const tasks = [...this.taskRuns.values()].map(({ status }) => status);
     return { capacity, longestLeaseMs, tasks };
   }
 
   private checkOwner({ owner }: { readonly owner: Incarnation }): void {
     if (owner !== this.owner)
-      throw new Refused("another side process has taken over");
+      throw new RefusedError("another side process has taken over");
   }
 
   private async start(order: z.infer<typeof startSchema>): Promise<WorkerTask> {
     this.checkOwner(order);
-    const known = this.held.get(order.task);
+    const known = this.taskRuns.get(order.task);
     if (known) return known.status;
-    if (this.stoppedNames.has(order.task))
-      throw new Refused("it was stopped before");
+    if (this.stoppedBeforeStart.has(order.task))
+      throw new RefusedError("it was stopped before");
     const run = PROGRAMS[order.program.name];
-    if (!run) throw new Refused(`no program named ${order.program.name}`);
+    if (!run) throw new RefusedError(`no program named ${order.program.name}`);
     const unit = order.notes["unit"] ?? order.task;
-    const ledger = this.options.tasks.started(
+    const ledger = this.options.tasks.recordStart(
       unit,
       order.task,
       this.options.name,
@@ -163,14 +163,14 @@
       tasks: this.options.tasks,
       requests: this.options.requests,
       onEnd: (end, detail) => {
-        const task = this.held.get(order.task);
+        const task = this.taskRuns.get(order.task);
         if (task) this.end(task, end, detail);
       },
     });
-    const task: HeldTask = {
+    const task: WorkerTaskRun = {
       program,
       ledger,
-      lapse: this.lapseTimer(order.task, order.leaseMs),
+      leaseTimer: this.startLeaseTimer(order.task, order.leaseMs),
       status: {
         task: order.task,
         state: "running",
@@ -180,9 +180,9 @@
         notes: order.notes,
       },
     };
-    this.held.set(order.task, task);
-    this.notePeak();
-    if (this.failsEverything)
+    this.taskRuns.set(order.task, task);
+    this.updatePeak();
+    if (this.failsEveryStart)
       this.end(task, "failed", "this worker fails everything");
     return task.status;
   }
@@ -190,18 +190,18 @@
   private renew({ owner, tasks, leaseMs }: z.infer<typeof renewSchema>) {
     this.checkOwner({ owner });
     for (const name of tasks) {
-      const task = this.held.get(name);
+      const task = this.taskRuns.get(name);
       if (task?.status.state !== "running") continue;
-      clearTimeout(task.lapse);
-      task.lapse = this.lapseTimer(name, leaseMs);
+      clearTimeout(task.leaseTimer);
+      task.leaseTimer = this.startLeaseTimer(name, leaseMs);
     }
     return this.state();
   }
 
   private stop({ owner, task: name, checkpoint }: z.infer<typeof stopSchema>) {
     this.checkOwner({ owner });
-    const task = this.held.get(name);
-    if (!task) this.stoppedNames.add(name);
+    const task = this.taskRuns.get(name);
+    if (!task) this.stoppedBeforeStart.add(name);
     if (task?.status.state !== "running") return {};
     const saved = checkpoint ? task.program.checkpoint() : undefined;
     this.end(
@@ -219,43 +219,43 @@
     share,
   }: z.infer<typeof throttleSchema>) {
     this.checkOwner({ owner });
-    this.held.get(name)?.program.throttle?.(share);
+    this.taskRuns.get(name)?.program.throttle?.(share);
     return {};
   }
 
   private forget({ owner, task: name }: z.infer<typeof taskSchema>) {
     this.checkOwner({ owner });
-    const task = this.held.get(name);
+    const task = this.taskRuns.get(name);
     if (task && task.status.state === "running")
-      throw new Refused("it still runs");
-    this.held.delete(name);
+      throw new RefusedError("it still runs");
+    this.taskRuns.delete(name);
     return {};
   }
 
   private end(
-    task: HeldTask,
+    task: WorkerTaskRun,
     state: WorkerTask["state"],
     detail?: string,
     checkpoint?: string,
   ): void {
     if (task.status.state !== "running") return;
-    clearTimeout(task.lapse);
+    clearTimeout(task.leaseTimer);
     task.program.kill();
     task.status = { ...task.status, state, detail, checkpoint };
-    this.options.tasks.ended(task.ledger, state);
+    this.options.tasks.recordEnd(task.ledger, state);
   }
 
-  private lapseTimer(name: TaskId, leaseMs: number): NodeJS.Timeout {
+  private startLeaseTimer(name: TaskId, leaseMs: number): NodeJS.Timeout {
     const bounded = Math.min(leaseMs, this.options.longestLeaseMs);
     return setTimeout(() => {
-      const task = this.held.get(name);
+      const task = this.taskRuns.get(name);
       if (task) this.end(task, "lapsed", "its lease ran out");
     }, bounded).unref();
   }
 
-  private notePeak(): void {
+  private updatePeak(): void {
     const sum = { processors: 0, memoryMiB: 0, accelerators: 0 };
-    for (const { status } of this.held.values()) {
+    for (const { status } of this.taskRuns.values()) {
       if (status.state !== "running") continue;
       sum.processors += status.resources.processors;
       sum.memoryMiB += status.resources.memoryMiB;
@@ -270,7 +270,7 @@
 
   private usage(): readonly UsageSample[] {
     return this.running.map((task) => {
-      const { resources } = (this.held.get(task) as HeldTask).status;
+      const { resources } = (this.taskRuns.get(task) as WorkerTaskRun).status;
       const { processors, memoryMiB } = resources;
       return { task, processors, memoryMiB, takenAt: Date.now() };
     });
--- a/packages/standins/src/batchProgram.ts
+++ b/packages/standins/src/batchProgram.ts
@@ -16,14 +16,15 @@
   const steps = numberArg(args, "steps", 10);
   const failAt = numberArg(args, "failAt", -1);
   const failOnce = numberArg(args, "failOnce", -1);
-  const begun = stepFrom(context.checkpoint);
-  let step = begun;
+  const resumedStep = stepFrom(context.checkpoint);
+  let step = resumedStep;
   const stepMs = numberArg(args, "stepMs", 20);
   let share = 1;
   let timer: NodeJS.Timeout;
   const doStep = (): void => {
     const failsNow =
-      step === failAt || (step === failOnce && !tasks.stepsOf(unit).has(step));
+      step === failAt ||
+      (step === failOnce && !tasks.stepCountsOf(unit).has(step));
     if (failsNow || step >= steps) {
       if (step === failOnce) tasks.step(unit, step);
       onEnd(failsNow ? "failed" : "succeeded", `step ${step}`);
--- a/scripts/src/demo.ts
+++ b/scripts/src/demo.ts
@@ -137,7 +137,7 @@
     say(
       `${description.entries.length} entries and ${description.workers.length} side processes are ready`,
     );
-    await site.operator.must(
+    await site.operator.runOrThrow(
       "apply",
       join(EXAMPLES, example, "declarations"),
       "--wait",
--- a/scripts/src/demoLoad.ts
+++ b/scripts/src/demoLoad.ts
@@ -1,6 +1,11 @@
 /** The callers and operators of the demo. */
 
-import { Caller, EventWatch, waitUntil, type Site } from "@rackspan/harness";
+import {
+  Caller,
+  EventStreamClient,
+  waitUntil,
+  type Site,
+} from "@rackspan/harness";
 import type { Scenario } from "./scenarios.js";
 import { Tally } from "./tally.js";
 
@@ -15,7 +20,7 @@
   readonly once = new Tally();
   readonly replays = new Tally();
   readonly keys: string[] = [];
-  readonly watches: EventWatch[] = [];
+  readonly watches: EventStreamClient[] = [];
   jobsSubmitted = 0;
   jobsCancelled = 0;
   jobsRefused = 0;
@@ -57,7 +62,7 @@
     const { operator } = this.site;
     const jobs = Array.from({ length: JOBS }, (_, index) => this.job(index));
     const path = writeJobs(jobs);
-    await operator.must("submit", path);
+    await operator.runOrThrow("submit", path);
     this.jobsSubmitted = JOBS;
     for (let index = 0; index < CANCELLED_JOBS; index += 1) {
       const unit = `job/${this.jobName(JOBS - 1 - index)}`;
@@ -74,7 +79,7 @@
 
   async openWatches(count: number): Promise<void> {
     for (let index = 0; index < count; index += 1) {
-      const watch = new EventWatch((lastEventId) => {
+      const watch = new EventStreamClient((lastEventId) => {
         const after: Record<string, string> =
           lastEventId === undefined
             ? {}
--- a/scripts/src/demoSummary.ts
+++ b/scripts/src/demoSummary.ts
@@ -58,7 +58,7 @@
   );
   const done = jobs.filter(({ finish }) => finish === "succeeded");
   const cancelled = jobs.filter(({ finish }) => finish === "cancelled");
-  const runTwice = [...tasks.successes()].filter(([, count]) => count > 1);
+  const runTwice = [...tasks.successCounts()].filter(([, count]) => count > 1);
   const { quick, once, replays } = load;
   const all = [quick, once, replays];
   const quickLatency = entry?.metrics.latency(latencyName(scenario));
@@ -71,7 +71,7 @@
     requestsRefused: sumRefused(all.map(({ refused }) => refused)),
     keysUsed: load.keys.length,
     keysReplayed: replays.answered,
-    keysRunTwice: load.keys.filter((key) => requests.timesKeyRan(key) > 1)
+    keysRunTwice: load.keys.filter((key) => requests.runCountOfKey(key) > 1)
       .length,
     jobsSubmitted: load.jobsSubmitted,
     jobsDone: done.length,
--- a/scripts/src/runTests.ts
+++ b/scripts/src/runTests.ts
@@ -6,11 +6,11 @@
 
 import { existsSync, readFileSync } from "node:fs";
 import {
-  judgeOutcomes,
+  compareOutcomes,
   parseKnownRed,
   runTestFiles,
   type KnownRed,
-  type Verdict,
+  type OutcomeComparison,
 } from "@rackspan/harness";
 
 const KNOWN_RED_FILE = "KNOWN-RED.txt";
@@ -25,8 +25,8 @@
 const printVerdict = ({
   unexpected,
   knownRed,
-  listedInVain,
-}: Verdict): void => {
+  notFailed: listedInVain,
+}: OutcomeComparison): void => {
   for (const { test, cause, issue, command } of knownRed) {
     console.log(
       `KNOWN RED: ${test} (issue ${issue}): ${cause}; run: ${command}`,
@@ -46,11 +46,11 @@
   fileTimeoutMs: FILE_TIMEOUT_MS,
   write: (text) => process.stdout.write(text),
 });
-const verdict = judgeOutcomes(outcomes, readKnownRed());
+const verdict = compareOutcomes(outcomes, readKnownRed());
 printVerdict(verdict);
 const isGreen =
   outcomes.length > 0 &&
   verdict.unexpected.length === 0 &&
-  verdict.listedInVain.length === 0;
+  verdict.notFailed.length === 0;
 // Files whose process is kept open by a handle must not keep this one.
 process.exit(isGreen ? 0 : 1);
--- a/soak/src/Programs.ts
+++ b/soak/src/BundledPrograms.ts
@@ -11,7 +11,7 @@
   }
 }
 
-export class Programs {
+export class BundledPrograms {
   readonly entry: string;
   readonly side: string;
 
--- a/soak/src/HeldPipe.ts
+++ b/soak/src/DelayedPipe.ts
@@ -2,7 +2,7 @@
 
 import type { Socket } from "node:net";
 
-export interface HeldPipeOptions {
+export interface DelayedPipeOptions {
   /** Milliseconds for which the next chunk is held; 0 passes it on at once. */
   readonly drawHoldMs: () => number;
   readonly send: (chunk: Buffer) => void;
@@ -10,46 +10,46 @@
   readonly onDrained: () => void;
 }
 
-export class HeldPipe {
+export class DelayedPipe {
   /** Chunks are dropped while this is set, as behind a cut. */
-  isCut = false;
-  private held = 0;
+  isDiscarding = false;
+  private heldChunks = 0;
   private lastDueAt = 0;
   private isEnded = false;
 
   constructor(
     source: Socket,
-    private readonly options: HeldPipeOptions,
+    private readonly options: DelayedPipeOptions,
   ) {
-    source.on("data", (chunk: Buffer) => this.take(chunk));
+    source.on("data", (chunk: Buffer) => this.receive(chunk));
     source.on("close", () => this.end());
   }
 
-  private take(chunk: Buffer): void {
-    if (this.isCut) return;
+  private receive(chunk: Buffer): void {
+    if (this.isDiscarding) return;
     const now = performance.now();
     const dueAt = Math.max(this.lastDueAt, now + this.options.drawHoldMs());
     this.lastDueAt = dueAt;
-    if (dueAt <= now && this.held === 0) {
+    if (dueAt <= now && this.heldChunks === 0) {
       this.options.send(chunk);
       return;
     }
-    this.held += 1;
+    this.heldChunks += 1;
     setTimeout(() => this.release(chunk), dueAt - now);
   }
 
   private release(chunk: Buffer): void {
-    this.held -= 1;
+    this.heldChunks -= 1;
     this.options.send(chunk);
-    this.tellIfDrained();
+    this.notifyIfDrained();
   }
 
   private end(): void {
     this.isEnded = true;
-    this.tellIfDrained();
+    this.notifyIfDrained();
   }
 
-  private tellIfDrained(): void {
-    if (this.isEnded && this.held === 0) this.options.onDrained();
+  private notifyIfDrained(): void {
+    if (this.isEnded && this.heldChunks === 0) this.options.onDrained();
   }
 }
--- a/soak/src/FaultPlayer.ts
+++ b/soak/src/FaultInjector.ts
@@ -5,7 +5,7 @@
 import type { Fault } from "./faults.js";
 import { NO_HOLDS } from "./FaultyProxy.js";
 import type { ManagedProcess } from "./ManagedProcess.js";
-import { mixedRandom } from "./mixedRandom.js";
+import { derivedRandom } from "./derivedRandom.js";
 import { ZONES, type SoakSite } from "./SoakSite.js";
 import type { SoakWorker } from "./SoakWorker.js";
 
@@ -14,46 +14,52 @@
 const SHORT_HOLDS = { share: 0.15, leastMs: 5, mostMs: 900 } as const;
 
 /** Of the workers: those that may be lost for good, so that the others do all work. */
-const FOR_GOOD_SHARE = 1 / 3;
+const PERMANENT_LOSS_SHARE = 1 / 3;
 
-export class FaultPlayer {
-  private readonly open = new Set<Promise<void>>();
+export class FaultInjector {
+  private readonly activeFaults = new Set<Promise<void>>();
 
   constructor(
     private readonly site: SoakSite,
-    private readonly note: (line: string) => void,
+    private readonly log: (line: string) => void,
   ) {}
 
   /** Resolves when the last fault has ended. */
-  async play(faults: readonly Fault[]): Promise<void> {
+  async injectAll(faults: readonly Fault[]): Promise<void> {
     const beganAt = performance.now();
     for (const fault of faults) {
       await delay(Math.max(0, beganAt + fault.at - performance.now()));
-      this.note(`${fault.kind} forMs=${Math.round(fault.forMs)}`);
-      const played = this.bringAbout(fault);
-      this.open.add(played);
-      void played.finally(() => this.open.delete(played));
+      this.log(`${fault.kind} forMs=${Math.round(fault.durationMs)}`);
+      const played = this.inject(fault);
+      this.activeFaults.add(played);
+      void played.finally(() => this.activeFaults.delete(played));
     }
-    await Promise.all(this.open);
+    await Promise.all(this.activeFaults);
   }
 
-  private async bringAbout({ kind, forMs, draw }: Fault): Promise<void> {
-    const random = mixedRandom(draw, kind);
+  private async inject({
+    kind,
+    durationMs: forMs,
+    draw,
+  }: Fault): Promise<void> {
+    const random = derivedRandom(draw, kind);
     const { site } = this;
     switch (kind) {
       case "newLives":
-        return this.newLives(random, forMs);
+        return this.replaceWorkers(random, forMs);
       case "lateCalls":
-        return this.hold(random, forMs, "callHolds");
+        return this.holdChunks(random, forMs, "callHolds");
       case "lateAnswers":
-        return this.hold(random, forMs, "answerHolds");
+        return this.holdChunks(random, forMs, "answerHolds");
       case "frozenLeader":
-        return freeze(await site.leader(), forMs);
+        return suspendFor(await site.leader(), forMs);
       case "frozenSides":
-        await each(some(site.sides, 0.3, random), (one) => freeze(one, forMs));
+        await forEachConcurrently(sample(site.sides, 0.3, random), (one) =>
+          suspendFor(one, forMs),
+        );
         return;
       case "brokenConnections":
-        for (const { proxy } of some(site.workers, 0.4, random))
+        for (const { proxy } of sample(site.workers, 0.4, random))
           proxy.resetAll();
         return;
       case "halfOpen":
@@ -64,18 +70,20 @@
         return restart(one(site.entries, random), "SIGTERM", forMs);
       case "killedSides": {
         const signal = random.next() < 0.5 ? "SIGKILL" : "SIGTERM";
-        const struck = some(site.sides, 0.25, random);
-        await each(struck, (side) => restart(side, signal, forMs));
+        const struck = sample(site.sides, 0.25, random);
+        await forEachConcurrently(struck, (side) =>
+          restart(side, signal, forMs),
+        );
         return;
       }
       case "evacuatedZone":
         return this.evacuate(random, forMs);
       case "livesAtOnce":
-        return this.livesAtOnce(random, forMs);
+        return this.restartWorkersAtOnce(random, forMs);
       case "lostLeader":
-        return this.loseLeader(random, forMs);
+        return this.forceLeaderChange(random, forMs);
       case "silentWorkers":
-        return this.silence(random, forMs);
+        return this.silenceWorkers(random, forMs);
     }
   }
 
@@ -84,110 +92,125 @@
     const isAll = random.next() < 0.2;
     const only = one(ZONES, random);
     const zones = ZONES.filter((zone) => isAll || zone === only);
-    await each(zones, async (zone) => {
+    await forEachConcurrently(zones, async (zone) => {
       await this.site.evacuate(zone);
       await delay(forMs);
-      await this.site.takeBack(zone);
+      await this.site.reopen(zone);
     });
   }
 
   /** Workers fall silent together; their next lives stand at the same addresses. */
-  private async newLives(random: Random, forMs: number): Promise<void> {
+  private async replaceWorkers(random: Random, forMs: number): Promise<void> {
     const how = random.next() < 0.6 ? "silent" : "reset";
-    await each(some(this.site.workers, 0.5, random), async (worker) => {
-      await worker.endLife(how);
-      await delay(forMs * (0.5 + random.next()));
-      await worker.beginLife();
-      // What the former life left open is found broken by then.
-      worker.proxy.resetAll();
-    });
+    await forEachConcurrently(
+      sample(this.site.workers, 0.5, random),
+      async (worker) => {
+        await worker.endIncarnation(how);
+        await delay(forMs * (0.5 + random.next()));
+        await worker.startIncarnation();
+        // What the former life left open is found broken by then.
+        worker.proxy.resetAll();
+      },
+    );
   }
 
   /** Workers crash and are back at once; half of them do so once more soon after. */
-  private async livesAtOnce(random: Random, forMs: number): Promise<void> {
-    await each(some(this.site.workers, 0.4, random), async (worker) => {
-      const isTwice = random.next() < 0.5;
-      await worker.endLife("reset");
-      await worker.beginLife();
-      if (!isTwice) return;
-      await delay(forMs);
-      await worker.endLife("reset");
-      await worker.beginLife();
-    });
+  private async restartWorkersAtOnce(
+    random: Random,
+    forMs: number,
+  ): Promise<void> {
+    await forEachConcurrently(
+      sample(this.site.workers, 0.4, random),
+      async (worker) => {
+        const isTwice = random.next() < 0.5;
+        await worker.endIncarnation("reset");
+        await worker.startIncarnation();
+        if (!isTwice) return;
+        await delay(forMs);
+        await worker.endIncarnation("reset");
+        await worker.startIncarnation();
+      },
+    );
   }
 
   /** The leader is killed or stands still until another one leads. */
-  private async loseLeader(random: Random, forMs: number): Promise<void> {
+  private async forceLeaderChange(
+    random: Random,
+    forMs: number,
+  ): Promise<void> {
     const isKilled = random.next() < 0.5;
     const leader = await this.site.leader();
     if (isKilled) await restart(leader, "SIGKILL", forMs);
-    else await freeze(leader, forMs);
+    else await suspendFor(leader, forMs);
   }
 
   /** Workers are cut off or lost for a while, some of the first ones for good. */
-  private async silence(random: Random, forMs: number): Promise<void> {
+  private async silenceWorkers(random: Random, forMs: number): Promise<void> {
     const { workers } = this.site;
-    const mayStayAway = workers.slice(0, workers.length * FOR_GOOD_SHARE);
-    await each(some(workers, 0.2, random), async (worker) => {
+    const mayStayAway = workers.slice(0, workers.length * PERMANENT_LOSS_SHARE);
+    await forEachConcurrently(sample(workers, 0.2, random), async (worker) => {
       const draw = random.next();
       if (draw < 0.5) {
-        worker.cutOff();
+        worker.disconnect();
         await delay(forMs);
-        worker.rejoin();
+        worker.reconnect();
         return;
       }
-      await worker.endLife("silent");
+      await worker.endIncarnation("silent");
       if (draw > 0.8 && mayStayAway.includes(worker)) return;
       await delay(forMs);
-      await worker.beginLife();
+      await worker.startIncarnation();
       worker.proxy.resetAll();
     });
   }
 
-  private async hold(
+  private async holdChunks(
     random: Random,
     forMs: number,
     which: "callHolds" | "answerHolds",
   ): Promise<void> {
     const holds = random.next() < 0.5 ? HOLDS : SHORT_HOLDS;
-    await each(some(this.site.workers, 0.5, random), async ({ proxy }) => {
-      proxy[which] = holds;
-      await delay(forMs);
-      proxy[which] = NO_HOLDS;
-    });
+    await forEachConcurrently(
+      sample(this.site.workers, 0.5, random),
+      async ({ proxy }) => {
+        proxy[which] = holds;
+        await delay(forMs);
+        proxy[which] = NO_HOLDS;
+      },
+    );
   }
 
   private async halfOpen(random: Random, forMs: number): Promise<void> {
-    const struck: SoakWorker[] = some(this.site.workers, 0.4, random);
+    const struck: SoakWorker[] = sample(this.site.workers, 0.4, random);
     const isMute = random.next() < 0.5;
-    await each(struck, async ({ proxy }) => {
-      if (isMute) proxy.muteAll();
+    await forEachConcurrently(struck, async ({ proxy }) => {
+      if (isMute) proxy.stopForwardingAll();
       else proxy.halfCloseAll();
       await delay(forMs);
     });
   }
 }
 
-const some = <T>(all: readonly T[], share: number, random: Random): T[] =>
+const sample = <T>(all: readonly T[], share: number, random: Random): T[] =>
   all.filter(() => random.next() < share);
 
 const one = <T>(all: readonly T[], random: Random): T | undefined =>
   all[pickIndex(random, all.length)];
 
-const each = async <T>(
+const forEachConcurrently = async <T>(
   all: readonly T[],
   act: (item: T) => Promise<void>,
 ): Promise<void> => {
   await Promise.all(all.map(act));
 };
 
-const freeze = async (
+const suspendFor = async (
   struck: ManagedProcess | undefined,
   forMs: number,
 ): Promise<void> => {
-  struck?.freeze();
+  struck?.suspend();
   await delay(forMs);
-  struck?.thaw();
+  struck?.resume();
 };
 
 const restart = async (
@@ -195,7 +218,7 @@
   signal: "SIGTERM" | "SIGKILL",
   forMs: number,
 ): Promise<void> => {
-  await struck?.end(signal);
+  await struck?.stop(signal);
   await delay(forMs);
   struck?.start();
 };
--- a/soak/src/FaultyProxy.ts
+++ b/soak/src/FaultyProxy.ts
@@ -7,43 +7,43 @@
 import { once } from "node:events";
 import { splitAddress, type Random } from "@rackspan/common";
 import { addressOf, listenOn } from "@rackspan/protocol";
-import { HeldPipe } from "./HeldPipe.js";
+import { DelayedPipe } from "./DelayedPipe.js";
 
 /** How long a connection stays open after one of its sides is gone, milliseconds. */
 const LINGER_MS = 500;
 
 /** How often chunks are held, and for how long. */
-export interface Holds {
+export interface HoldDistribution {
   readonly share: number;
   readonly leastMs: number;
   readonly mostMs: number;
 }
 
-export const NO_HOLDS: Holds = { share: 0, leastMs: 0, mostMs: 0 };
+export const NO_HOLDS: HoldDistribution = { share: 0, leastMs: 0, mostMs: 0 };
 
 /** What becomes of new connections while there is no target. */
-export type WithoutTarget = "silent" | "reset";
+export type NoTargetBehavior = "silent" | "reset";
 
-interface Link {
+interface ProxiedConnection {
   readonly near: Socket;
   readonly far: Socket;
-  readonly pipes: readonly HeldPipe[];
+  readonly pipes: readonly DelayedPipe[];
 }
 
 export class FaultyProxy {
   /** `IP:PORT`; undefined while nothing stands there. */
   target: string | undefined;
-  withoutTarget: WithoutTarget = "reset";
+  noTargetBehavior: NoTargetBehavior = "reset";
   /** For bytes that callers send. */
-  callHolds: Holds = NO_HOLDS;
+  callHolds: HoldDistribution = NO_HOLDS;
   /** For bytes that callers get. */
-  answerHolds: Holds = NO_HOLDS;
+  answerHolds: HoldDistribution = NO_HOLDS;
   private readonly server: Server;
-  private readonly links = new Set<Link>();
-  private readonly mute = new Set<Socket>();
+  private readonly connections = new Set<ProxiedConnection>();
+  private readonly unansweredSockets = new Set<Socket>();
 
   constructor(private readonly random: Random) {
-    this.server = createServer((near) => this.take(near));
+    this.server = createServer((near) => this.accept(near));
   }
 
   /** @returns `IP:PORT` */
@@ -61,73 +61,73 @@
 
   /** Both ends of all open connections hear that they are broken. */
   resetAll(): void {
-    for (const { near, far } of this.links) {
+    for (const { near, far } of this.connections) {
       reset(near);
       reset(far);
     }
-    for (const near of this.mute) reset(near);
+    for (const near of this.unansweredSockets) reset(near);
   }
 
   /** Open connections carry nothing more; neither end is notified. */
-  muteAll(): void {
-    for (const { pipes } of this.links) {
-      for (const pipe of pipes) pipe.isCut = true;
+  stopForwardingAll(): void {
+    for (const { pipes } of this.connections) {
+      for (const pipe of pipes) pipe.isDiscarding = true;
     }
   }
 
   /** The called end closes; the caller's end stays open and silent. */
   halfCloseAll(): void {
-    for (const { far, pipes } of this.links) {
-      for (const pipe of pipes) pipe.isCut = true;
+    for (const { far, pipes } of this.connections) {
+      for (const pipe of pipes) pipe.isDiscarding = true;
       far.end();
     }
   }
 
-  private take(near: Socket): void {
+  private accept(near: Socket): void {
     near.on("error", ignore);
     const { target } = this;
     if (target !== undefined) {
-      this.join(near, target);
+      this.connectToTarget(near, target);
       return;
     }
-    if (this.withoutTarget === "reset") {
+    if (this.noTargetBehavior === "reset") {
       reset(near);
       return;
     }
-    this.mute.add(near);
+    this.unansweredSockets.add(near);
     near.resume();
-    near.on("close", () => this.mute.delete(near));
+    near.on("close", () => this.unansweredSockets.delete(near));
   }
 
-  private join(near: Socket, target: string): void {
+  private connectToTarget(near: Socket, target: string): void {
     const { address, port } = splitAddress(target);
     const far = connect({ host: address, port });
     far.on("error", ignore);
     near.setNoDelay(true);
     far.setNoDelay(true);
-    const calls = new HeldPipe(near, {
-      drawHoldMs: () => this.draw(this.callHolds),
+    const calls = new DelayedPipe(near, {
+      drawHoldMs: () => this.drawHoldMs(this.callHolds),
       send: (chunk) => void far.write(chunk),
       onDrained: () => endSoon(far),
     });
-    const answers = new HeldPipe(far, {
-      drawHoldMs: () => this.draw(this.answerHolds),
+    const answers = new DelayedPipe(far, {
+      drawHoldMs: () => this.drawHoldMs(this.answerHolds),
       send: (chunk) => void near.write(chunk),
       // A connection without a living other end stays open until it is reset.
       onDrained: () => {
-        if (!answers.isCut) endSoon(near);
+        if (!answers.isDiscarding) endSoon(near);
       },
     });
-    const link: Link = { near, far, pipes: [calls, answers] };
-    this.links.add(link);
+    const link: ProxiedConnection = { near, far, pipes: [calls, answers] };
+    this.connections.add(link);
     const forget = (): void => {
-      if (near.destroyed && far.destroyed) this.links.delete(link);
+      if (near.destroyed && far.destroyed) this.connections.delete(link);
     };
     near.on("close", forget);
     far.on("close", forget);
   }
 
-  private draw({ share, leastMs, mostMs }: Holds): number {
+  private drawHoldMs({ share, leastMs, mostMs }: HoldDistribution): number {
     if (this.random.next() >= share) return 0;
     return leastMs + this.random.next() * (mostMs - leastMs);
   }
--- a/soak/src/JobClient.ts
+++ b/soak/src/JobClient.ts
@@ -9,7 +9,7 @@
 import { pickIndex, type Random } from "@rackspan/common";
 import { QUEUE } from "./SoakSite.js";
 
-const CLIENT = {
+const CALL_TIMES = {
   /** Time for one answer, milliseconds. */
   answerMs: 2_000,
   repeatPauseMs: 100,
@@ -29,10 +29,10 @@
   readonly body: string;
 }
 
-const isUnclear = ({ status }: Answer): boolean =>
+const isAmbiguous = ({ status }: Answer): boolean =>
   status === 0 || status === 502 || status === 504;
 
-const isAsked = ({ status }: Answer): boolean =>
+const isRejected = ({ status }: Answer): boolean =>
   status === 429 || status === 503;
 
 export class JobClient {
@@ -44,24 +44,24 @@
   async submit(id: string, body: object): Promise<boolean | undefined> {
     let mayBeAccepted = false;
     const text = JSON.stringify(body);
-    const giveUpAt = performance.now() + CLIENT.repeatForMs;
+    const giveUpAt = performance.now() + CALL_TIMES.repeatForMs;
     while (performance.now() < giveUpAt) {
       const answer = await this.call("POST", id, text);
       if (answer.status >= 200 && answer.status < 300) return true;
-      if (isUnclear(answer)) mayBeAccepted = true;
+      if (isAmbiguous(answer)) mayBeAccepted = true;
       else if (!mayBeAccepted) return false;
-      await delay(CLIENT.repeatPauseMs);
+      await delay(CALL_TIMES.repeatPauseMs);
     }
     return undefined;
   }
 
   /** @returns whether the cancel was acknowledged */
   async cancel(id: string): Promise<boolean> {
-    const giveUpAt = performance.now() + CLIENT.repeatForMs;
+    const giveUpAt = performance.now() + CALL_TIMES.repeatForMs;
     while (performance.now() < giveUpAt) {
       const answer = await this.call("DELETE", id);
-      if (!isUnclear(answer) && !isAsked(answer)) return true;
-      await delay(CLIENT.repeatPauseMs);
+      if (!isAmbiguous(answer) && !isRejected(answer)) return true;
+      await delay(CALL_TIMES.repeatPauseMs);
     }
     return false;
   }
@@ -89,9 +89,9 @@
       method,
       headers: {
         host: QUEUE.hostName,
-        "rackspan-timeout-ms": String(CLIENT.answerMs),
+        "rackspan-timeout-ms": String(CALL_TIMES.answerMs),
       },
-      signal: AbortSignal.timeout(CLIENT.answerMs),
+      signal: AbortSignal.timeout(CALL_TIMES.answerMs),
     });
     try {
       req.end(body);
--- a/soak/src/JobStream.ts
+++ b/soak/src/JobStream.ts
@@ -3,9 +3,9 @@
 import { setTimeout as delay } from "node:timers/promises";
 import { pickIndex, type Random } from "@rackspan/common";
 import type { JobClient } from "./JobClient.js";
-import { mixedRandom } from "./mixedRandom.js";
+import { derivedRandom } from "./derivedRandom.js";
 
-const STREAM = {
+const JOB_STREAM = {
   /** Between two jobs, milliseconds on the mean. */
   gapMs: 170,
   /** Shares of the jobs that do not fail. */
@@ -46,35 +46,35 @@
 export class JobStream {
   readonly jobs: StreamedJob[] = [];
   private readonly random: Random;
-  private readonly open = new Set<Promise<void>>();
-  private isOver = false;
+  private readonly pending = new Set<Promise<void>>();
+  private isStopped = false;
 
   constructor(private readonly options: JobStreamOptions) {
-    this.random = mixedRandom(options.seed, "jobs");
+    this.random = derivedRandom(options.seed, "jobs");
   }
 
   async run(): Promise<void> {
-    while (!this.isOver) {
-      const work = this.draw()();
-      this.open.add(work);
-      void work.finally(() => this.open.delete(work));
-      await delay(STREAM.gapMs * 2 * this.random.next());
+    while (!this.isStopped) {
+      const work = this.drawJob()();
+      this.pending.add(work);
+      void work.finally(() => this.pending.delete(work));
+      await delay(JOB_STREAM.gapMs * 2 * this.random.next());
     }
   }
 
   /** Takes no more jobs on; what was begun is played to its end. */
-  async end(): Promise<void> {
-    this.isOver = true;
-    await Promise.all(this.open);
+  async stop(): Promise<void> {
+    this.isStopped = true;
+    await Promise.all(this.pending);
   }
 
-  private draw(): () => Promise<void> {
+  private drawJob(): () => Promise<void> {
     const { random } = this;
     const { seed, clients, failingShare } = this.options;
     const fails = random.next() < failingShare;
     const kind = fails ? "failing" : this.drawKind();
     const job: StreamedJob = {
-      id: idOf(seed, this.jobs.length),
+      id: jobIdOf(seed, this.jobs.length),
       kind,
       isAccepted: false,
       isCancelled: false,
@@ -82,7 +82,7 @@
     this.jobs.push(job);
     const client = clients[pickIndex(random, clients.length)];
     const body = drawBody(kind, random);
-    const cancelAfterMs = random.next() * STREAM.cancelWithinMs;
+    const cancelAfterMs = random.next() * JOB_STREAM.cancelWithinMs;
     return async () => {
       if (!client) return;
       job.isAccepted = (await client.submit(job.id, body)) === true;
@@ -103,17 +103,17 @@
 }
 
 const kindOf = (draw: number): JobKind => {
-  if (draw < STREAM.cancelled) return "cancelled";
-  if (draw < STREAM.cancelled + STREAM.lasting) return "lasting";
+  if (draw < JOB_STREAM.cancelled) return "cancelled";
+  if (draw < JOB_STREAM.cancelled + JOB_STREAM.lasting) return "lasting";
   return "plain";
 };
 
 const drawBody = (kind: JobKind, random: Random): object => {
-  const ms = between(STREAM.runMs, random);
-  const count = between(STREAM.steps, random);
+  const ms = drawBetween(JOB_STREAM.runMs, random);
+  const count = drawBetween(JOB_STREAM.steps, random);
   const isLasting = kind === "lasting";
   const steps = Array.from({ length: isLasting ? 1 : count }, (_, at) => ({
-    count: isLasting ? 2 : between(STREAM.tasks, random),
+    count: isLasting ? 2 : drawBetween(JOB_STREAM.tasks, random),
     cpu: isLasting ? 100 : 1_000,
     mem_mb: 100,
     estimate_ms: ms,
@@ -126,11 +126,11 @@
   return { spec: JSON.stringify(work), steps };
 };
 
-const between = (
+const drawBetween = (
   { least, more }: { readonly least: number; readonly more: number },
   random: Random,
 ): number => least + pickIndex(random, more);
 
 /** 16 hex digits. */
-const idOf = (seed: number, number: number): string =>
+const jobIdOf = (seed: number, number: number): string =>
   seed.toString(16).padStart(8, "0") + number.toString(16).padStart(8, "0");
--- a/soak/src/ManagedProcess.ts
+++ b/soak/src/ManagedProcess.ts
@@ -4,11 +4,11 @@
 import { closeSync, openSync } from "node:fs";
 import { once } from "node:events";
 
-const living = new Set<ChildProcess>();
+const runningProcesses = new Set<ChildProcess>();
 
 /** Ends every process that was started here, by its id; also frozen ones. */
 export const killAllProcesses = (): void => {
-  for (const child of living) child.kill("SIGKILL");
+  for (const child of runningProcesses) child.kill("SIGKILL");
 };
 
 export interface ManagedProcessOptions {
@@ -21,8 +21,8 @@
   private child: ChildProcess | undefined;
   private exited: Promise<unknown> = Promise.resolve();
   /** Times that it ended unasked. */
-  ownEnds = 0;
-  private isAskedToEnd = false;
+  unexpectedExits = 0;
+  private isStopRequested = false;
 
   constructor(private readonly options: ManagedProcessOptions) {}
 
@@ -38,27 +38,27 @@
       stdio: ["ignore", log, log],
     });
     closeSync(log);
-    living.add(child);
+    runningProcesses.add(child);
     this.child = child;
-    this.isAskedToEnd = false;
+    this.isStopRequested = false;
     this.exited = once(child, "exit").then(() => {
-      living.delete(child);
+      runningProcesses.delete(child);
       this.child = undefined;
-      if (!this.isAskedToEnd) this.ownEnds += 1;
+      if (!this.isStopRequested) this.unexpectedExits += 1;
     });
   }
 
-  freeze(): void {
+  suspend(): void {
     this.child?.kill("SIGSTOP");
   }
 
-  thaw(): void {
+  resume(): void {
     this.child?.kill("SIGCONT");
   }
 
-  async end(signal: "SIGTERM" | "SIGKILL"): Promise<void> {
+  async stop(signal: "SIGTERM" | "SIGKILL"): Promise<void> {
     if (!this.child) return;
-    this.isAskedToEnd = true;
+    this.isStopRequested = true;
     this.child.kill("SIGCONT");
     this.child.kill(signal);
     await this.exited;
--- a/soak/src/RunRecorder.ts
+++ b/soak/src/RunRecorder.ts
@@ -13,7 +13,7 @@
     const known = new Map<WorkerRun, RunSeen>();
     return {
       began: (run) => {
-        const seen = this.begin(host, run);
+        const seen = this.recordStart(host, run);
         known.set(run, seen);
       },
       ended: (run, outcome) => {
@@ -29,7 +29,7 @@
     };
   }
 
-  private begin(host: HostId, { task, run }: WorkerRun): RunSeen {
+  private recordStart(host: HostId, { task, run }: WorkerRun): RunSeen {
     const seen: RunSeen = {
       task: task as unknown as JobTaskId,
       run: run as unknown as RunNumber,
@@ -45,7 +45,7 @@
   }
 
   /** One line a run, with times of the wall clock as the programs' logs have them. */
-  lines(): string[] {
+  toLogLines(): string[] {
     return this.seen.map(
       ({ task, run, host, beganAt, endedAt, outcome, noted }) =>
         `${task} run=${run} host=${host} began=${wallTime(beganAt)} ended=${
--- a/soak/src/SoakSite.ts
+++ b/soak/src/SoakSite.ts
@@ -11,8 +11,8 @@
 import { freePort, StoreServer } from "@rackspan/platform-standins";
 import { MemoryStore } from "@rackspan/standins";
 import { ManagedProcess } from "./ManagedProcess.js";
-import { mixedRandom } from "./mixedRandom.js";
-import type { Programs } from "./Programs.js";
+import { derivedRandom } from "./derivedRandom.js";
+import type { BundledPrograms } from "./BundledPrograms.js";
 import type { RunRecorder } from "./RunRecorder.js";
 import { BOUNDS, entrySettings, sideSettings } from "./settings.js";
 import { SoakWorker } from "./SoakWorker.js";
@@ -24,7 +24,7 @@
 } as const;
 
 /** Host part of the first side's address; entries are numbered from 1. */
-const FIRST_INBOX = 51;
+const FIRST_SIDE_ADDRESS = 51;
 
 /** Hosts stand in them by turns. */
 export const ZONES = ["zone-a", "zone-b"] as const;
@@ -33,7 +33,7 @@
 
 const zoneOf = (host: number): Zone => ZONES[host % ZONES.length] as Zone;
 
-const hostAt = (at: number): HostId => brand<HostId>(`host-${at + 1}`);
+const hostIdOf = (at: number): HostId => brand<HostId>(`host-${at + 1}`);
 
 const configOf = (maxAttempts: number): object => ({
   version: 1,
@@ -59,12 +59,12 @@
   readonly hosts: number;
   /** Runs of a task that may fail before its job has failed. */
   readonly maxAttempts: number;
-  readonly programs: Programs;
+  readonly programs: BundledPrograms;
   /** Folder for settings and logs of this run. */
   readonly folder: string;
   readonly recorder: RunRecorder;
   /** See SoakWorkerOptions. */
-  readonly sharesId: boolean;
+  readonly reusesId: boolean;
 }
 
 export class SoakSite {
@@ -75,7 +75,7 @@
   private sidesPort = 0;
   private storeAddress = "";
   /** How many records the operator has written. */
-  private written = 0;
+  private operatorAppends = 0;
   /** Evacuations that stand, by zone. */
   private readonly evacuations = new Map<Zone, number>();
   private readonly store = new MemoryStore(new SystemClock());
@@ -96,7 +96,7 @@
 
   async stop(): Promise<void> {
     const all = [...this.sides, ...this.entries];
-    await Promise.all(all.map((one) => one.end("SIGKILL")));
+    await Promise.all(all.map((one) => one.stop("SIGKILL")));
     for (const worker of this.workers) await worker.close();
     await this.storeServer.close();
   }
@@ -113,9 +113,9 @@
   }
 
   /** Processes that ended unasked. */
-  get ownEnds(): number {
+  get unexpectedExits(): number {
     const all = [...this.entries, ...this.sides];
-    return all.reduce((sum, { ownEnds }) => sum + ownEnds, 0);
+    return all.reduce((sum, { unexpectedExits: ownEnds }) => sum + ownEnds, 0);
   }
 
   /** The entry that the store names as the leader. */
@@ -136,7 +136,7 @@
   }
 
   /** Ends one call of `evacuate`; the zone is open again when none is left. */
-  async takeBack(zone: Zone): Promise<void> {
+  async reopen(zone: Zone): Promise<void> {
     const left = (this.evacuations.get(zone) ?? 0) - 1;
     this.evacuations.set(zone, left);
     if (left > 0) return;
@@ -148,7 +148,7 @@
 
   private hostsOf(zone: Zone): HostId[] {
     return this.workers.flatMap((_worker, at) =>
-      zoneOf(at) === zone ? [hostAt(at)] : [],
+      zoneOf(at) === zone ? [hostIdOf(at)] : [],
     );
   }
 
@@ -161,12 +161,12 @@
     key: string,
     value: object | undefined,
   ): Promise<void> {
-    this.written += 1;
+    this.operatorAppends += 1;
     const bytes = value && Buffer.from(JSON.stringify(value));
     await this.store.append({
       topic: brand("keyed.op"),
       records: [{ key, value: bytes }],
-      stamp: { producer: "operator", epoch: 1, sequence: this.written },
+      stamp: { producer: "operator", epoch: 1, sequence: this.operatorAppends },
       timeoutMs: 0,
     });
   }
@@ -188,18 +188,18 @@
   }
 
   private async startHost(at: number): Promise<void> {
-    const { seed, recorder, programs, sharesId } = this.options;
-    const name = hostAt(at);
-    const inbox = `${processLoopbackAddress(FIRST_INBOX + at)}:${await freePort()}`;
+    const { seed, recorder, programs, reusesId: sharesId } = this.options;
+    const name = hostIdOf(at);
+    const inbox = `${processLoopbackAddress(FIRST_SIDE_ADDRESS + at)}:${await freePort()}`;
     const worker = new SoakWorker({
       host: name,
       service: QUEUE.service,
       inbox,
       longestLeaseMs: BOUNDS.leaseMs,
       recorder,
-      random: mixedRandom(seed, name),
-      livesRandom: mixedRandom(seed, `${name}-lives`),
-      sharesId,
+      random: derivedRandom(seed, name),
+      incarnationRandom: derivedRandom(seed, `${name}-lives`),
+      reusesId: sharesId,
     });
     const place = {
       host: name,
@@ -216,7 +216,7 @@
     }
     this.sides.push(this.startProcess(name, [programs.side, "run"], file));
     this.workers.push(worker);
-    await worker.beginLife();
+    await worker.startIncarnation();
   }
 
   private writeSettings(name: string, settings: object): string {
--- a/soak/src/SoakWorker.ts
+++ b/soak/src/SoakWorker.ts
@@ -3,7 +3,7 @@
 import { setTimeout as delay } from "node:timers/promises";
 import type { HostId, Random } from "@rackspan/common";
 import { WorkerServer } from "@rackspan/platform-standins";
-import { FaultyProxy, type WithoutTarget } from "./FaultyProxy.js";
+import { FaultyProxy, type NoTargetBehavior } from "./FaultyProxy.js";
 import type { RunRecorder } from "./RunRecorder.js";
 
 export interface SoakWorkerOptions {
@@ -16,29 +16,29 @@
   /** Draws the faults of the proxy. */
   readonly random: Random;
   /** Draws the clocks of lives, and what comes late of the one before. */
-  readonly livesRandom: Random;
+  readonly incarnationRandom: Random;
   /** Whether all lives have one id, and only the time of their birth tells them apart. */
-  readonly sharesId: boolean;
+  readonly reusesId: boolean;
 }
 
 /** A worker that a task has crashed is back after this, milliseconds. */
-const BACK_AFTER_MS = 700;
+const RESTART_AFTER_CRASH_MS = 700;
 
 /** A life's clock shows up to this at its start, milliseconds. */
-const MOST_AT_START_MS = 1e6;
+const MAX_CLOCK_AT_START_MS = 1e6;
 
 /** A heartbeat of the life before may come this long after the next one has registered, at the most. */
-const LATE_BEAT_MS = 900;
+const MAX_LATE_HEARTBEAT_MS = 900;
 
 export class SoakWorker {
   readonly proxy: FaultyProxy;
   private address = "";
   private life: WorkerServer | undefined;
   /** The last life that has registered. */
-  private former: WorkerServer | undefined;
-  private lives = 0;
+  private previousIncarnation: WorkerServer | undefined;
+  private incarnationCount = 0;
   /** Where the life that is cut off stands. */
-  private hiddenTarget: string | undefined;
+  private disconnectedTarget: string | undefined;
   private isClosed = false;
 
   constructor(private readonly options: SoakWorkerOptions) {
@@ -52,15 +52,15 @@
   }
 
   /** The next life registers; does nothing while there is one. */
-  async beginLife(): Promise<void> {
+  async startIncarnation(): Promise<void> {
     if (this.life) return;
     const { host, service, inbox, longestLeaseMs, recorder } = this.options;
-    const { sharesId, livesRandom } = this.options;
-    this.lives += 1;
-    const { former } = this;
+    const { reusesId: sharesId, incarnationRandom: livesRandom } = this.options;
+    this.incarnationCount += 1;
+    const { previousIncarnation: former } = this;
     const life = new WorkerServer({
-      instance: sharesId ? host : `${host}-life-${this.lives}`,
-      clockAtStart: Math.floor(livesRandom.next() * MOST_AT_START_MS),
+      instance: sharesId ? host : `${host}-life-${this.incarnationCount}`,
+      clockAtStart: Math.floor(livesRandom.next() * MAX_CLOCK_AT_START_MS),
       service,
       observer: recorder.observe(host),
       longestLeaseMs,
@@ -75,48 +75,48 @@
     }
     this.proxy.target = target;
     life.register(inbox, this.address);
-    this.former = life;
+    this.previousIncarnation = life;
     if (!former || this.isClosed) return;
     setTimeout(
       () => former.beat(inbox, this.address),
-      livesRandom.next() * LATE_BEAT_MS,
+      livesRandom.next() * MAX_LATE_HEARTBEAT_MS,
     ).unref();
   }
 
   /** A task has crashed this life; the next one comes by itself. */
   private async crash(life: WorkerServer): Promise<void> {
     if (this.life !== life) return;
-    await this.endLife("reset");
-    await delay(BACK_AFTER_MS);
-    if (!this.isClosed) await this.beginLife();
+    await this.endIncarnation("reset");
+    await delay(RESTART_AFTER_CRASH_MS);
+    if (!this.isClosed) await this.startIncarnation();
   }
 
   /** The present life ends without a goodbye. */
-  async endLife(withoutTarget: WithoutTarget): Promise<void> {
+  async endIncarnation(withoutTarget: NoTargetBehavior): Promise<void> {
     const { life, proxy } = this;
     if (!life) return;
     this.life = undefined;
     proxy.target = undefined;
-    proxy.withoutTarget = withoutTarget;
-    if (withoutTarget === "silent") proxy.muteAll();
+    proxy.noTargetBehavior = withoutTarget;
+    if (withoutTarget === "silent") proxy.stopForwardingAll();
     else proxy.resetAll();
     await life.close();
   }
 
   /** The present life goes on by itself; neither calls nor heartbeats pass. */
-  cutOff(): void {
+  disconnect(): void {
     const { life, proxy } = this;
     if (!life || life.isCutOff) return;
     life.isCutOff = true;
-    this.hiddenTarget = proxy.target;
+    this.disconnectedTarget = proxy.target;
     proxy.target = undefined;
-    proxy.withoutTarget = "silent";
-    proxy.muteAll();
+    proxy.noTargetBehavior = "silent";
+    proxy.stopForwardingAll();
   }
 
   /** Ends the cut of the present life, if there is one. */
-  rejoin(): void {
-    const { life, proxy, hiddenTarget } = this;
+  reconnect(): void {
+    const { life, proxy, disconnectedTarget: hiddenTarget } = this;
     if (!life?.isCutOff) return;
     life.isCutOff = false;
     proxy.target = hiddenTarget;
@@ -126,7 +126,7 @@
 
   async close(): Promise<void> {
     this.isClosed = true;
-    await this.endLife("reset");
+    await this.endIncarnation("reset");
     await this.proxy.close();
   }
 }
--- a/soak/src/judgeEnds.ts
+++ b/soak/src/checkOutcomes.ts
@@ -6,7 +6,7 @@
 import type { JobClient } from "./JobClient.js";
 import type { StreamedJob } from "./JobStream.js";
 
-const JUDGE = {
+const CHECK_TIMES = {
   pollMs: 250,
   /** All jobs are to end within this, milliseconds. */
   endMs: 60_000,
@@ -16,7 +16,7 @@
 
 const FINAL_STATES = ["completed", "failed", "cancelled"];
 
-export interface JudgedRun {
+export interface SoakOutcome {
   readonly jobs: readonly StreamedJob[];
   readonly client: JobClient;
   readonly history: RunHistory;
@@ -24,23 +24,25 @@
 }
 
 /** @returns how many accepted jobs are shown as ended */
-export const judgeEnds = async (run: JudgedRun): Promise<number> => {
-  const calmAt = performance.now();
-  const ended = await judgeStates(run, calmAt + JUDGE.endMs);
-  await delay(Math.max(0, calmAt + JUDGE.goneMs - performance.now()));
-  judgeUnasked(run);
-  judgeNotedEnds(run);
-  judgeCrashes(run);
+export const checkOutcomes = async (run: SoakOutcome): Promise<number> => {
+  const faultsEndedAt = performance.now();
+  const ended = await checkFinalStates(run, faultsEndedAt + CHECK_TIMES.endMs);
+  await delay(
+    Math.max(0, faultsEndedAt + CHECK_TIMES.goneMs - performance.now()),
+  );
+  checkCancelledTasksStopped(run);
+  checkRecordedEnds(run);
+  checkCrashLimits(run);
   return ended;
 };
 
-const judgeStates = async (
-  { jobs, client, history }: JudgedRun,
+const checkFinalStates = async (
+  { jobs, client, history }: SoakOutcome,
   giveUpAt: number,
 ): Promise<number> => {
   const accepted = jobs.filter(({ isAccepted }) => isAccepted);
   const open = new Set(accepted);
-  const complain = (job: StreamedJob, what: string): void =>
+  const addViolation = (job: StreamedJob, what: string): void =>
     history.add(
       "not-finished",
       performance.now(),
@@ -52,16 +54,16 @@
       if (!FINAL_STATES.includes(state)) continue;
       open.delete(job);
       if (!isAllowed(state, job, history))
-        complain(job, `is shown as ${state}`);
+        addViolation(job, `is shown as ${state}`);
     }
-    await delay(JUDGE.pollMs);
+    await delay(CHECK_TIMES.pollMs);
   }
-  for (const job of open) complain(job, "has not ended");
+  for (const job of open) addViolation(job, "has not ended");
   return accepted.length - open.size;
 };
 
 /** A task may be given up once this many workers have crashed under it, whatever crashed them. */
-const CRASHES_TO_GIVE_UP = 2;
+const MIN_CRASHES_TO_FAIL = 2;
 
 const isAllowed = (
   state: string,
@@ -69,14 +71,14 @@
   history: RunHistory,
 ): boolean => {
   if (state === "cancelled") return isCancelled;
-  const neverEnds = kind === "failing" || kind === "crashing";
+  const neverCompletes = kind === "failing" || kind === "crashing";
   if (state === "failed") {
-    return neverEnds || history.mostCrashes(id) >= CRASHES_TO_GIVE_UP;
+    return neverCompletes || history.mostCrashes(id) >= MIN_CRASHES_TO_FAIL;
   }
-  return !neverEnds && kind !== "lasting";
+  return !neverCompletes && kind !== "lasting";
 };
 
-const judgeUnasked = ({ jobs, history }: JudgedRun): void => {
+const checkCancelledTasksStopped = ({ jobs, history }: SoakOutcome): void => {
   const cancelled = jobs.filter(({ isCancelled }) => isCancelled);
   const ids = new Set(cancelled.map(({ id }) => id));
   for (const { task, run, host, beganAt } of history.openRuns()) {
@@ -85,7 +87,11 @@
   }
 };
 
-const judgeNotedEnds = ({ jobs, history, maxAttempts }: JudgedRun): void => {
+const checkRecordedEnds = ({
+  jobs,
+  history,
+  maxAttempts,
+}: SoakOutcome): void => {
   const lasting = jobs.filter(({ kind }) => kind === "lasting");
   const ids = new Set(lasting.map(({ id }) => id));
   const noGang = (): readonly JobTaskId[] => [];
@@ -93,7 +99,7 @@
 };
 
 /** No task is started three times more after three workers have crashed under it. */
-const judgeCrashes = ({ jobs, history }: JudgedRun): void => {
+const checkCrashLimits = ({ jobs, history }: SoakOutcome): void => {
   for (const { id, kind } of jobs) {
     if (kind === "crashing") history.checkCrashes(`${id}.0.0.0` as JobTaskId);
   }
--- a/soak/src/mixedRandom.ts
+++ b/soak/src/derivedRandom.ts
@@ -4,7 +4,7 @@
 import { SeededRandom, type Random } from "@rackspan/common";
 
 /** Small seeds as they are give much the same first draws: all runs would begin alike. */
-export const mixedRandom = (seed: number, part: string): Random => {
+export const derivedRandom = (seed: number, part: string): Random => {
   const hash = createHash("sha256").update(`${seed} ${part}`).digest();
   return new SeededRandom(hash.readInt32BE());
 };
--- a/soak/src/faults.ts
+++ b/soak/src/faults.ts
@@ -1,6 +1,6 @@
 /** The faults of a run, drawn before it begins. */
 
-import { mixedRandom } from "./mixedRandom.js";
+import { derivedRandom } from "./derivedRandom.js";
 
 export type FaultKind =
   | "newLives"
@@ -23,40 +23,110 @@
   /** Milliseconds since the faults began. */
   readonly at: number;
   /** How long it lasts, milliseconds. */
-  readonly forMs: number;
+  readonly durationMs: number;
   /** Decides which hosts or entries it affects, in [0, 1). */
   readonly draw: number;
 }
 
-interface Series {
+interface FaultSeries {
   /** The share of runs that have it. */
-  readonly share: number;
+  readonly runShare: number;
   /** Between two faults of the series, milliseconds on the mean. */
-  readonly everyMs: number;
-  readonly leastMs: number;
-  readonly mostMs: number;
+  readonly meanIntervalMs: number;
+  readonly minDurationMs: number;
+  readonly maxDurationMs: number;
 }
 
 /** Series overlap; each goes on from begin to end of the faults. */
-export const SERIES: Readonly<Record<FaultKind, Series>> = {
-  newLives: { share: 0.7, everyMs: 2_500, leastMs: 20, mostMs: 600 },
-  lateCalls: { share: 0.5, everyMs: 2_000, leastMs: 500, mostMs: 2_000 },
-  lateAnswers: { share: 0.5, everyMs: 2_000, leastMs: 500, mostMs: 2_000 },
+export const FAULT_SERIES: Readonly<Record<FaultKind, FaultSeries>> = {
+  newLives: {
+    runShare: 0.7,
+    meanIntervalMs: 2_500,
+    minDurationMs: 20,
+    maxDurationMs: 600,
+  },
+  lateCalls: {
+    runShare: 0.5,
+    meanIntervalMs: 2_000,
+    minDurationMs: 500,
+    maxDurationMs: 2_000,
+  },
+  lateAnswers: {
+    runShare: 0.5,
+    meanIntervalMs: 2_000,
+    minDurationMs: 500,
+    maxDurationMs: 2_000,
+  },
   // Less than the leadership's lease, so that it leads on.
-  frozenLeader: { share: 0.6, everyMs: 1_500, leastMs: 300, mostMs: 900 },
-  frozenSides: { share: 0.4, everyMs: 3_000, leastMs: 200, mostMs: 1_500 },
-  brokenConnections: { share: 0.4, everyMs: 2_000, leastMs: 0, mostMs: 0 },
-  halfOpen: { share: 0.3, everyMs: 3_000, leastMs: 300, mostMs: 2_000 },
-  killedEntry: { share: 0.3, everyMs: 8_000, leastMs: 100, mostMs: 2_000 },
-  stoppedEntry: { share: 0.2, everyMs: 8_000, leastMs: 100, mostMs: 2_000 },
-  killedSides: { share: 0.3, everyMs: 4_000, leastMs: 50, mostMs: 1_000 },
+  frozenLeader: {
+    runShare: 0.6,
+    meanIntervalMs: 1_500,
+    minDurationMs: 300,
+    maxDurationMs: 900,
+  },
+  frozenSides: {
+    runShare: 0.4,
+    meanIntervalMs: 3_000,
+    minDurationMs: 200,
+    maxDurationMs: 1_500,
+  },
+  brokenConnections: {
+    runShare: 0.4,
+    meanIntervalMs: 2_000,
+    minDurationMs: 0,
+    maxDurationMs: 0,
+  },
+  halfOpen: {
+    runShare: 0.3,
+    meanIntervalMs: 3_000,
+    minDurationMs: 300,
+    maxDurationMs: 2_000,
+  },
+  killedEntry: {
+    runShare: 0.3,
+    meanIntervalMs: 8_000,
+    minDurationMs: 100,
+    maxDurationMs: 2_000,
+  },
+  stoppedEntry: {
+    runShare: 0.2,
+    meanIntervalMs: 8_000,
+    minDurationMs: 100,
+    maxDurationMs: 2_000,
+  },
+  killedSides: {
+    runShare: 0.3,
+    meanIntervalMs: 4_000,
+    minDurationMs: 50,
+    maxDurationMs: 1_000,
+  },
   // New ones come last, so that what seeds draw before them stays as it is. Long enough
   // that starts past the time that the operator allows would show.
-  evacuatedZone: { share: 0.4, everyMs: 5_000, leastMs: 100, mostMs: 9_000 },
-  livesAtOnce: { share: 0.5, everyMs: 2_500, leastMs: 1, mostMs: 900 },
+  evacuatedZone: {
+    runShare: 0.4,
+    meanIntervalMs: 5_000,
+    minDurationMs: 100,
+    maxDurationMs: 9_000,
+  },
+  livesAtOnce: {
+    runShare: 0.5,
+    meanIntervalMs: 2_500,
+    minDurationMs: 1,
+    maxDurationMs: 900,
+  },
   // Longer than the leadership's lease, so that another entry leads.
-  lostLeader: { share: 0.4, everyMs: 5_000, leastMs: 2_600, mostMs: 5_000 },
-  silentWorkers: { share: 0.4, everyMs: 4_000, leastMs: 500, mostMs: 12_000 },
+  lostLeader: {
+    runShare: 0.4,
+    meanIntervalMs: 5_000,
+    minDurationMs: 2_600,
+    maxDurationMs: 5_000,
+  },
+  silentWorkers: {
+    runShare: 0.4,
+    meanIntervalMs: 4_000,
+    minDurationMs: 500,
+    maxDurationMs: 12_000,
+  },
 };
 
 /** @param only the series to play; drawn when undefined */
@@ -65,16 +135,21 @@
   seconds: number,
   only?: readonly FaultKind[],
 ): Fault[] => {
-  const random = mixedRandom(seed, "faults");
+  const random = derivedRandom(seed, "faults");
   const faults: Fault[] = [];
-  for (const kind of Object.keys(SERIES) as FaultKind[]) {
-    const { share, everyMs, leastMs, mostMs } = SERIES[kind];
+  for (const kind of Object.keys(FAULT_SERIES) as FaultKind[]) {
+    const {
+      runShare: share,
+      meanIntervalMs: everyMs,
+      minDurationMs: leastMs,
+      maxDurationMs: mostMs,
+    } = FAULT_SERIES[kind];
     const isDrawn = random.next() < share;
     if (only ? !only.includes(kind) : !isDrawn) continue;
     let at = random.next() * everyMs;
     while (at < seconds * 1_000) {
       const forMs = leastMs + random.next() * (mostMs - leastMs);
-      faults.push({ kind, at, forMs, draw: random.next() });
+      faults.push({ kind, at, durationMs: forMs, draw: random.next() });
       at += everyMs * (0.5 + random.next());
     }
   }
--- a/soak/src/index.ts
+++ b/soak/src/index.ts
@@ -1,5 +1,12 @@
 export { killAllProcesses } from "./ManagedProcess.js";
-export { playSoak, type SoakOptions, type SoakResult } from "./playSoak.js";
-export { Programs, ProgramsMissingError } from "./Programs.js";
+export {
+  runSoak as playSoak,
+  type SoakOptions,
+  type SoakResult,
+} from "./runSoak.js";
+export {
+  BundledPrograms as Programs,
+  ProgramsMissingError,
+} from "./BundledPrograms.js";
 export { drawFaults, type Fault, type FaultKind } from "./faults.js";
-export { mixedRandom } from "./mixedRandom.js";
+export { derivedRandom as mixedRandom } from "./derivedRandom.js";
--- a/soak/src/main.ts
+++ b/soak/src/main.ts
@@ -11,8 +11,8 @@
 import type { JobViolation } from "@rackspan/checker";
 import type { FaultKind } from "./faults.js";
 import { killAllProcesses } from "./ManagedProcess.js";
-import { playSoak, type SoakResult } from "./playSoak.js";
-import { Programs } from "./Programs.js";
+import { runSoak, type SoakResult } from "./runSoak.js";
+import { BundledPrograms } from "./BundledPrograms.js";
 
 interface Options {
   readonly seed: string;
@@ -31,28 +31,28 @@
   return [...counts].map(([kind, count]) => `${kind}:${count}`).join(",");
 };
 
-const describe = (seed: number, result: SoakResult, ms: number): string =>
+const formatResult = (seed: number, result: SoakResult, ms: number): string =>
   [
     `seed=${seed}`,
     `runs=${result.runs}`,
     `violations=${countKinds(result.violations)}`,
     `accepted=${result.accepted}`,
     `ended=${result.ended}`,
-    `ownEnds=${result.ownEnds}`,
+    `ownEnds=${result.unexpectedExits}`,
     `hosts=${result.hosts}`,
     `attempts=${result.maxAttempts}`,
-    `oneId=${result.sharesId}`,
+    `oneId=${result.reusesId}`,
     `seconds=${Math.round(ms / 1_000)}`,
-    `faults=${result.kinds.join(",")}`,
+    `faults=${result.faultKinds.join(",")}`,
   ].join(" ");
 
-const playOne = async (seed: number, options: Options): Promise<boolean> => {
+const runSeed = async (seed: number, options: Options): Promise<boolean> => {
   const folder = join(options.logs, `seed-${seed}`);
   const beganAt = performance.now();
-  const result = await playSoak({
+  const result = await runSoak({
     seed,
     seconds: Number(options.seconds),
-    programs: new Programs(options.programs),
+    programs: new BundledPrograms(options.programs),
     folder,
     only: options.only,
   });
@@ -61,7 +61,7 @@
       `${new Date(performance.timeOrigin + at).toISOString()} ${kind}: ${detail}`,
   );
   writeFileSync(join(folder, "violations.log"), lines.join("\n"));
-  console.log(describe(seed, result, performance.now() - beganAt));
+  console.log(formatResult(seed, result, performance.now() - beganAt));
   return result.violations.length === 0;
 };
 
@@ -75,7 +75,7 @@
   .action(async (options: Options) => {
     let clean = true;
     for (let at = 0; at < Number(options.runs); at += 1) {
-      clean = (await playOne(Number(options.seed) + at, options)) && clean;
+      clean = (await runSeed(Number(options.seed) + at, options)) && clean;
     }
     process.exitCode = clean ? 0 : 1;
   });
--- a/soak/src/playSoak.ts
+++ b/soak/src/runSoak.ts
@@ -5,13 +5,13 @@
 import { setTimeout as delay } from "node:timers/promises";
 import { pickIndex } from "@rackspan/common";
 import type { JobViolation } from "@rackspan/checker";
-import { FaultPlayer } from "./FaultPlayer.js";
+import { FaultInjector } from "./FaultInjector.js";
 import { drawFaults, type FaultKind } from "./faults.js";
 import { JobClient } from "./JobClient.js";
 import { JobStream, type StreamedJob } from "./JobStream.js";
-import { judgeEnds } from "./judgeEnds.js";
-import { mixedRandom } from "./mixedRandom.js";
-import type { Programs } from "./Programs.js";
+import { checkOutcomes } from "./checkOutcomes.js";
+import { derivedRandom } from "./derivedRandom.js";
+import type { BundledPrograms } from "./BundledPrograms.js";
 import { RunRecorder } from "./RunRecorder.js";
 import { SoakSite } from "./SoakSite.js";
 
@@ -40,7 +40,7 @@
   readonly seed: number;
   /** How long jobs and faults come. */
   readonly seconds: number;
-  readonly programs: Programs;
+  readonly programs: BundledPrograms;
   /** For settings, logs and a record of all runs; made where it is missing. */
   readonly folder: string;
   /** Series to play; drawn by the seed when undefined. */
@@ -48,31 +48,31 @@
   /** Whether jobs come that crash their workers; drawn by the seed when undefined. */
   readonly crashingJobs?: boolean;
   /** Whether workers start again under their ids; drawn by the seed when undefined. */
-  readonly oneId?: boolean;
+  readonly reusesIds?: boolean;
 }
 
 /** What a seed decides besides jobs and faults. */
-interface Mix {
+interface SoakParameters {
   readonly hosts: number;
   readonly maxAttempts: number;
   readonly failingShare: number;
   readonly crashingShare: number;
-  readonly sharesId: boolean;
+  readonly reusesId: boolean;
 }
 
-export interface SoakResult extends Mix {
+export interface SoakResult extends SoakParameters {
   readonly runs: number;
   readonly violations: readonly JobViolation[];
   readonly accepted: number;
   readonly ended: number;
   /** Processes that ended by themselves. */
-  readonly ownEnds: number;
-  readonly kinds: readonly FaultKind[];
+  readonly unexpectedExits: number;
+  readonly faultKinds: readonly FaultKind[];
 }
 
-export const playSoak = async (options: SoakOptions): Promise<SoakResult> => {
+export const runSoak = async (options: SoakOptions): Promise<SoakResult> => {
   const { seed, seconds, folder, only } = options;
-  const mix = drawMix(options);
+  const mix = drawParameters(options);
   const recorder = new RunRecorder();
   const { entries } = SOAK;
   const site = new SoakSite({ ...options, ...mix, entries, recorder });
@@ -81,48 +81,60 @@
     await site.start();
     clients.push(...buildClients(seed, site));
     const [client] = clients as [JobClient];
-    await untilServing(client);
+    await waitUntilServing(client);
     const faults = drawFaults(seed, seconds, only);
-    const player = new FaultPlayer(site, noteTo(join(folder, "faults.log")));
-    const jobs = await streamJobs(options, mix, clients, player.play(faults));
+    const player = new FaultInjector(
+      site,
+      appendLinesTo(join(folder, "faults.log")),
+    );
+    const jobs = await submitJobs(
+      options,
+      mix,
+      clients,
+      player.injectAll(faults),
+    );
     const { history, seen } = recorder;
-    const ended = await judgeEnds({ jobs, client, history, ...mix });
+    const ended = await checkOutcomes({ jobs, client, history, ...mix });
     return {
       ...mix,
       runs: seen.length,
       violations: history.violations,
       accepted: jobs.filter(({ isAccepted }) => isAccepted).length,
       ended,
-      ownEnds: site.ownEnds,
-      kinds: [...new Set(faults.map(({ kind }) => kind))],
+      unexpectedExits: site.unexpectedExits,
+      faultKinds: [...new Set(faults.map(({ kind }) => kind))],
     };
   } finally {
     for (const client of clients) client.close();
     await site.stop();
-    writeFileSync(join(folder, "runs.log"), recorder.lines().join("\n"));
+    writeFileSync(join(folder, "runs.log"), recorder.toLogLines().join("\n"));
   }
 };
 
-const drawMix = ({ seed, crashingJobs, oneId }: SoakOptions): Mix => {
-  const random = mixedRandom(seed, "site");
+const drawParameters = ({
+  seed,
+  crashingJobs,
+  reusesIds: oneId,
+}: SoakOptions): SoakParameters => {
+  const random = derivedRandom(seed, "site");
   const hasCrashes =
-    crashingJobs ?? mixedRandom(seed, "crashes").next() < SOAK.withCrashing;
+    crashingJobs ?? derivedRandom(seed, "crashes").next() < SOAK.withCrashing;
   return {
     hosts: SOAK.hosts.least + pickIndex(random, SOAK.hosts.more),
     maxAttempts: 1 + pickIndex(random, SOAK.mostAttempts),
     failingShare: SOAK.mostFailing * random.next(),
     crashingShare: hasCrashes ? SOAK.crashing : 0,
-    sharesId: oneId ?? mixedRandom(seed, "lives").next() < SOAK.withOneId,
+    reusesId: oneId ?? derivedRandom(seed, "lives").next() < SOAK.withOneId,
   };
 };
 
 const buildClients = (seed: number, site: SoakSite): JobClient[] =>
   Array.from({ length: SOAK.clients }, (_, at) => {
-    const random = mixedRandom(seed, `client-${at}`);
+    const random = derivedRandom(seed, `client-${at}`);
     return new JobClient({ random, entries: site.callerAddresses });
   });
 
-const untilServing = async (client: JobClient): Promise<void> => {
+const waitUntilServing = async (client: JobClient): Promise<void> => {
   const giveUpAt = performance.now() + SOAK.startMs;
   let answers = 0;
   while (answers < SOAK.entries * 2) {
@@ -134,9 +146,9 @@
 };
 
 /** Hands in jobs beside the faults, until both are over. */
-const streamJobs = async (
+const submitJobs = async (
   { seed, seconds }: SoakOptions,
-  { failingShare, crashingShare }: Mix,
+  { failingShare, crashingShare }: SoakParameters,
   clients: readonly JobClient[],
   faulting: Promise<void>,
 ): Promise<readonly StreamedJob[]> => {
@@ -148,11 +160,11 @@
   });
   const streaming = stream.run();
   await delay(seconds * 1_000);
-  await Promise.all([stream.end(), streaming, faulting]);
+  await Promise.all([stream.stop(), streaming, faulting]);
   return stream.jobs;
 };
 
-const noteTo =
+const appendLinesTo =
   (file: string) =>
   (line: string): void =>
     appendFileSync(file, `${new Date().toISOString()} ${line}\n`);
--- a/soak/src/settings.ts
+++ b/soak/src/settings.ts
@@ -9,7 +9,7 @@
   graceSeconds: 3,
 } as const;
 
-export interface EntryPlace {
+export interface EntryLocation {
   readonly name: string;
   readonly ip: string;
   readonly callersPort: number;
@@ -17,7 +17,7 @@
   readonly store: string;
 }
 
-export const entrySettings = (at: EntryPlace): object => ({
+export const entrySettings = (at: EntryLocation): object => ({
   entry: at.name,
   availabilityZone: "z",
   platform: { client: "hosted", store: at.store },
@@ -28,7 +28,7 @@
   graceSeconds: BOUNDS.graceSeconds,
 });
 
-export interface SidePlace {
+export interface SideLocation {
   readonly host: string;
   readonly zone: string;
   readonly store: string;
@@ -42,7 +42,10 @@
  * @param knowsLeases whether the program's settings have the bounds of leases;
  * earlier programs refuse a field that they do not know
  */
-export const sideSettings = (at: SidePlace, knowsLeases: boolean): object => ({
+export const sideSettings = (
+  at: SideLocation,
+  knowsLeases: boolean,
+): object => ({
   host: at.host,
   availabilityZone: at.zone,
   platform: { client: "hosted", store: at.store },
--- a/soak/tests/soak.test.ts
+++ b/soak/tests/soak.test.ts
@@ -27,13 +27,18 @@
 };
 
 test("no rule is broken while workers get new lives and answers come late", async () => {
-  const { violations, accepted, ended, ownEnds } = await playSoak({
+  const {
+    violations,
+    accepted,
+    ended,
+    unexpectedExits: ownEnds,
+  } = await playSoak({
     seed: 16,
     seconds: SECONDS,
     programs: bundle(),
     folder: join(folder, "logs"),
     only: ["newLives", "lateAnswers"],
-    oneId: false,
+    reusesIds: false,
   });
   expect(violations.map(({ kind, detail }) => `${kind}: ${detail}`)).toEqual(
     [],
@@ -45,7 +50,12 @@
 
 // Workers crash by their tasks alone here, so no other job may be given up.
 test("tasks that crash their workers are given up, and no others, while leaders are killed", async () => {
-  const { violations, accepted, ended, ownEnds } = await playSoak({
+  const {
+    violations,
+    accepted,
+    ended,
+    unexpectedExits: ownEnds,
+  } = await playSoak({
     seed: 23,
     seconds: SECONDS,
     programs: new Programs(join(folder, "target")),
@@ -63,14 +73,19 @@
 
 // The first ends of a next life must not be forgotten unread.
 test("no rule is broken while workers start again at once under their ids", async () => {
-  const { violations, accepted, ended, ownEnds } = await playSoak({
+  const {
+    violations,
+    accepted,
+    ended,
+    unexpectedExits: ownEnds,
+  } = await playSoak({
     seed: 3,
     seconds: SECONDS,
     programs: bundle(),
     folder: join(folder, "reborn"),
     only: ["newLives", "livesAtOnce", "lateCalls", "killedSides"],
     crashingJobs: false,
-    oneId: true,
+    reusesIds: true,
   });
   expect(violations.map(({ kind, detail }) => `${kind}: ${detail}`)).toEqual(
     [],
