--- a/packages/harness/src/Caller.ts
+++ b/packages/harness/src/Caller.ts
@@ -1,4 +1,4 @@
-/** A caller of services: plain HTTP requests, and watches. */
+/** A caller of services that sends plain HTTP requests and opens watches. */
 
 import { Agent, request, type IncomingMessage } from "node:http";
 import { readBody } from "@rackspan/protocol";
@@ -7,7 +7,7 @@
   readonly method?: string;
   readonly headers?: Readonly<Record<string, string>>;
   readonly body?: string | Buffer;
-  /** Given up on after this, milliseconds. */
+  /** Timeout until the head of the answer arrives, milliseconds. */
   readonly timeoutMs?: number;
 }
 
@@ -24,7 +24,7 @@
 export class Caller {
   private readonly agent = new Agent({ keepAlive: true });
 
-  /** @throws when the connection breaks before the whole answer is here */
+  /** @throws Error when the connection breaks before the answer is complete */
   async call(url: string, options: CallOptions = {}): Promise<CallAnswer> {
     const res = await this.open(url, options);
     const body = await readBody(res, MAX_ANSWER_BYTES);
@@ -37,7 +37,7 @@
     };
   }
 
-  /** The head of an answer whose body goes on. */
+  /** @returns the answer once its head has arrived; the body may still be incomplete */
   open(url: string, options: CallOptions = {}): Promise<IncomingMessage> {
     const {
       method = "GET",
@@ -55,7 +55,7 @@
         },
       );
       const timer = setTimeout(
-        () => req.destroy(new Error("the caller gave up")),
+        () => req.destroy(new Error("no answer within the caller's timeout")),
         timeoutMs,
       );
       req.on("error", (err) => {
--- a/packages/harness/src/EventStreamClient.ts
+++ b/packages/harness/src/EventStreamClient.ts
@@ -1,8 +1,8 @@
-/** A caller's watch, followed as the HTML standard's EventSource does. */
+/** Follows a watch as a caller: reconnects as the HTML standard's EventSource does. */
 
 import type { IncomingMessage } from "node:http";
 
-/** Connects, from after the given event where there is one. */
+/** Opens a connection that resumes after the given event, if there is one. */
 export type OpenEventStream = (
   lastEventId: number | undefined,
 ) => Promise<IncomingMessage>;
@@ -12,21 +12,21 @@
 
 export class EventStreamClient {
   readonly ids: number[] = [];
-  /** Endpoints that sent events, in the order of their first one. */
+  /** Endpoints that sent events, in the order of their first event. */
   readonly endpoints = new Set<string>();
-  /** Times the connection ended and was opened again. */
+  /** How often the connection ended and was reopened. */
   reconnects = 0;
   private closed = false;
   private res: IncomingMessage | undefined;
 
   constructor(private readonly openWatch: OpenEventStream) {}
 
-  /** Opens the watch; from then on it is opened again whenever it ends. */
+  /** Opens the watch, and reopens it whenever its connection ends. */
   async start(): Promise<void> {
     await this.connect();
   }
 
-  /** Whether the numbers go up by one from the first event on. */
+  /** Whether the event ids are consecutive. */
   get isGapless(): boolean {
     return this.ids.every(
       (id, index) => id === (this.ids[0] as number) + index,
--- a/packages/harness/src/OperatorSession.ts
+++ b/packages/harness/src/OperatorSession.ts
@@ -1,4 +1,4 @@
-/** The operators' command line, run in this process against a site. */
+/** Runs commands of the operators' command line in this process against a site. */
 
 import { EXIT_CODE, runRackspan, type ExitCode } from "@rackspan/cli";
 
@@ -26,11 +26,11 @@
     return { code, out: out.join("\n"), err: err.join("\n") };
   }
 
-  /** @throws when the command does not succeed */
+  /** @throws Error when the command does not succeed */
   async runOrThrow(...args: string[]): Promise<string> {
     const { code, out, err } = await this.run(...args);
     if (code !== EXIT_CODE.OK)
-      throw new Error(`rackspan ${args.join(" ")}: ${code}: ${err}`);
+      throw new Error(`rackspan ${args.join(" ")}: exit code ${code}: ${err}`);
     return out;
   }
 }
--- a/packages/harness/src/Site.ts
+++ b/packages/harness/src/Site.ts
@@ -1,6 +1,6 @@
 /**
- * A whole site in this process: the real entry and side processes' code over
- * loopback, on a stand-in platform. For the demo, benchmarks and tests.
+ * A whole site in this process: the real code of the entry and side processes over
+ * loopback, on a stand-in platform. Used by the demo, benchmarks and tests.
  */
 
 import {
@@ -21,12 +21,12 @@
 export interface SiteOptions {
   readonly description: SiteDescription;
   readonly logger?: Logger;
-  /** Settings that differ from the defaults, by group. */
+  /** Settings that override the defaults, by group. */
   readonly entrySettings?: Overrides;
   readonly sideSettings?: Overrides;
 }
 
-/** Short enough that tests and the demo see planned stops end. */
+/** Short enough for planned stops to complete within tests and the demo. */
 const SHORT_DRAIN = { noticeMs: 300, limitMs: 3_000 };
 const ANY_PORT = { address: "127.0.0.1", port: 0 };
 const DEVELOPMENT = { mode: "development" };
@@ -42,7 +42,7 @@
     this.logger = options.logger ?? silentLogger;
   }
 
-  /** Starts everything, and waits until all of it is ready. */
+  /** Starts all processes and waits until they are ready. */
   async start(): Promise<void> {
     await this.platform.start();
     for (const place of this.options.description.workers)
@@ -58,7 +58,7 @@
     );
   }
 
-  /** Where callers come in, one URL for each entry. */
+  /** URLs of the entries for callers. */
   get urls(): readonly string[] {
     return [...this.entries.values()].map(({ url }) => url);
   }
@@ -129,7 +129,7 @@
     return entry;
   }
 
-  /** A planned stop. */
+  /** Shuts the entry down as in a planned stop. */
   async stopEntry(name: string): Promise<void> {
     const entry = this.entry(name);
     this.entries.delete(hostId(name));
@@ -143,7 +143,7 @@
     await entry.kill();
   }
 
-  /** A planned stop of the side process alone; its worker goes on. */
+  /** Shuts the side process down as in a planned stop; its worker keeps running. */
   async stopSide(name: string): Promise<void> {
     const side = this.side(name);
     this.sides.delete(hostId(name));
@@ -181,6 +181,6 @@
 }
 
 const requireFound = <T>(value: T | undefined, name: string): T => {
-  if (value === undefined) throw new Error(`this site has no ${name}`);
+  if (value === undefined) throw new Error(`unknown process or host: ${name}`);
   return value;
 };
--- a/packages/harness/src/StandinPlatform.ts
+++ b/packages/harness/src/StandinPlatform.ts
@@ -1,4 +1,4 @@
-/** The whole platform of a site, played by stand-ins in this process. */
+/** The platform of a site: stand-ins of the log, the host list and the workers in this process. */
 
 import { brand, type HostGeneration, type HostId } from "@rackspan/common";
 import type { HostRecord } from "@rackspan/ports";
@@ -31,7 +31,7 @@
     for (const place of this.site.workers) await this.startWorker(place);
   }
 
-  /** A fresh worker in the place of one that is gone. */
+  /** Starts a worker on the host, replacing an earlier one that has ended. */
   async startWorker(place: WorkerDescription): Promise<WorkerStandin> {
     const { accelerators, host, workerPort } = place;
     const worker = new WorkerStandin({
@@ -46,7 +46,7 @@
     return worker;
   }
 
-  /** Shows an endpoint host on the host list. */
+  /** Adds an endpoint host to the host list. */
   listWorker(
     place: WorkerDescription,
     address: string,
--- a/packages/harness/src/knownRed.ts
+++ b/packages/harness/src/knownRed.ts
@@ -1,18 +1,18 @@
-/** Tests that are known to fail, as KNOWN-RED.txt at the root lists them. */
+/** Parses KNOWN-RED.txt, the list of tests that are known to fail, and compares it with test outcomes. */
 
 export interface KnownRed {
-  /** Name of the test, as the test file gives it. */
+  /** Title of the test in its file. */
   readonly test: string;
   readonly cause: string;
   readonly issue: string;
-  /** How it is run, and with which seed. */
+  /** Command that runs the test, with its seed. */
   readonly command: string;
 }
 
-/** More than this is not a list of exceptions any more. */
+/** Maximum number of listed tests: the list is for exceptions only. */
 export const MAX_KNOWN_RED = 3;
 
-/** @throws Error when a line has another form, or there are too many of them */
+/** @throws Error when a line is malformed or there are too many lines */
 export const parseKnownRed = (text: string): KnownRed[] => {
   const lines = text.split("\n").map((line) => line.trim());
   const listed = lines
@@ -20,7 +20,7 @@
     .map(parseLine);
   if (listed.length > MAX_KNOWN_RED) {
     throw new Error(
-      `KNOWN-RED.txt lists ${listed.length} tests, ${MAX_KNOWN_RED} at most may be; mend some`,
+      `KNOWN-RED.txt lists ${listed.length} tests; at most ${MAX_KNOWN_RED} are allowed, fix some of them`,
     );
   }
   return listed;
@@ -48,11 +48,11 @@
   readonly unexpected: readonly string[];
   /** Listed tests that failed, as expected. */
   readonly knownRed: readonly KnownRed[];
-  /** Listed tests that did not fail: they passed, or were not run. */
+  /** Listed tests that did not fail: they passed or were not run. */
   readonly notFailed: readonly KnownRed[];
 }
 
-/** Compares what failed with what is known to fail. */
+/** Compares the failed tests with the listed ones. */
 export const compareOutcomes = (
   outcomes: readonly TestOutcome[],
   listed: readonly KnownRed[],
--- a/packages/harness/src/runTestFiles.ts
+++ b/packages/harness/src/runTestFiles.ts
@@ -1,4 +1,4 @@
-/** Runs test files side by side, each in a process of its own. */
+/** Runs test files concurrently, each in its own process. */
 
 import { run } from "node:test";
 import { tap } from "node:test/reporters";
@@ -6,13 +6,13 @@
 
 export interface TestFilesRun {
   readonly files: readonly string[];
-  /** A file that takes longer fails under its own name and is ended, milliseconds. */
+  /** Timeout for one file, milliseconds; a file that exceeds it is ended and fails under its own name. */
   readonly fileTimeoutMs: number;
-  /** Takes the results as they come, in the form of TAP. */
+  /** Receives the results in TAP format as they arrive. */
   readonly write: (text: string) => void;
 }
 
-/** @returns how each test ended, and each file that did not end by itself */
+/** @returns the outcome of each test, and a failure for each file that did not end by itself */
 export const runTestFiles = async ({
   files,
   fileTimeoutMs,
--- a/packages/harness/src/siteFile.ts
+++ b/packages/harness/src/siteFile.ts
@@ -1,4 +1,4 @@
-/** The description of a stand-in platform: `site.jsonc` of an example. */
+/** Schema and loader of `site.jsonc`, which describes the stand-in platform of an example. */
 
 import { z } from "zod";
 import {
@@ -53,7 +53,7 @@
 const ZONES = ["zone-a", "zone-b", "zone-c"] as const;
 const HOSTS_PER_RACK = 3;
 
-/** A site of any size, for tests and benchmarks. */
+/** Describes a site of the given size, for tests and benchmarks. */
 export const describeSite = (options: SmallSiteOptions): SiteDescription => {
   const place = (kind: string, index: number) => {
     const zone = ZONES[index % ZONES.length] as string;
--- a/packages/harness/src/waitUntil.ts
+++ b/packages/harness/src/waitUntil.ts
@@ -1,9 +1,9 @@
-/** Waits for something to come about, by looking again and again. */
+/** Waits for a condition by polling it. */
 
 const POLL_MS = 10;
 const DEFAULT_TIMEOUT_MS = 15_000;
 
-/** @throws when it has not come about in time */
+/** @throws Error when the condition does not hold in time */
 export const waitUntil = async (
   what: string,
   holds: () => boolean | Promise<boolean>,
@@ -12,7 +12,7 @@
   const end = performance.now() + timeoutMs;
   while (!(await holds())) {
     if (performance.now() > end)
-      throw new Error(`not within ${timeoutMs} ms: ${what}`);
+      throw new Error(`condition not met within ${timeoutMs} ms: ${what}`);
     await new Promise((resolve) => setTimeout(resolve, POLL_MS));
   }
 };
--- a/packages/harness/tests/failures.test.ts
+++ b/packages/harness/tests/failures.test.ts
@@ -70,14 +70,14 @@
   await site.operator.runOrThrow("submit", writeDeclarations(jobs));
 };
 
-/** Every step done at least once, and the whole job succeeded exactly once. */
+/** Checks that every step was executed at least once and that the job succeeded exactly once. */
 const expectWhole = (site: Site, id: string, steps = 40): void => {
   expect(site.platform.tasks.successCounts().get(id)).toEqual(1);
   expect(site.platform.tasks.stepCountsOf(id).size).toEqual(steps);
   expect(site.platform.tasks.overlaps).toEqual(0);
 };
 
-test("a side process that dies gives its tasks to the next one, which runs none of them again", async () => {
+test("a restarted side process adopts the running tasks without running them again", async () => {
   const site = await startSite(1, 1);
   await submit(site, job("a"));
   await waitUntil("it runs", () => isRunning(site, "job/a"));
@@ -88,7 +88,7 @@
   expect(site.platform.tasks.entries.length).toEqual(1);
 });
 
-test("a host that is replaced frees its job only after the longest lease, and it resumes elsewhere", async () => {
+test("the job of a replaced host is freed only after the longest lease and resumes elsewhere", async () => {
   const site = await startSite(2, 2);
   await submit(site, job("a", { steps: 100 }));
   await waitUntil(
@@ -106,13 +106,13 @@
   expectWhole(site, "job/a", 100);
 });
 
-test("not hearing from a host frees nothing", async () => {
+test("an unreachable host keeps its claims until it is fenced", async () => {
   const site = await startSite(2, 1);
   await submit(site, job("a", { steps: 150 }));
   await waitUntil("it runs", () => isRunning(site, "job/a"));
   const host = String(unitAt(site, "job/a")?.claim?.host);
   await site.killSide(host);
-  // Its lease lapses; the host list still shows the host.
+  // The task's lease expires while the host list still contains the host.
   await waitUntil("its lease has lapsed", () => !isRunning(site, "job/a"));
   await new Promise((resolve) => setTimeout(resolve, 1_500));
   expect([
@@ -128,10 +128,10 @@
   expectWhole(site, "job/a", 150);
 });
 
-test("an entry that dies between claim and start leaves a claim that is freed as never started", async () => {
+test("a claim whose entry dies before the start is freed as never started", async () => {
   const site = await startSite(1, 2);
   const [dying] = [...site.entries.values()];
-  // The claim is read back, and then the entry never says start.
+  // The entry reads its claim back and then never sends the start.
   const peer = dying?.sides.all()[0];
   if (peer) peer.start = () => new Promise(() => undefined);
   const jobs = Array.from({ length: 8 }, (_, i) =>
@@ -152,7 +152,7 @@
   }
 });
 
-test("answers lost at appends and at the worker start no job twice", async () => {
+test("lost answers to appends and worker calls start no job twice", async () => {
   const site = await startSite(2, 2);
   site.platform.log.server.faults.loseAnswers = 6;
   for (const worker of site.platform.workers.values())
@@ -165,7 +165,7 @@
   }
 });
 
-test("running work goes on through a log outage, and its end is recorded afterwards", async () => {
+test("running work continues during a log outage, and its end is recorded afterwards", async () => {
   const site = await startSite(1, 1);
   await submit(site, job("a", { steps: 20 }));
   await waitUntil("it runs", () => isRunning(site, "job/a"));
@@ -184,7 +184,7 @@
   expectWhole(site, "job/a", 20);
 });
 
-test("a drained host gives its jobs up with their checkpoints, and takes no new ones", async () => {
+test("a drained host returns its jobs with their checkpoints and takes no new ones", async () => {
   const site = await startSite(2, 1);
   await submit(site, job("a", { steps: 100 }));
   await waitUntil(
@@ -200,7 +200,7 @@
   expect(site.platform.tasks.entries.length).toEqual(2);
 });
 
-test("a throttled job goes on more slowly, and what does not run cannot be throttled", async () => {
+test("a throttled job runs more slowly, and a job that does not run cannot be throttled", async () => {
   const site = await startSite(1, 1);
   await submit(site, job("a", { steps: 100_000 }));
   await waitUntil(
@@ -210,7 +210,7 @@
   await site.operator.runOrThrow("throttle", "job/a", "--share", "0.01");
   const before = site.platform.tasks.stepCountsOf("job/a").size;
   await new Promise((resolve) => setTimeout(resolve, 500));
-  // Unlimited it would do some 25 steps in that time, limited none or one.
+  // In that time the job executes about 25 steps without the limit, and 0 or 1 with it.
   const steps = site.platform.tasks.stepCountsOf("job/a").size - before;
   const runs = site.platform.tasks.entries.length;
   expect({ runs, isSlow: steps <= 2 }).toEqual({ runs: 1, isSlow: true });
@@ -223,7 +223,7 @@
   expect(code).toEqual(3);
 });
 
-test("a request can be followed by its id through the logs of entry and side", async () => {
+test("a request can be traced by its id through the logs of entry and side", async () => {
   const lines: string[] = [];
   const logger = createLogger({
     level: "debug",
@@ -242,7 +242,7 @@
   ).toEqual(["entry", "side"]);
 });
 
-test("a cancelled job is stopped, and a host is never committed past what it has", async () => {
+test("a cancelled job is stopped, and no host is overcommitted", async () => {
   const site = await startSite(2, 2);
   const jobs = Array.from({ length: 20 }, (_, i) =>
     job(`j${i}`, { steps: 10 }),
@@ -262,7 +262,7 @@
   expect(isRunning(site, "job/long")).toEqual(false);
 });
 
-test("after all entries were replaced the configuration and the finished jobs are the same", async () => {
+test("configuration and finished jobs survive the replacement of all entries", async () => {
   const site = await startSite(1, 2);
   await submit(site, job("a", { steps: 3 }));
   await finishes(site, "job/a", "succeeded");
@@ -280,7 +280,7 @@
   expect(unitAt(site, "job/a")?.finish).toEqual("succeeded");
 });
 
-test("a command goes to the next entry when the first is down, and says when none is up", async () => {
+test("a command tries the next entry when one is down, and reports when none is reachable", async () => {
   const site = await startSite(1, 1);
   const down = "127.0.0.1:9";
   const up = site.entry("entry-1").controlAddress;
@@ -291,7 +291,7 @@
   expect(failed.err).toEqual(expect.includes("--entry"));
 });
 
-test("of two operators who start from the same version one is accepted and one is told of the conflict", async () => {
+test("of two operators with the same base version, one is accepted and one gets a conflict", async () => {
   const site = await startSite(1, 2);
   const quota = (maxJobs: number) =>
     writeDeclarations([
@@ -338,7 +338,7 @@
   );
 };
 
-test("a planned stop of a side cuts no request, and its watches move without a gap", async () => {
+test("a planned stop of a side breaks no request, and its watches move without gaps", async () => {
   const site = await startSite(2, 1);
   await startService(site);
   const [url] = site.urls;
@@ -362,7 +362,7 @@
   watch.close();
 });
 
-test("a planned stop of an entry lets requests in progress end and refuses later ones as not run", async () => {
+test("a planned stop of an entry completes requests in progress and refuses later ones", async () => {
   const site = await startSite(2, 1);
   await startService(site);
   const [url] = site.urls;
@@ -373,7 +373,7 @@
   await expect(caller.call(`${url}/bays/1`)).toBeRejected();
 });
 
-test("requests that a dead host would have answered go to another one", async () => {
+test("requests are routed around a dead host", async () => {
   const site = await startSite(2, 1);
   await startService(site);
   await site.killSide("host-1");
--- a/packages/harness/tests/knownRed.test.ts
+++ b/packages/harness/tests/knownRed.test.ts
@@ -8,7 +8,7 @@
 
 const LINE = "a task runs once | given back twice | 19 | npm test, no seed";
 
-test("known failures are read line by line, comments and empty lines aside", () => {
+test("known failures are parsed line by line, ignoring comments and empty lines", () => {
   expect(parseKnownRed(`# test | cause\n\n${LINE}\n`)).toEqual([
     {
       test: "a task runs once",
@@ -20,7 +20,7 @@
   expect(parseKnownRed("")).toEqual([]);
 });
 
-test("a known failure without its cause, issue or command is refused", () => {
+test("a known failure without cause, issue or command is rejected", () => {
   expect(() => parseKnownRed("a task runs once | given back twice")).toThrow(
     "is not of the form",
   );
@@ -29,12 +29,12 @@
   );
 });
 
-test("a long list of known failures is refused", () => {
+test("a list with too many known failures is rejected", () => {
   const lines = Array.from({ length: MAX_KNOWN_RED + 1 }, () => LINE);
   expect(() => parseKnownRed(lines.join("\n"))).toThrow("at most");
 });
 
-test("only listed tests may fail, and only while they fail", () => {
+test("unlisted failures and listed tests that do not fail are reported", () => {
   const listed = parseKnownRed(LINE);
   const fails = { test: "a task runs once", passed: false };
   expect(compareOutcomes([fails], listed)).toEqual({
@@ -46,7 +46,7 @@
   expect(compareOutcomes([fails, other], listed).unexpected).toEqual([
     "another",
   ]);
-  const mended = { test: "a task runs once", passed: true };
-  expect(compareOutcomes([mended], listed).notFailed).toEqual(listed);
+  const passing = { test: "a task runs once", passed: true };
+  expect(compareOutcomes([passing], listed).notFailed).toEqual(listed);
   expect(compareOutcomes([], listed).notFailed).toEqual(listed);
 });
--- a/packages/harness/tests/requests.test.ts
+++ b/packages/harness/tests/requests.test.ts
@@ -66,7 +66,7 @@
 
 const url = (path: string, entry = 0): string => `${site.urls[entry]}${path}`;
 
-/** Sends bytes as they are; @returns all that came back until the entry closed. */
+/** Sends raw bytes; @returns everything received until the entry closes the connection. */
 const sendRaw = (text: string, { end = false } = {}): Promise<string> =>
   new Promise((resolve, reject) => {
     const { hostname, port } = new URL(url("/"));
@@ -85,7 +85,7 @@
   expect((await caller.call(url("/bays/healthy"))).status).toEqual(200);
 };
 
-test("an answer carries the request's id, and the endpoint saw the same one", async () => {
+test("an answer carries the same request id as the endpoint received", async () => {
   const { status, headers, body } = await caller.call(url("/bays/1"));
   expect(status).toEqual(200);
   expect(JSON.parse(body).request).toEqual(headers["rackspan-request-id"]);
@@ -93,7 +93,7 @@
   expect(run?.attempt).toEqual("1");
 });
 
-test("bodies, chunks and trailers come through whole, both ways", async () => {
+test("bodies, chunks and trailers are forwarded completely in both directions", async () => {
   const body = Buffer.alloc(150_000, "ab");
   const echoed = await caller.call(url("/bays/echo?echo"), {
     method: "POST",
@@ -109,13 +109,13 @@
   );
 });
 
-test("an answer that breaks off is never passed off as whole", async () => {
+test("a truncated answer is never presented as complete", async () => {
   const broken = caller.call(url("/bays/1?bytes=50000&break=10000"));
   await expect(broken).toBeRejected();
   await entryIsHealthy();
 });
 
-test("endpoints cannot speak for rackspan, nor callers for an entry", async () => {
+test("outcome headers from endpoints and attempt headers from callers are dropped", async () => {
   const { headers } = await caller.call(url("/bays/1?status=503"), {
     headers: { "rackspan-outcome": "not-run", "rackspan-attempt": "7" },
   });
@@ -132,7 +132,7 @@
 ])[] = [
   ["an unknown path", "/nothing", {}, 404, "unknown-service"],
   [
-    "a timeout that is no number",
+    "a timeout that is not a number",
     "/bays/1",
     { headers: { "rackspan-timeout-ms": "soon" } },
     400,
@@ -177,14 +177,14 @@
 }
 
 const RAW_FAULTS: readonly (readonly [string, string, string])[] = [
-  ["bytes that are no HTTP", "\x16\x03\x01 hello\r\n\r\n", " 400 "],
+  ["bytes that are not HTTP", "\x16\x03\x01 hello\r\n\r\n", " 400 "],
   [
-    "two lengths",
+    "two content lengths",
     "POST /bays HTTP/1.1\r\nhost: x\r\ncontent-length: 3\r\ncontent-length: 4\r\n\r\nabc",
     " 400 ",
   ],
   [
-    "a length and chunks",
+    "a content length with chunked encoding",
     "POST /bays HTTP/1.1\r\nhost: x\r\ncontent-length: 3\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n",
     " 400 ",
   ],
@@ -193,21 +193,21 @@
     `GET /bays HTTP/1.1\r\nhost: x\r\nbig: ${"x".repeat(9_000)}\r\n\r\n`,
     " 431 ",
   ],
-  ["a head that never ends", "GET /bays HTTP/1.1\r\nhost: x\r\n", " 408 "],
+  ["an incomplete head", "GET /bays HTTP/1.1\r\nhost: x\r\n", " 408 "],
   [
-    "a body that never ends",
+    "an incomplete body",
     "POST /bays HTTP/1.1\r\nhost: x\r\nrackspan-timeout-ms: 200\r\ncontent-length: 10\r\n\r\nabc",
     " 408 ",
   ],
   [
-    "chunks over the limit",
+    "a chunked body over the limit",
     `POST /settle HTTP/1.1\r\nhost: x\r\nidempotency-key: raw-1\r\ntransfer-encoding: chunked\r\n\r\n7d0\r\n${"x".repeat(2_000)}\r\n0\r\n\r\n`,
     " 413 ",
   ],
 ];
 
 for (const [what, text, status] of RAW_FAULTS) {
-  test(`${what} gets a clear refusal, and the entry stays healthy`, async () => {
+  test(`${what} is refused as not run, and the entry stays healthy`, async () => {
     const answer = await sendRaw(text);
     expect(answer.split("\r\n")[0]).toEqual(expect.includes(status));
     expect(answer.toLowerCase()).toEqual(
@@ -217,7 +217,7 @@
   });
 }
 
-test("a caller that closes its half in the middle of a body is no request", async () => {
+test("a request whose caller half-closes during the body is not run", async () => {
   const runs = site.platform.requests.runs.length;
   await sendRaw(
     "POST /settle HTTP/1.1\r\nhost: x\r\nidempotency-key: half\r\ncontent-length: 10\r\n\r\nabc",
@@ -227,7 +227,7 @@
   await entryIsHealthy();
 });
 
-test("a late answer is unknown for what may have run, at its deadline", async () => {
+test("a request that may have run gets the outcome unknown at its deadline", async () => {
   const answer = await caller.call(url("/settle/1?delayMs=3000"), {
     method: "POST",
     headers: { "rackspan-timeout-ms": "150" },
@@ -236,7 +236,7 @@
   expect(answer.headers["rackspan-outcome"]).toEqual("unknown");
 });
 
-test("a key runs once; a repeat at any entry gets the recorded answer", async () => {
+test("a keyed request runs once; a repeat at any entry gets the recorded answer", async () => {
   const send = (entry: number, body = "42") =>
     caller.call(url("/settle/2", entry), {
       method: "POST",
@@ -262,7 +262,7 @@
   expect(site.platform.requests.runCountOfKey("k-2")).toEqual(1);
 });
 
-test("of one key at two entries at once, one runs and the other is told that it is not known", async () => {
+test("of concurrent requests with one key at two entries, one runs and the other gets 409", async () => {
   const send = (entry: number) =>
     caller.call(url("/settle/3?delayMs=100", entry), {
       method: "POST",
@@ -275,7 +275,7 @@
   expect(site.platform.requests.runCountOfKey("k-3")).toEqual(1);
 });
 
-test("while the log is down quick requests go on, and keyed ones are refused as not run", async () => {
+test("while the log is down, unkeyed requests are served and keyed ones refused as not run", async () => {
   site.platform.log.server.faults.mode = "down";
   try {
     expect((await caller.call(url("/bays/1"))).status).toEqual(200);
@@ -292,7 +292,7 @@
   }
 });
 
-test("a body that the endpoint does not read stops its caller, and fills no memory", async () => {
+test("an endpoint that does not read the body applies backpressure to the caller", async () => {
   const chunk = Buffer.alloc(256 * 1024);
   const total = 60 * 1024 * 1024;
   const { hostname, port } = new URL(url("/"));
@@ -315,13 +315,13 @@
     before = passed;
     await new Promise((resolve) => setTimeout(resolve, 1_000));
   }
-  // What went through stands in the buffers of three connections.
+  // The bytes that passed are in the buffers of three connections.
   expect(passed < total).toEqual(true);
   socket.destroy();
   await entryIsHealthy();
 });
 
-test("upgraded connections pass bytes both ways", async () => {
+test("upgraded connections forward bytes in both directions", async () => {
   const { hostname, port } = new URL(url("/"));
   const received = await new Promise<string>((resolve, reject) => {
     const socket = connect(Number(port), hostname);
--- a/packages/harness/tests/runOneFile.ts
+++ b/packages/harness/tests/runOneFile.ts
@@ -1,4 +1,4 @@
-/** A process that runs the test file of its first argument, and prints the outcomes. */
+/** Program that runs the test file of its first argument and prints the outcomes. */
 
 import { runTestFiles } from "@rackspan/harness";
 
--- a/packages/harness/tests/runTestFiles.test.ts
+++ b/packages/harness/tests/runTestFiles.test.ts
@@ -1,4 +1,4 @@
-/** Files of tests that do not end by themselves. */
+/** Guards against test runs that hang because a test file leaves a handle open. */
 
 import { execFile } from "node:child_process";
 import { mkdtempSync, rmSync, writeFileSync } from "node:fs";
@@ -14,12 +14,12 @@
 import { test } from "node:test";
 test("leaves a listener open", () => void createServer().listen(0));
 `;
-/** Time for a process to start and to run the one test. */
+/** Time for a process to start and to run one test. */
 const FILE_TIMEOUT_MS = 15_000;
 
 const RUN_ONE_FILE = fileURLToPath(new URL("runOneFile.js", import.meta.url));
 
-/** In a process of its own: a test process runs no others. */
+/** Runs the file from a separate process: node:test does not run files from within a test process. */
 const outcomesOf = async (file: string): Promise<unknown> => {
   const args = [RUN_ONE_FILE, file, String(FILE_TIMEOUT_MS)];
   const env = { ...process.env, NODE_TEST_CONTEXT: undefined };
@@ -27,7 +27,7 @@
   return JSON.parse(stdout);
 };
 
-test("a file whose process does not end fails and does not hold the whole run up", async () => {
+test("a file whose process does not exit fails without blocking the run", async () => {
   const folder = mkdtempSync(join(tmpdir(), "rackspan-"));
   const file = join(folder, "hung.test.mjs");
   writeFileSync(file, HUNG_FILE);
--- a/packages/harness/tests/writeDeclarations.ts
+++ b/packages/harness/tests/writeDeclarations.ts
@@ -1,4 +1,4 @@
-/** Writes declarations to a file of their own, for the command line to read. */
+/** Writes declarations to a temporary file for the command line. */
 
 import { mkdtempSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
--- a/packages/standins/src/EndpointStandin.ts
+++ b/packages/standins/src/EndpointStandin.ts
@@ -1,4 +1,4 @@
-/** Stand-in endpoint: an HTTP server whose behaviour the path and query choose. */
+/** Stand-in of an endpoint: an HTTP server whose behaviour is set by the query of each request. */
 
 import {
   createServer,
@@ -15,7 +15,7 @@
 export interface EndpointOptions {
   readonly name: string;
   readonly requests: RequestLedger;
-  /** Time that an answer takes unless the query says otherwise, milliseconds. */
+  /** Default delay of an answer, milliseconds; the query parameter `delayMs` overrides it. */
   readonly latencyMs?: number;
 }
 
@@ -26,7 +26,7 @@
  */
 export class EndpointStandin {
   readonly server: Server;
-  /** Answers nothing and takes no connection when switched on. */
+  /** Whether requests get no answer. */
   paused = false;
   private readonly sockets = new Set<Socket>();
 
@@ -54,7 +54,7 @@
     return `127.0.0.1:${(this.server.address() as AddressInfo).port}`;
   }
 
-  /** Cuts everything at once, as the end of the task does. */
+  /** Closes the server and all connections at once, as the end of the task does. */
   kill(): void {
     this.server.close();
     for (const socket of this.sockets) socket.destroy();
@@ -95,7 +95,7 @@
     });
   }
 
-  /** Numbered events; goes on after `Last-Event-ID`. */
+  /** Sends numbered events; resumes after `Last-Event-ID`. */
   private watch(req: IncomingMessage, res: ServerResponse): void {
     let next = Number(req.headers["last-event-id"] ?? -1) + 1;
     res.writeHead(200, { "content-type": "text/event-stream" });
@@ -106,7 +106,7 @@
     res.on("close", () => clearInterval(timer));
   }
 
-  /** Upgraded connections get every byte back. */
+  /** Echoes every byte on an upgraded connection. */
   private upgrade(req: IncomingMessage, socket: Socket): void {
     const protocol = req.headers.upgrade ?? "";
     socket.on("error", () => undefined);
--- a/packages/standins/src/FaultSwitches.ts
+++ b/packages/standins/src/FaultSwitches.ts
@@ -1,15 +1,15 @@
-/** Faults that a test or an operator of the stand-ins can switch on. */
+/** Faults that tests or operators of the stand-ins can switch on. */
 
 import type { IncomingMessage, ServerResponse } from "node:http";
 
 export type FaultName = "none" | "down" | "paused" | "answerLost" | "reset";
 
 export class FaultSwitches {
-  /** `down` answers 503, `paused` answers nothing, `reset` cuts the connection. */
+  /** `down` answers 503, `paused` never answers, `reset` closes the connection, `answerLost` closes it after the call took effect. */
   mode: FaultName = "none";
-  /** Added to each answer, milliseconds. */
+  /** Delay added to each answer, milliseconds. */
   slowMs = 0;
-  /** How many further calls take effect and then lose their answer. */
+  /** Number of further calls that take effect and whose answers are lost. */
   loseAnswers = 0;
 
   reset(): void {
--- a/packages/standins/src/HostListStandin.ts
+++ b/packages/standins/src/HostListStandin.ts
@@ -1,4 +1,4 @@
-/** Stand-in of the host list: what it shows lags behind what is set. */
+/** Stand-in of the host list: changes become visible after a configurable lag. */
 
 import type { HostId } from "@rackspan/common";
 import type { HostRecord } from "@rackspan/ports";
@@ -8,7 +8,7 @@
   readonly server = new JsonServer(() => ({
     body: { hosts: [...this.shown.values()] },
   }));
-  /** Milliseconds after which a change is shown. */
+  /** Time until a change becomes visible, milliseconds. */
   lagMs = 0;
   private readonly shown = new Map<HostId, HostRecord>();
 
--- a/packages/standins/src/JsonServer.ts
+++ b/packages/standins/src/JsonServer.ts
@@ -1,4 +1,4 @@
-/** A small HTTP server that answers JSON calls, with fault switches. */
+/** A small HTTP server for JSON calls, with fault switches. */
 
 import {
   createServer,
@@ -29,7 +29,7 @@
 
 export class JsonServer {
   readonly faults = new FaultSwitches();
-  /** Calls that arrived, whatever became of them. */
+  /** Number of calls received, including those that a fault affected. */
   calls = 0;
   private readonly server: Server;
 
@@ -38,7 +38,7 @@
     this.server.keepAliveTimeout = 60_000;
   }
 
-  /** @returns the base URL; port 0 takes any free port */
+  /** @returns the base URL; port 0 selects any free port */
   async listen(port = 0, address = "127.0.0.1"): Promise<string> {
     await new Promise<void>((resolve, reject) => {
       this.server.once("error", reject);
--- a/packages/standins/src/LogStandin.ts
+++ b/packages/standins/src/LogStandin.ts
@@ -1,4 +1,4 @@
-/** Stand-in of the log service: append-only streams in memory, bounded retention. */
+/** Stand-in of the log service: append-only in-memory streams that can be truncated. */
 
 import { ChangeSignal, SystemClock } from "@rackspan/common";
 import { z } from "zod";
@@ -16,13 +16,13 @@
 
 export class LogStandin {
   readonly server = new JsonServer((request) => this.handle(request));
-  /** Appends that took effect. */
+  /** Number of appends that took effect. */
   appends = 0;
   appendedBytes = 0;
   private readonly streams = new Map<string, Stream>();
   private readonly clock = new SystemClock();
 
-  /** Drops entries of the stream below the offset, as retention does. */
+  /** Removes entries of the stream below the offset, as retention does. */
   truncateBefore(name: string, oldest: number): void {
     const stream = this.stream(name);
     const dropped = Math.min(
@@ -33,13 +33,13 @@
     stream.oldest += dropped;
   }
 
-  /** The offset that the next entry of the stream will get. */
+  /** The offset of the next entry that is appended to the stream. */
   endOffset(name: string): number {
     const stream = this.stream(name);
     return stream.oldest + stream.entries.length;
   }
 
-  /** Raw entries of a stream that are still kept. */
+  /** Raw entries of a stream that have not been removed. */
   entries(name: string): readonly Buffer[] {
     return this.stream(name).entries.map((data) => Buffer.from(data, "base64"));
   }
@@ -59,7 +59,7 @@
     body,
   }: JsonRequest): Promise<JsonAnswer> | JsonAnswer {
     const name = STREAM_PATH.exec(url.pathname)?.[1];
-    if (!name) return { status: 404, body: { error: "no such path" } };
+    if (!name) return { status: 404, body: { error: "unknown path" } };
     const stream = this.stream(decodeURIComponent(name));
     if (method === "POST")
       return this.append(stream, appendSchema.parse(body).data);
--- a/packages/standins/src/MemoryStore.ts
+++ b/packages/standins/src/MemoryStore.ts
@@ -1,7 +1,7 @@
 /**
- * The platform's store in memory, by its port: keyed topics, stamps of
- * producers, and one group whose only partition has one owner. Faults are
- * switched by tests; time is the clock's.
+ * In-memory implementation of the platform's store: keyed topics, producer stamps,
+ * and one group whose only partition has one owner. Tests switch faults on;
+ * all times are taken from the given clock.
  */
 
 import type { Clock, Epoch, Monotonic } from "@rackspan/common";
@@ -23,13 +23,13 @@
 
 interface ProducerState {
   epoch: number;
-  /** Number of the last append, of whatever epoch; 0 before the first. */
+  /** Number of the last append in any epoch; 0 before the first one. */
   sequence: number;
-  /** The end that each of the last appends was answered with, by its number. */
+  /** The end offset returned for each of the last appends, by number of the append. */
   readonly answers: Map<number, number>;
 }
 
-/** Appends of a producer that may be repeated. */
+/** Number of last appends of a producer that may be repeated without effect. */
 const MAX_REMEMBERED_APPENDS = 5;
 
 interface Topic {
@@ -43,17 +43,17 @@
   expiresAt: Monotonic;
 }
 
-/** What becomes of the calls while a fault is on. */
+/** How calls fail while a fault is switched on. */
 export type StoreFault = "none" | "refuses" | "loses-answers" | "silent";
 
 const NO_ANSWER_AFTER_MS = 500;
 
 export class MemoryStore implements StoreClient {
   fault: StoreFault = "none";
-  /** Whether members' times wait, as they may while the store is away. */
+  /** Whether members do not expire, as may happen while the store is unavailable. */
   timesWait = false;
   appends = 0;
-  /** Most records in one answer to a read. */
+  /** Maximum number of records returned by one read. */
   maxReadRecords = Infinity;
   private readonly topics = new Map<TopicName, Topic>();
   private members: GroupMember[] = [];
@@ -140,7 +140,7 @@
     return this.ownerName;
   }
 
-  /** Takes the partition from its owner, who is not told. */
+  /** Takes the partition from its owner without notifying it. */
   revoke(): void {
     if (this.ownerName !== undefined) this.removeMember(this.ownerName);
   }
@@ -150,7 +150,7 @@
   }
 
   close(): void {
-    // Nothing is open.
+    // There are no resources to close.
   }
 
   private removeMember(member: string): void {
@@ -183,7 +183,8 @@
       case "none":
         return;
       case "refuses":
-        if (when === "before") throw new StoreRefusedError("switched off");
+        if (when === "before")
+          throw new StoreRefusedError("the store refuses all calls");
         return;
       case "loses-answers":
         if (when === "before") return;
@@ -202,8 +203,9 @@
 }
 
 /**
- * Only an append with a higher epoch may begin at any number. An empty one sets
- * the epoch, so that the next must follow the last of the epoch before it.
+ * Appends records and checks the producer's stamp. The first append of a higher epoch may
+ * have any sequence number, except after an empty append that set the epoch: the next
+ * append must then follow the last one of the previous epoch.
  */
 const appendTo = (
   topic: Topic,
@@ -212,7 +214,8 @@
   const { producer, epoch, sequence } = stamp;
   const mark = topic.producers.get(producer) ?? newProducerState(epoch);
   topic.producers.set(producer, mark);
-  if (epoch < mark.epoch) throw new FencedError("a higher epoch was seen");
+  if (epoch < mark.epoch)
+    throw new FencedError("the topic has an append with a higher epoch");
   const continues = mark.epoch === epoch && mark.sequence > 0;
   mark.epoch = epoch;
   if (records.length === 0) return topic.records.length;
--- a/packages/standins/src/RequestLedger.ts
+++ b/packages/standins/src/RequestLedger.ts
@@ -1,4 +1,4 @@
-/** Which requests really ran at the stand-in endpoints, and how often. */
+/** Records which requests the stand-in endpoints executed, and how often. */
 
 export interface RequestRun {
   readonly request: string;
--- a/packages/standins/src/TaskLedger.ts
+++ b/packages/standins/src/TaskLedger.ts
@@ -1,4 +1,4 @@
-/** What really ran where, as the stand-in workers saw it; the demo and tests check it. */
+/** Records which tasks the stand-in workers ran, for checks in the demo and in tests. */
 
 export interface TaskRun {
   readonly unit: string;
@@ -11,7 +11,7 @@
 
 export class TaskLedger {
   readonly entries: TaskRun[] = [];
-  /** Times a unit was started while another task of it ran. */
+  /** How often a unit was started while another task of it was running. */
   overlaps = 0;
   private readonly running = new Map<string, number>();
   private readonly steps = new Map<string, Map<number, number>>();
@@ -31,19 +31,19 @@
     this.running.set(entry.unit, (this.running.get(entry.unit) ?? 1) - 1);
   }
 
-  /** One step of a batch job was done. */
-  step(unit: string, step: number): void {
+  /** Records that a batch job has executed one step. */
+  recordStep(unit: string, step: number): void {
     const steps = this.steps.get(unit) ?? new Map<number, number>();
     steps.set(step, (steps.get(step) ?? 0) + 1);
     this.steps.set(unit, steps);
   }
 
-  /** How often each step of a unit was done. */
+  /** How often each step of a unit was executed. */
   stepCountsOf(unit: string): ReadonlyMap<number, number> {
     return this.steps.get(unit) ?? new Map();
   }
 
-  /** Units whose tasks succeeded, and how often. */
+  /** Number of succeeded tasks by unit. */
   successCounts(): ReadonlyMap<string, number> {
     const counts = new Map<string, number>();
     for (const { unit, end } of this.entries) {
--- a/packages/standins/src/WorkerStandin.ts
+++ b/packages/standins/src/WorkerStandin.ts
@@ -70,25 +70,25 @@
 
 export class WorkerStandin {
   readonly server = new JsonServer((request) => this.handle(request));
-  /** Makes each start fail at once, as a broken host does. */
+  /** Whether every started task fails at once, as on a broken host. */
   failsEveryStart = false;
-  /** Highest sum of resources that ran at once, to hold against the capacity. */
+  /** Peak of the resources of all running tasks, to compare with the capacity. */
   peak: Resources = { processors: 0, memoryMiB: 0, accelerators: 0 };
   private owner: Incarnation | undefined;
   private readonly taskRuns = new Map<TaskId, WorkerTaskRun>();
-  /** Names that were stopped before they were started: a late start is refused. */
+  /** Tasks that were stopped before they were started: a late start is refused. */
   private readonly stoppedBeforeStart = new Set<TaskId>();
 
   constructor(private readonly options: WorkerOptions) {}
 
-  /** Names of tasks that run now. */
+  /** Tasks that are running. */
   get running(): readonly TaskId[] {
     return [...this.taskRuns.values()]
       .filter(({ status }) => status.state === "running")
       .map(({ status }) => status.task);
   }
 
-  /** Ends everything at once, as the loss of the host does. */
+  /** Ends all tasks and closes the server at once, as the loss of the host does. */
   async kill(): Promise<void> {
     for (const task of this.taskRuns.values()) this.end(task, "lapsed");
     this.taskRuns.clear();
@@ -126,7 +126,7 @@
       case "/usage":
         return { samples: this.usage() };
       default:
-        throw new RefusedError(`no such call: ${path}`);
+        throw new RefusedError(`unknown path: ${path}`);
     }
   }
 
@@ -138,7 +138,7 @@
 
   private checkOwner({ owner }: { readonly owner: Incarnation }): void {
     if (owner !== this.owner)
-      throw new RefusedError("another side process has taken over");
+      throw new RefusedError("another side process owns this worker");
   }
 
   private async start(order: z.infer<typeof startSchema>): Promise<WorkerTask> {
@@ -146,9 +146,9 @@
     const known = this.taskRuns.get(order.task);
     if (known) return known.status;
     if (this.stoppedBeforeStart.has(order.task))
-      throw new RefusedError("it was stopped before");
+      throw new RefusedError("the task was stopped before it was started");
     const run = PROGRAMS[order.program.name];
-    if (!run) throw new RefusedError(`no program named ${order.program.name}`);
+    if (!run) throw new RefusedError(`unknown program: ${order.program.name}`);
     const unit = order.notes["unit"] ?? order.task;
     const ledger = this.options.tasks.recordStart(
       unit,
@@ -183,7 +183,7 @@
     this.taskRuns.set(order.task, task);
     this.updatePeak();
     if (this.failsEveryStart)
-      this.end(task, "failed", "this worker fails everything");
+      this.end(task, "failed", "this worker is set to fail every task");
     return task.status;
   }
 
@@ -227,7 +227,7 @@
     this.checkOwner({ owner });
     const task = this.taskRuns.get(name);
     if (task && task.status.state === "running")
-      throw new RefusedError("it still runs");
+      throw new RefusedError("the task is still running");
     this.taskRuns.delete(name);
     return {};
   }
@@ -249,7 +249,7 @@
     const bounded = Math.min(leaseMs, this.options.longestLeaseMs);
     return setTimeout(() => {
       const task = this.taskRuns.get(name);
-      if (task) this.end(task, "lapsed", "its lease ran out");
+      if (task) this.end(task, "lapsed", "its lease expired");
     }, bounded).unref();
   }
 
--- a/packages/standins/src/batchProgram.ts
+++ b/packages/standins/src/batchProgram.ts
@@ -1,5 +1,5 @@
 /**
- * A batch job that does numbered steps and can go on from a checkpoint.
+ * A batch job that executes numbered steps and can resume from a checkpoint.
  * Arguments: `steps`, `stepMs`, `failAt` (step at which it always fails),
  * `failOnce` (step at which the first run fails).
  */
@@ -26,11 +26,11 @@
       step === failAt ||
       (step === failOnce && !tasks.stepCountsOf(unit).has(step));
     if (failsNow || step >= steps) {
-      if (step === failOnce) tasks.step(unit, step);
+      if (step === failOnce) tasks.recordStep(unit, step);
       onEnd(failsNow ? "failed" : "succeeded", `step ${step}`);
       return;
     }
-    tasks.step(unit, step);
+    tasks.recordStep(unit, step);
     step += 1;
     timer = setTimeout(doStep, stepMs / share);
   };
--- a/packages/standins/src/begunProgress.ts
+++ b/packages/standins/src/begunProgress.ts
@@ -1,4 +1,4 @@
-/** Progress of a job that has begun, and of which nothing else is known. */
+/** Progress record of a job that has started and has no other progress. */
 
 import type { ProgressRecord } from "@rackspan/state";
 
--- a/packages/standins/src/endpointProgram.ts
+++ b/packages/standins/src/endpointProgram.ts
@@ -1,4 +1,4 @@
-/** A replica of a service: a stand-in endpoint. Argument: `latencyMs`. */
+/** Runs a stand-in endpoint as a replica of a service. Argument: `latencyMs`. */
 
 import { EndpointStandin } from "./EndpointStandin.js";
 import { numberArg, type Program } from "./programTypes.js";
--- a/packages/standins/src/plainJob.ts
+++ b/packages/standins/src/plainJob.ts
@@ -1,4 +1,4 @@
-/** An accepted job of plain steps; tests name only what matters to them. */
+/** Builds an accepted job with default steps; tests override only the relevant fields. */
 
 import { brand, type ServiceName } from "@rackspan/common";
 import type {
--- a/packages/standins/src/programTypes.ts
+++ b/packages/standins/src/programTypes.ts
@@ -1,4 +1,4 @@
-/** What a stand-in program is given, and what the worker can ask of it. */
+/** Interface between the stand-in worker and the programs that it runs. */
 
 import type { RequestLedger } from "./RequestLedger.js";
 import type { TaskLedger } from "./TaskLedger.js";
@@ -10,18 +10,18 @@
   readonly checkpoint: string | undefined;
   readonly tasks: TaskLedger;
   readonly requests: RequestLedger;
-  /** Called once when the program ends by itself. */
+  /** Called once when the program ends without being killed. */
   readonly onEnd: (end: "succeeded" | "failed", detail?: string) => void;
 }
 
 export interface RunningProgram {
-  /** Where it answers requests, if it does. */
+  /** Address at which the program serves requests, if it does. */
   readonly address?: string;
-  /** Stops it at once; no further effect may follow. */
+  /** Stops the program at once; it must have no effect afterwards. */
   kill(): void;
-  /** Limits it to a share of its speed, where it has one. */
+  /** Limits the program to a share of its full speed, if it has a speed. */
   throttle?(share: number): void;
-  /** Progress that a later task can go on from. */
+  /** Progress from which a later task can resume. */
   checkpoint(): string | undefined;
 }
 
--- a/packages/standins/src/programs.ts
+++ b/packages/standins/src/programs.ts
@@ -1,4 +1,4 @@
-/** The programs that the stand-in worker knows how to run. */
+/** The programs that the stand-in worker can run, by name. */
 
 import type { Program } from "./programTypes.js";
 import { batchProgram } from "./batchProgram.js";
--- a/packages/standins/src/standingProgram.ts
+++ b/packages/standins/src/standingProgram.ts
@@ -1,4 +1,4 @@
-/** A standing worker: stays up until killed. Argument: `failAfterMs` makes it fail once. */
+/** A standing worker: runs until killed. With the argument `failAfterMs` it fails once, after that time. */
 
 import { numberArg, type Program } from "./programTypes.js";
 
@@ -17,7 +17,10 @@
   const failAfterMs = numberArg(args, "failAfterMs", 0);
   const fails = failAfterMs > 0 && !hasFailedBefore(tasks.entries, unit);
   const timer = fails
-    ? setTimeout(() => onEnd("failed", "as its arguments ask"), failAfterMs)
+    ? setTimeout(
+        () => onEnd("failed", "as configured by failAfterMs"),
+        failAfterMs,
+      )
     : undefined;
   return {
     kill: () => clearTimeout(timer),
--- a/scripts/src/runTests.ts
+++ b/scripts/src/runTests.ts
@@ -25,7 +25,7 @@
 const printVerdict = ({
   unexpected,
   knownRed,
-  notFailed: listedInVain,
+  notFailed,
 }: OutcomeComparison): void => {
   for (const { test, cause, issue, command } of knownRed) {
     console.log(
@@ -33,7 +33,7 @@
     );
   }
   for (const test of unexpected) console.log(`FAILED: ${test}`);
-  for (const { test } of listedInVain) {
+  for (const { test } of notFailed) {
     console.log(
       `LISTED IN VAIN: ${test} did not fail; take it off ${KNOWN_RED_FILE}`,
     );
--- a/soak/src/BundledPrograms.ts
+++ b/soak/src/BundledPrograms.ts
@@ -1,4 +1,4 @@
-/** The two bundled programs of one tree. */
+/** The bundled entry and side programs of one source tree. */
 
 import { spawnSync } from "node:child_process";
 import { existsSync } from "node:fs";
@@ -15,7 +15,7 @@
   readonly entry: string;
   readonly side: string;
 
-  /** @throws ProgramsMissingError when the folder lacks one of them */
+  /** @throws ProgramsMissingError when one of the programs is not in the folder */
   constructor(folder: string) {
     this.entry = join(folder, "rackspan.mjs");
     this.side = join(folder, "rackspan-side.mjs");
@@ -24,7 +24,7 @@
     }
   }
 
-  /** Whether the side finds no fault in the settings. */
+  /** Whether the side program accepts the settings file. */
   sideAccepts(file: string): boolean {
     const args = [this.side, "check", "--config", file];
     return spawnSync(process.execPath, args).status === 0;
--- a/soak/src/DelayedPipe.ts
+++ b/soak/src/DelayedPipe.ts
@@ -1,17 +1,17 @@
-/** One direction of a proxied connection: passes chunks on in order, some of them late. */
+/** One direction of a proxied connection: forwards chunks in order, some with a delay. */
 
 import type { Socket } from "node:net";
 
 export interface DelayedPipeOptions {
-  /** Milliseconds for which the next chunk is held; 0 passes it on at once. */
+  /** Returns the delay of the next chunk in milliseconds; 0 forwards it at once. */
   readonly drawHoldMs: () => number;
   readonly send: (chunk: Buffer) => void;
-  /** All that came has been passed on, and nothing more will come. */
+  /** Called once the source has closed and every received chunk has been forwarded. */
   readonly onDrained: () => void;
 }
 
 export class DelayedPipe {
-  /** Chunks are dropped while this is set, as behind a cut. */
+  /** Whether received chunks are dropped, as on a partitioned network. */
   isDiscarding = false;
   private heldChunks = 0;
   private lastDueAt = 0;
--- a/soak/src/FaultInjector.ts
+++ b/soak/src/FaultInjector.ts
@@ -1,4 +1,4 @@
-/** Injects drawn faults into a site, and ends them. */
+/** Injects drawn faults into a site and ends them after their duration. */
 
 import { setTimeout as delay } from "node:timers/promises";
 import { pickIndex, type Random } from "@rackspan/common";
@@ -9,11 +9,11 @@
 import { ZONES, type SoakSite } from "./SoakSite.js";
 import type { SoakWorker } from "./SoakWorker.js";
 
-/** Longer than the side waits for one answer, shorter than some orders' leases. */
+/** Longer than the side's timeout for one answer, shorter than the leases of some orders. */
 const HOLDS = { share: 0.15, leastMs: 300, mostMs: 3_000 } as const;
 const SHORT_HOLDS = { share: 0.15, leastMs: 5, mostMs: 900 } as const;
 
-/** Of the workers: those that may be lost for good, so that the others do all work. */
+/** Share of the workers that may be lost permanently; the others then do all work. */
 const PERMANENT_LOSS_SHARE = 1 / 3;
 
 export class FaultInjector {
@@ -24,38 +24,34 @@
     private readonly log: (line: string) => void,
   ) {}
 
-  /** Resolves when the last fault has ended. */
+  /** Injects the faults at their times; resolves when the last one has ended. */
   async injectAll(faults: readonly Fault[]): Promise<void> {
     const beganAt = performance.now();
     for (const fault of faults) {
       await delay(Math.max(0, beganAt + fault.at - performance.now()));
       this.log(`${fault.kind} forMs=${Math.round(fault.durationMs)}`);
-      const played = this.inject(fault);
-      this.activeFaults.add(played);
-      void played.finally(() => this.activeFaults.delete(played));
+      const injected = this.inject(fault);
+      this.activeFaults.add(injected);
+      void injected.finally(() => this.activeFaults.delete(injected));
     }
     await Promise.all(this.activeFaults);
   }
 
-  private async inject({
-    kind,
-    durationMs: forMs,
-    draw,
-  }: Fault): Promise<void> {
+  private async inject({ kind, durationMs, draw }: Fault): Promise<void> {
     const random = derivedRandom(draw, kind);
     const { site } = this;
     switch (kind) {
       case "newLives":
-        return this.replaceWorkers(random, forMs);
+        return this.replaceWorkers(random, durationMs);
       case "lateCalls":
-        return this.holdChunks(random, forMs, "callHolds");
+        return this.holdChunks(random, durationMs, "callHolds");
       case "lateAnswers":
-        return this.holdChunks(random, forMs, "answerHolds");
+        return this.holdChunks(random, durationMs, "answerHolds");
       case "frozenLeader":
-        return suspendFor(await site.leader(), forMs);
+        return suspendFor(await site.leader(), durationMs);
       case "frozenSides":
-        await forEachConcurrently(sample(site.sides, 0.3, random), (one) =>
-          suspendFor(one, forMs),
+        await forAll(sample(site.sides, 0.3, random), (side) =>
+          suspendFor(side, durationMs),
         );
         return;
       case "brokenConnections":
@@ -63,102 +59,100 @@
           proxy.resetAll();
         return;
       case "halfOpen":
-        return this.halfOpen(random, forMs);
+        return this.halfOpen(random, durationMs);
       case "killedEntry":
-        return restart(one(site.entries, random), "SIGKILL", forMs);
+        return restart(pickOne(site.entries, random), "SIGKILL", durationMs);
       case "stoppedEntry":
-        return restart(one(site.entries, random), "SIGTERM", forMs);
+        return restart(pickOne(site.entries, random), "SIGTERM", durationMs);
       case "killedSides": {
         const signal = random.next() < 0.5 ? "SIGKILL" : "SIGTERM";
-        const struck = sample(site.sides, 0.25, random);
-        await forEachConcurrently(struck, (side) =>
-          restart(side, signal, forMs),
-        );
+        const targets = sample(site.sides, 0.25, random);
+        await forAll(targets, (side) => restart(side, signal, durationMs));
         return;
       }
       case "evacuatedZone":
-        return this.evacuate(random, forMs);
+        return this.evacuate(random, durationMs);
       case "livesAtOnce":
-        return this.restartWorkersAtOnce(random, forMs);
+        return this.restartWorkersAtOnce(random, durationMs);
       case "lostLeader":
-        return this.forceLeaderChange(random, forMs);
+        return this.forceLeaderChange(random, durationMs);
       case "silentWorkers":
-        return this.silenceWorkers(random, forMs);
+        return this.silenceWorkers(random, durationMs);
     }
   }
 
-  /** All of a zone's hosts, now and then those of every zone. */
-  private async evacuate(random: Random, forMs: number): Promise<void> {
+  /** Evacuates one zone, or all zones with a probability of 0.2. */
+  private async evacuate(random: Random, durationMs: number): Promise<void> {
     const isAll = random.next() < 0.2;
-    const only = one(ZONES, random);
+    const only = pickOne(ZONES, random);
     const zones = ZONES.filter((zone) => isAll || zone === only);
-    await forEachConcurrently(zones, async (zone) => {
+    await forAll(zones, async (zone) => {
       await this.site.evacuate(zone);
-      await delay(forMs);
+      await delay(durationMs);
       await this.site.reopen(zone);
     });
   }
 
-  /** Workers fall silent together; their next lives stand at the same addresses. */
-  private async replaceWorkers(random: Random, forMs: number): Promise<void> {
-    const how = random.next() < 0.6 ? "silent" : "reset";
-    await forEachConcurrently(
-      sample(this.site.workers, 0.5, random),
-      async (worker) => {
-        await worker.endIncarnation(how);
-        await delay(forMs * (0.5 + random.next()));
-        await worker.startIncarnation();
-        // What the former life left open is found broken by then.
-        worker.proxy.resetAll();
-      },
-    );
+  /** Ends several workers together; their next incarnations have the same addresses. */
+  private async replaceWorkers(
+    random: Random,
+    durationMs: number,
+  ): Promise<void> {
+    const noTargetBehavior = random.next() < 0.6 ? "silent" : "reset";
+    await forAll(sample(this.site.workers, 0.5, random), async (worker) => {
+      await worker.endIncarnation(noTargetBehavior);
+      await delay(durationMs * (0.5 + random.next()));
+      await worker.startIncarnation();
+      // Resets the connections that the previous incarnation left open.
+      worker.proxy.resetAll();
+    });
   }
 
-  /** Workers crash and are back at once; half of them do so once more soon after. */
+  /** Ends workers and restarts them at once; half of them once more soon after. */
   private async restartWorkersAtOnce(
     random: Random,
-    forMs: number,
+    durationMs: number,
   ): Promise<void> {
-    await forEachConcurrently(
-      sample(this.site.workers, 0.4, random),
-      async (worker) => {
-        const isTwice = random.next() < 0.5;
-        await worker.endIncarnation("reset");
-        await worker.startIncarnation();
-        if (!isTwice) return;
-        await delay(forMs);
-        await worker.endIncarnation("reset");
-        await worker.startIncarnation();
-      },
-    );
+    await forAll(sample(this.site.workers, 0.4, random), async (worker) => {
+      const isTwice = random.next() < 0.5;
+      await worker.endIncarnation("reset");
+      await worker.startIncarnation();
+      if (!isTwice) return;
+      await delay(durationMs);
+      await worker.endIncarnation("reset");
+      await worker.startIncarnation();
+    });
   }
 
-  /** The leader is killed or stands still until another one leads. */
+  /** Kills or suspends the leader for longer than its lease, so that another entry takes over. */
   private async forceLeaderChange(
     random: Random,
-    forMs: number,
+    durationMs: number,
   ): Promise<void> {
     const isKilled = random.next() < 0.5;
     const leader = await this.site.leader();
-    if (isKilled) await restart(leader, "SIGKILL", forMs);
-    else await suspendFor(leader, forMs);
+    if (isKilled) await restart(leader, "SIGKILL", durationMs);
+    else await suspendFor(leader, durationMs);
   }
 
-  /** Workers are cut off or lost for a while, some of the first ones for good. */
-  private async silenceWorkers(random: Random, forMs: number): Promise<void> {
+  /** Disconnects or ends workers for a while; some of the first ones are lost permanently. */
+  private async silenceWorkers(
+    random: Random,
+    durationMs: number,
+  ): Promise<void> {
     const { workers } = this.site;
     const mayStayAway = workers.slice(0, workers.length * PERMANENT_LOSS_SHARE);
-    await forEachConcurrently(sample(workers, 0.2, random), async (worker) => {
+    await forAll(sample(workers, 0.2, random), async (worker) => {
       const draw = random.next();
       if (draw < 0.5) {
         worker.disconnect();
-        await delay(forMs);
+        await delay(durationMs);
         worker.reconnect();
         return;
       }
       await worker.endIncarnation("silent");
       if (draw > 0.8 && mayStayAway.includes(worker)) return;
-      await delay(forMs);
+      await delay(durationMs);
       await worker.startIncarnation();
       worker.proxy.resetAll();
     });
@@ -166,27 +160,24 @@
 
   private async holdChunks(
     random: Random,
-    forMs: number,
+    durationMs: number,
     which: "callHolds" | "answerHolds",
   ): Promise<void> {
     const holds = random.next() < 0.5 ? HOLDS : SHORT_HOLDS;
-    await forEachConcurrently(
-      sample(this.site.workers, 0.5, random),
-      async ({ proxy }) => {
-        proxy[which] = holds;
-        await delay(forMs);
-        proxy[which] = NO_HOLDS;
-      },
-    );
+    await forAll(sample(this.site.workers, 0.5, random), async ({ proxy }) => {
+      proxy[which] = holds;
+      await delay(durationMs);
+      proxy[which] = NO_HOLDS;
+    });
   }
 
-  private async halfOpen(random: Random, forMs: number): Promise<void> {
-    const struck: SoakWorker[] = sample(this.site.workers, 0.4, random);
-    const isMute = random.next() < 0.5;
-    await forEachConcurrently(struck, async ({ proxy }) => {
-      if (isMute) proxy.stopForwardingAll();
+  private async halfOpen(random: Random, durationMs: number): Promise<void> {
+    const targets: SoakWorker[] = sample(this.site.workers, 0.4, random);
+    const isSilent = random.next() < 0.5;
+    await forAll(targets, async ({ proxy }) => {
+      if (isSilent) proxy.stopForwardingAll();
       else proxy.halfCloseAll();
-      await delay(forMs);
+      await delay(durationMs);
     });
   }
 }
@@ -194,10 +185,10 @@
 const sample = <T>(all: readonly T[], share: number, random: Random): T[] =>
   all.filter(() => random.next() < share);
 
-const one = <T>(all: readonly T[], random: Random): T | undefined =>
+const pickOne = <T>(all: readonly T[], random: Random): T | undefined =>
   all[pickIndex(random, all.length)];
 
-const forEachConcurrently = async <T>(
+const forAll = async <T>(
   all: readonly T[],
   act: (item: T) => Promise<void>,
 ): Promise<void> => {
@@ -205,20 +196,20 @@
 };
 
 const suspendFor = async (
-  struck: ManagedProcess | undefined,
-  forMs: number,
+  process: ManagedProcess | undefined,
+  durationMs: number,
 ): Promise<void> => {
-  struck?.suspend();
-  await delay(forMs);
-  struck?.resume();
+  process?.suspend();
+  await delay(durationMs);
+  process?.resume();
 };
 
 const restart = async (
-  struck: ManagedProcess | undefined,
+  process: ManagedProcess | undefined,
   signal: "SIGTERM" | "SIGKILL",
-  forMs: number,
+  durationMs: number,
 ): Promise<void> => {
-  await struck?.stop(signal);
-  await delay(forMs);
-  struck?.start();
+  await process?.stop(signal);
+  await delay(durationMs);
+  process?.start();
 };
--- a/soak/src/FaultyProxy.ts
+++ b/soak/src/FaultyProxy.ts
@@ -1,6 +1,6 @@
 /**
- * A TCP proxy on loopback that injects faults: late bytes, which still arrive when
- * their sender has given up, silence, resets, connections closed on one side.
+ * A TCP proxy on loopback that injects faults: delayed bytes (delivered even after
+ * their sender has timed out), silence, resets, and connections closed on one side.
  */
 
 import { connect, createServer, type Server, type Socket } from "node:net";
@@ -9,10 +9,10 @@
 import { addressOf, listenOn } from "@rackspan/protocol";
 import { DelayedPipe } from "./DelayedPipe.js";
 
-/** How long a connection stays open after one of its sides is gone, milliseconds. */
+/** How long a connection stays open after one of its ends has closed, milliseconds. */
 const LINGER_MS = 500;
 
-/** How often chunks are held, and for how long. */
+/** The share of chunks that are delayed, and the bounds of the delay. */
 export interface HoldDistribution {
   readonly share: number;
   readonly leastMs: number;
@@ -21,29 +21,29 @@
 
 export const NO_HOLDS: HoldDistribution = { share: 0, leastMs: 0, mostMs: 0 };
 
-/** What becomes of new connections while there is no target. */
+/** How new connections are handled while there is no target. */
 export type NoTargetBehavior = "silent" | "reset";
 
 interface ProxiedConnection {
-  readonly near: Socket;
-  readonly far: Socket;
+  readonly callerSocket: Socket;
+  readonly targetSocket: Socket;
   readonly pipes: readonly DelayedPipe[];
 }
 
 export class FaultyProxy {
-  /** `IP:PORT`; undefined while nothing stands there. */
+  /** Address of the worker, `IP:PORT`; undefined while no worker is reachable. */
   target: string | undefined;
   noTargetBehavior: NoTargetBehavior = "reset";
-  /** For bytes that callers send. */
+  /** Delays of bytes that callers send. */
   callHolds: HoldDistribution = NO_HOLDS;
-  /** For bytes that callers get. */
+  /** Delays of bytes that callers receive. */
   answerHolds: HoldDistribution = NO_HOLDS;
   private readonly server: Server;
   private readonly connections = new Set<ProxiedConnection>();
   private readonly unansweredSockets = new Set<Socket>();
 
   constructor(private readonly random: Random) {
-    this.server = createServer((near) => this.accept(near));
+    this.server = createServer((callerSocket) => this.accept(callerSocket));
   }
 
   /** @returns `IP:PORT` */
@@ -59,72 +59,77 @@
     await closed;
   }
 
-  /** Both ends of all open connections hear that they are broken. */
+  /** Resets all open connections at both ends. */
   resetAll(): void {
-    for (const { near, far } of this.connections) {
-      reset(near);
-      reset(far);
+    for (const { callerSocket, targetSocket } of this.connections) {
+      reset(callerSocket);
+      reset(targetSocket);
     }
-    for (const near of this.unansweredSockets) reset(near);
+    for (const callerSocket of this.unansweredSockets) reset(callerSocket);
   }
 
-  /** Open connections carry nothing more; neither end is notified. */
+  /** Discards all further bytes on open connections, which stay open at both ends. */
   stopForwardingAll(): void {
     for (const { pipes } of this.connections) {
       for (const pipe of pipes) pipe.isDiscarding = true;
     }
   }
 
-  /** The called end closes; the caller's end stays open and silent. */
+  /** Closes the target's end of all connections; the caller's end stays open and silent. */
   halfCloseAll(): void {
-    for (const { far, pipes } of this.connections) {
+    for (const { targetSocket, pipes } of this.connections) {
       for (const pipe of pipes) pipe.isDiscarding = true;
-      far.end();
+      targetSocket.end();
     }
   }
 
-  private accept(near: Socket): void {
-    near.on("error", ignore);
+  private accept(callerSocket: Socket): void {
+    callerSocket.on("error", ignore);
     const { target } = this;
     if (target !== undefined) {
-      this.connectToTarget(near, target);
+      this.connectToTarget(callerSocket, target);
       return;
     }
     if (this.noTargetBehavior === "reset") {
-      reset(near);
+      reset(callerSocket);
       return;
     }
-    this.unansweredSockets.add(near);
-    near.resume();
-    near.on("close", () => this.unansweredSockets.delete(near));
+    this.unansweredSockets.add(callerSocket);
+    callerSocket.resume();
+    callerSocket.on("close", () => this.unansweredSockets.delete(callerSocket));
   }
 
-  private connectToTarget(near: Socket, target: string): void {
+  private connectToTarget(callerSocket: Socket, target: string): void {
     const { address, port } = splitAddress(target);
-    const far = connect({ host: address, port });
-    far.on("error", ignore);
-    near.setNoDelay(true);
-    far.setNoDelay(true);
-    const calls = new DelayedPipe(near, {
+    const targetSocket = connect({ host: address, port });
+    targetSocket.on("error", ignore);
+    callerSocket.setNoDelay(true);
+    targetSocket.setNoDelay(true);
+    const callPipe = new DelayedPipe(callerSocket, {
       drawHoldMs: () => this.drawHoldMs(this.callHolds),
-      send: (chunk) => void far.write(chunk),
-      onDrained: () => endSoon(far),
+      send: (chunk) => void targetSocket.write(chunk),
+      onDrained: () => endSoon(targetSocket),
     });
-    const answers = new DelayedPipe(far, {
+    const answerPipe = new DelayedPipe(targetSocket, {
       drawHoldMs: () => this.drawHoldMs(this.answerHolds),
-      send: (chunk) => void near.write(chunk),
-      // A connection without a living other end stays open until it is reset.
+      send: (chunk) => void callerSocket.write(chunk),
+      // A caller's connection whose target has closed stays open until it is reset.
       onDrained: () => {
-        if (!answers.isDiscarding) endSoon(near);
+        if (!answerPipe.isDiscarding) endSoon(callerSocket);
       },
     });
-    const link: ProxiedConnection = { near, far, pipes: [calls, answers] };
-    this.connections.add(link);
-    const forget = (): void => {
-      if (near.destroyed && far.destroyed) this.connections.delete(link);
+    const connection: ProxiedConnection = {
+      callerSocket,
+      targetSocket,
+      pipes: [callPipe, answerPipe],
     };
-    near.on("close", forget);
-    far.on("close", forget);
+    this.connections.add(connection);
+    const removeIfClosed = (): void => {
+      if (callerSocket.destroyed && targetSocket.destroyed)
+        this.connections.delete(connection);
+    };
+    callerSocket.on("close", removeIfClosed);
+    targetSocket.on("close", removeIfClosed);
   }
 
   private drawHoldMs({ share, leastMs, mostMs }: HoldDistribution): number {
@@ -135,7 +140,7 @@
 
 const ignore = (): void => undefined;
 
-/** A socket that is already ending cannot be reset: its handle would stay for good. */
+/** Destroys a socket that is already ending or still connecting: resetting it would leak its handle. */
 const reset = (socket: Socket): void => {
   if (socket.writableEnded || socket.connecting) socket.destroy();
   else socket.resetAndDestroy();
--- a/soak/src/JobClient.ts
+++ b/soak/src/JobClient.ts
@@ -1,6 +1,6 @@
 /**
- * Callers of the site. They keep their connections open until the process is
- * gone, and repeat a call at any entry when they get no clear answer.
+ * A caller of the site. It keeps its connections open until the process at the other end
+ * has exited, and repeats a call at any entry when the outcome is ambiguous.
  */
 
 import { Agent, request, type IncomingMessage } from "node:http";
@@ -10,10 +10,10 @@
 import { QUEUE } from "./SoakSite.js";
 
 const CALL_TIMES = {
-  /** Time for one answer, milliseconds. */
+  /** Timeout of one call, milliseconds. */
   answerMs: 2_000,
   repeatPauseMs: 100,
-  /** A call is repeated for this long. */
+  /** How long a call is repeated, milliseconds. */
   repeatForMs: 25_000,
 } as const;
 
@@ -24,7 +24,7 @@
 }
 
 interface Answer {
-  /** 0 when there was none. */
+  /** HTTP status; 0 when there was no answer. */
   readonly status: number;
   readonly body: string;
 }
@@ -40,12 +40,12 @@
 
   constructor(private readonly options: JobClientOptions) {}
 
-  /** @returns whether the job was accepted; undefined when that is unclear */
+  /** @returns whether the job was accepted; undefined when that is unknown */
   async submit(id: string, body: object): Promise<boolean | undefined> {
     let mayBeAccepted = false;
     const text = JSON.stringify(body);
-    const giveUpAt = performance.now() + CALL_TIMES.repeatForMs;
-    while (performance.now() < giveUpAt) {
+    const deadline = performance.now() + CALL_TIMES.repeatForMs;
+    while (performance.now() < deadline) {
       const answer = await this.call("POST", id, text);
       if (answer.status >= 200 && answer.status < 300) return true;
       if (isAmbiguous(answer)) mayBeAccepted = true;
@@ -57,8 +57,8 @@
 
   /** @returns whether the cancel was acknowledged */
   async cancel(id: string): Promise<boolean> {
-    const giveUpAt = performance.now() + CALL_TIMES.repeatForMs;
-    while (performance.now() < giveUpAt) {
+    const deadline = performance.now() + CALL_TIMES.repeatForMs;
+    while (performance.now() < deadline) {
       const answer = await this.call("DELETE", id);
       if (!isAmbiguous(answer) && !isRejected(answer)) return true;
       await delay(CALL_TIMES.repeatPauseMs);
@@ -66,7 +66,7 @@
     return false;
   }
 
-  /** @returns its state, or the status of an answer that names none */
+  /** @returns the state of the job, or the HTTP status of any other answer than 200 */
   async stateOf(id: string): Promise<string> {
     const { status, body } = await this.call("GET", id);
     if (status !== 200) return String(status);
--- a/soak/src/JobStream.ts
+++ b/soak/src/JobStream.ts
@@ -1,4 +1,4 @@
-/** A stream of jobs, some of which always fail or are cancelled, until it is told to end. */
+/** Submits jobs, some of which always fail or are cancelled, until it is stopped. */
 
 import { setTimeout as delay } from "node:timers/promises";
 import { pickIndex, type Random } from "@rackspan/common";
@@ -6,22 +6,22 @@
 import { derivedRandom } from "./derivedRandom.js";
 
 const JOB_STREAM = {
-  /** Between two jobs, milliseconds on the mean. */
+  /** Mean interval between two jobs, milliseconds. */
   gapMs: 170,
-  /** Shares of the jobs that do not fail. */
+  /** Shares of these kinds among the jobs that do not fail. */
   cancelled: 0.2,
   lasting: 0.08,
-  /** A job is cancelled up to this long after it was accepted, milliseconds. */
+  /** Longest time between the acceptance of a job and its cancellation, milliseconds. */
   cancelWithinMs: 3_000,
   steps: { least: 2, more: 3 },
   tasks: { least: 6, more: 3 },
   runMs: { least: 60, more: 600 },
 } as const;
 
-/** Of a failing job, by step and index: they use their attempts up side by side. */
+/** Tasks of a failing job that always fail, as `STEP.INDEX`; several use up their attempts concurrently. */
 const FAILING_TASKS = ["0.0", "0.2", "0.4"];
 
-/** Of a crashing job. */
+/** Tasks of a crashing job that crash their worker, as `STEP.INDEX`. */
 const CRASHING_TASKS = ["0.0"];
 
 export type JobKind =
@@ -37,9 +37,9 @@
 export interface JobStreamOptions {
   readonly seed: number;
   readonly clients: readonly JobClient[];
-  /** Share of all jobs that have tasks which always fail. */
+  /** Share of all jobs that have tasks that always fail. */
   readonly failingShare: number;
-  /** Share of the other jobs with a task that crashes each worker that starts it. */
+  /** Share of the other jobs that have a task that crashes every worker that starts it. */
   readonly crashingShare: number;
 }
 
@@ -62,7 +62,7 @@
     }
   }
 
-  /** Takes no more jobs on; what was begun is played to its end. */
+  /** Submits no more jobs, and waits for the pending submissions and cancellations. */
   async stop(): Promise<void> {
     this.isStopped = true;
     await Promise.all(this.pending);
@@ -92,11 +92,11 @@
     };
   }
 
-  /** @returns the kind of a job that does not fail by itself */
+  /** @returns the kind of a job that is not of the kind `failing` */
   private drawKind(): JobKind {
     const { random, options } = this;
     const { crashingShare } = options;
-    // Drawn only where such jobs come, so that a seed's other draws stay as they were.
+    // Drawn only if crashing jobs are enabled, so that the other draws of existing seeds stay the same.
     if (crashingShare > 0 && random.next() < crashingShare) return "crashing";
     return kindOf(random.next());
   }
@@ -131,6 +131,6 @@
   random: Random,
 ): number => least + pickIndex(random, more);
 
-/** 16 hex digits. */
+/** @returns 16 hex digits */
 const jobIdOf = (seed: number, number: number): string =>
   seed.toString(16).padStart(8, "0") + number.toString(16).padStart(8, "0");
--- a/soak/src/ManagedProcess.ts
+++ b/soak/src/ManagedProcess.ts
@@ -1,4 +1,4 @@
-/** One program as a process of its own, started again when asked; its output goes to a file. */
+/** Runs one program as a child process that can be restarted; its output goes to a file. */
 
 import { spawn, type ChildProcess } from "node:child_process";
 import { closeSync, openSync } from "node:fs";
@@ -6,13 +6,13 @@
 
 const runningProcesses = new Set<ChildProcess>();
 
-/** Ends every process that was started here, by its id; also frozen ones. */
+/** Kills every process that was started here, including suspended ones. */
 export const killAllProcesses = (): void => {
   for (const child of runningProcesses) child.kill("SIGKILL");
 };
 
 export interface ManagedProcessOptions {
-  /** Arguments of the runtime: the program and what it is told. */
+  /** Arguments for Node.js: the program and its own arguments. */
   readonly args: readonly string[];
   readonly logFile: string;
 }
@@ -20,7 +20,7 @@
 export class ManagedProcess {
   private child: ChildProcess | undefined;
   private exited: Promise<unknown> = Promise.resolve();
-  /** Times that it ended unasked. */
+  /** How often the process exited without a call of `stop`. */
   unexpectedExits = 0;
   private isStopRequested = false;
 
--- a/soak/src/RunRecorder.ts
+++ b/soak/src/RunRecorder.ts
@@ -1,4 +1,4 @@
-/** Records what all workers run, on one steady clock. */
+/** Records the runs of all workers, with times of one monotonic clock. */
 
 import type { HostId, JobTaskId, RunNumber } from "@rackspan/common";
 import { RunHistory, type RunSeen } from "@rackspan/checker";
@@ -8,22 +8,22 @@
   readonly history = new RunHistory();
   readonly seen: RunSeen[] = [];
 
-  /** Hears one life of the worker on the host. */
+  /** Returns an observer for one incarnation of the host's worker. */
   observe(host: HostId): RunObserver {
-    const known = new Map<WorkerRun, RunSeen>();
+    const runsSeen = new Map<WorkerRun, RunSeen>();
     return {
       began: (run) => {
         const seen = this.recordStart(host, run);
-        known.set(run, seen);
+        runsSeen.set(run, seen);
       },
       ended: (run, outcome) => {
-        const seen = known.get(run);
+        const seen = runsSeen.get(run);
         if (!seen) return;
         seen.endedAt = performance.now();
         seen.outcome = outcome as RunSeen["outcome"];
       },
       noted: (run) => {
-        const seen = known.get(run);
+        const seen = runsSeen.get(run);
         if (seen) seen.noted = true;
       },
     };
@@ -44,7 +44,7 @@
     return seen;
   }
 
-  /** One line a run, with times of the wall clock as the programs' logs have them. */
+  /** One line per run, with wall-clock times as in the programs' logs. */
   toLogLines(): string[] {
     return this.seen.map(
       ({ task, run, host, beganAt, endedAt, outcome, noted }) =>
--- a/soak/src/SoakSite.ts
+++ b/soak/src/SoakSite.ts
@@ -1,4 +1,4 @@
-/** A site of real processes on stand-ins of the platform: store, entries, hosts. */
+/** A site of real entry and side processes; store and workers are stand-ins. */
 
 import { mkdirSync, writeFileSync } from "node:fs";
 import { join } from "node:path";
@@ -23,17 +23,17 @@
   service: "kaigi",
 } as const;
 
-/** Host part of the first side's address; entries are numbered from 1. */
+/** Index of the first side's loopback address; entries are numbered from 1. */
 const FIRST_SIDE_ADDRESS = 51;
 
-/** Hosts stand in them by turns. */
+/** Hosts are assigned to the zones in turn. */
 export const ZONES = ["zone-a", "zone-b"] as const;
 
 export type Zone = (typeof ZONES)[number];
 
 const zoneOf = (host: number): Zone => ZONES[host % ZONES.length] as Zone;
 
-const hostIdOf = (at: number): HostId => brand<HostId>(`host-${at + 1}`);
+const hostIdOf = (index: number): HostId => brand<HostId>(`host-${index + 1}`);
 
 const configOf = (maxAttempts: number): object => ({
   version: 1,
@@ -57,7 +57,7 @@
   readonly seed: number;
   readonly entries: number;
   readonly hosts: number;
-  /** Runs of a task that may fail before its job has failed. */
+  /** Number of failed runs of a task at which its job fails. */
   readonly maxAttempts: number;
   readonly programs: BundledPrograms;
   /** Folder for settings and logs of this run. */
@@ -74,9 +74,9 @@
   private callersPort = 0;
   private sidesPort = 0;
   private storeAddress = "";
-  /** How many records the operator has written. */
+  /** Number of records that the operator has written. */
   private operatorAppends = 0;
-  /** Evacuations that stand, by zone. */
+  /** Number of evacuations in force, by zone. */
   private readonly evacuations = new Map<Zone, number>();
   private readonly store = new MemoryStore(new SystemClock());
   private readonly storeServer = new StoreServer(this.store);
@@ -90,8 +90,8 @@
     this.callersPort = await freePort();
     this.sidesPort = await freePort();
     await this.publishConfig();
-    for (let at = 0; at < entries; at += 1) this.startEntry(at);
-    for (let at = 0; at < hosts; at += 1) await this.startHost(at);
+    for (let index = 0; index < entries; index += 1) this.startEntry(index);
+    for (let index = 0; index < hosts; index += 1) await this.startHost(index);
   }
 
   async stop(): Promise<void> {
@@ -101,32 +101,32 @@
     await this.storeServer.close();
   }
 
-  private addressOfEntry(at: number): string {
-    return processLoopbackAddress(1 + at);
+  private addressOfEntry(index: number): string {
+    return processLoopbackAddress(1 + index);
   }
 
-  /** Where callers reach the entries, `IP:PORT` each. */
+  /** Addresses of the entries for callers, `IP:PORT` each. */
   get callerAddresses(): readonly string[] {
     return this.entries.map(
-      (_entry, at) => `${this.addressOfEntry(at)}:${this.callersPort}`,
+      (_entry, index) => `${this.addressOfEntry(index)}:${this.callersPort}`,
     );
   }
 
-  /** Processes that ended unasked. */
+  /** How often processes exited without being stopped. */
   get unexpectedExits(): number {
     const all = [...this.entries, ...this.sides];
-    return all.reduce((sum, { unexpectedExits: ownEnds }) => sum + ownEnds, 0);
+    return all.reduce((sum, { unexpectedExits }) => sum + unexpectedExits, 0);
   }
 
-  /** The entry that the store names as the leader. */
+  /** The entry that owns the leadership according to the store. */
   async leader(): Promise<ManagedProcess | undefined> {
     const owner = (await this.store.owner()) ?? "";
-    return this.entries.find((_entry, at) =>
-      owner.includes(`${this.addressOfEntry(at)}:`),
+    return this.entries.find((_entry, index) =>
+      owner.includes(`${this.addressOfEntry(index)}:`),
     );
   }
 
-  /** Asks that nothing more begin on the zone's hosts; again while it is asked already. */
+  /** Requests that no run start on the zone's hosts; calls nest, each ended by `reopen`. */
   async evacuate(zone: Zone): Promise<void> {
     this.evacuations.set(zone, (this.evacuations.get(zone) ?? 0) + 1);
     await this.writeAsOperator(`evacuate/${zone}`, {});
@@ -135,7 +135,7 @@
     }
   }
 
-  /** Ends one call of `evacuate`; the zone is open again when none is left. */
+  /** Ends one call of `evacuate`; the zone accepts runs again after the last one. */
   async reopen(zone: Zone): Promise<void> {
     const left = (this.evacuations.get(zone) ?? 0) - 1;
     this.evacuations.set(zone, left);
@@ -147,8 +147,8 @@
   }
 
   private hostsOf(zone: Zone): HostId[] {
-    return this.workers.flatMap((_worker, at) =>
-      zoneOf(at) === zone ? [hostIdOf(at)] : [],
+    return this.workers.flatMap((_worker, index) =>
+      zoneOf(index) === zone ? [hostIdOf(index)] : [],
     );
   }
 
@@ -156,7 +156,7 @@
     return this.writeAsOperator("config", configOf(this.options.maxAttempts));
   }
 
-  /** @param value drops the key when undefined */
+  /** @param value new value of the key; undefined deletes it */
   private async writeAsOperator(
     key: string,
     value: object | undefined,
@@ -171,13 +171,13 @@
     });
   }
 
-  private startEntry(at: number): void {
-    const name = `entry-${at + 1}`;
+  private startEntry(index: number): void {
+    const name = `entry-${index + 1}`;
     const file = this.writeSettings(
       name,
       entrySettings({
         name,
-        ip: this.addressOfEntry(at),
+        ip: this.addressOfEntry(index),
         callersPort: this.callersPort,
         sidesPort: this.sidesPort,
         store: this.storeAddress,
@@ -187,10 +187,10 @@
     this.entries.push(this.startProcess(name, [entry, "entry"], file));
   }
 
-  private async startHost(at: number): Promise<void> {
-    const { seed, recorder, programs, reusesId: sharesId } = this.options;
-    const name = hostIdOf(at);
-    const inbox = `${processLoopbackAddress(FIRST_SIDE_ADDRESS + at)}:${await freePort()}`;
+  private async startHost(index: number): Promise<void> {
+    const { seed, recorder, programs, reusesId } = this.options;
+    const name = hostIdOf(index);
+    const inbox = `${processLoopbackAddress(FIRST_SIDE_ADDRESS + index)}:${await freePort()}`;
     const worker = new SoakWorker({
       host: name,
       service: QUEUE.service,
@@ -199,11 +199,11 @@
       recorder,
       random: derivedRandom(seed, name),
       incarnationRandom: derivedRandom(seed, `${name}-lives`),
-      reusesId: sharesId,
+      reusesId,
     });
     const place = {
       host: name,
-      zone: zoneOf(at),
+      zone: zoneOf(index),
       store: this.storeAddress,
       worker: await worker.listen(),
       inbox,
--- a/soak/src/SoakWorker.ts
+++ b/soak/src/SoakWorker.ts
@@ -1,4 +1,4 @@
-/** A worker's place on a host: one life after the other, all at the address of a proxy. */
+/** The worker of a host: successive incarnations, all behind the address of one proxy. */
 
 import { setTimeout as delay } from "node:timers/promises";
 import type { HostId, Random } from "@rackspan/common";
@@ -9,35 +9,35 @@
 export interface SoakWorkerOptions {
   readonly host: HostId;
   readonly service: string;
-  /** Where the side takes heartbeats, `IP:PORT`. */
+  /** Address at which the side receives heartbeats, `IP:PORT`. */
   readonly inbox: string;
   readonly longestLeaseMs: number;
   readonly recorder: RunRecorder;
   /** Draws the faults of the proxy. */
   readonly random: Random;
-  /** Draws the clocks of lives, and what comes late of the one before. */
+  /** Draws the clocks of incarnations and the late heartbeats of previous ones. */
   readonly incarnationRandom: Random;
-  /** Whether all lives have one id, and only the time of their birth tells them apart. */
+  /** Whether all incarnations have the same id and differ only in their start time. */
   readonly reusesId: boolean;
 }
 
-/** A worker that a task has crashed is back after this, milliseconds. */
+/** Time after which a worker that a task has crashed starts again, milliseconds. */
 const RESTART_AFTER_CRASH_MS = 700;
 
-/** A life's clock shows up to this at its start, milliseconds. */
+/** Upper bound of an incarnation's clock at its start, milliseconds. */
 const MAX_CLOCK_AT_START_MS = 1e6;
 
-/** A heartbeat of the life before may come this long after the next one has registered, at the most. */
+/** Longest delay of a previous incarnation's heartbeat after the next one has registered, milliseconds. */
 const MAX_LATE_HEARTBEAT_MS = 900;
 
 export class SoakWorker {
   readonly proxy: FaultyProxy;
   private address = "";
-  private life: WorkerServer | undefined;
-  /** The last life that has registered. */
+  private incarnation: WorkerServer | undefined;
+  /** The incarnation that registered last. */
   private previousIncarnation: WorkerServer | undefined;
   private incarnationCount = 0;
-  /** Where the life that is cut off stands. */
+  /** Address of the disconnected incarnation. */
   private disconnectedTarget: string | undefined;
   private isClosed = false;
 
@@ -45,82 +45,84 @@
     this.proxy = new FaultyProxy(options.random);
   }
 
-  /** @returns `IP:PORT`, the same for all lives */
+  /** @returns `IP:PORT`, the same for all incarnations */
   async listen(): Promise<string> {
     this.address = await this.proxy.listen();
     return this.address;
   }
 
-  /** The next life registers; does nothing while there is one. */
+  /** Starts and registers the next incarnation; does nothing while one is running. */
   async startIncarnation(): Promise<void> {
-    if (this.life) return;
+    if (this.incarnation) return;
     const { host, service, inbox, longestLeaseMs, recorder } = this.options;
-    const { reusesId: sharesId, incarnationRandom: livesRandom } = this.options;
+    const { reusesId, incarnationRandom } = this.options;
     this.incarnationCount += 1;
-    const { previousIncarnation: former } = this;
-    const life = new WorkerServer({
-      instance: sharesId ? host : `${host}-life-${this.incarnationCount}`,
-      clockAtStart: Math.floor(livesRandom.next() * MAX_CLOCK_AT_START_MS),
+    const { previousIncarnation } = this;
+    const incarnation = new WorkerServer({
+      instance: reusesId ? host : `${host}-life-${this.incarnationCount}`,
+      clockAtStart: Math.floor(
+        incarnationRandom.next() * MAX_CLOCK_AT_START_MS,
+      ),
       service,
       observer: recorder.observe(host),
       longestLeaseMs,
-      onCrash: () => void this.crash(life),
+      onCrash: () => void this.crash(incarnation),
     });
-    this.life = life;
-    const target = await life.listen();
-    if (this.life !== life) {
-      // Ended while it was about to listen.
-      await life.close();
+    this.incarnation = incarnation;
+    const target = await incarnation.listen();
+    if (this.incarnation !== incarnation) {
+      // The incarnation was ended before it was listening.
+      await incarnation.close();
       return;
     }
     this.proxy.target = target;
-    life.register(inbox, this.address);
-    this.previousIncarnation = life;
-    if (!former || this.isClosed) return;
+    incarnation.register(inbox, this.address);
+    this.previousIncarnation = incarnation;
+    if (!previousIncarnation || this.isClosed) return;
     setTimeout(
-      () => former.beat(inbox, this.address),
-      livesRandom.next() * MAX_LATE_HEARTBEAT_MS,
+      () => previousIncarnation.beat(inbox, this.address),
+      incarnationRandom.next() * MAX_LATE_HEARTBEAT_MS,
     ).unref();
   }
 
-  /** A task has crashed this life; the next one comes by itself. */
-  private async crash(life: WorkerServer): Promise<void> {
-    if (this.life !== life) return;
+  /** Ends the incarnation that a task has crashed, and starts the next one after a pause. */
+  private async crash(incarnation: WorkerServer): Promise<void> {
+    if (this.incarnation !== incarnation) return;
     await this.endIncarnation("reset");
     await delay(RESTART_AFTER_CRASH_MS);
     if (!this.isClosed) await this.startIncarnation();
   }
 
-  /** The present life ends without a goodbye. */
-  async endIncarnation(withoutTarget: NoTargetBehavior): Promise<void> {
-    const { life, proxy } = this;
-    if (!life) return;
-    this.life = undefined;
+  /** Ends the current incarnation without deregistration. */
+  async endIncarnation(noTargetBehavior: NoTargetBehavior): Promise<void> {
+    const { incarnation, proxy } = this;
+    if (!incarnation) return;
+    this.incarnation = undefined;
     proxy.target = undefined;
-    proxy.noTargetBehavior = withoutTarget;
-    if (withoutTarget === "silent") proxy.stopForwardingAll();
+    proxy.noTargetBehavior = noTargetBehavior;
+    if (noTargetBehavior === "silent") proxy.stopForwardingAll();
     else proxy.resetAll();
-    await life.close();
+    await incarnation.close();
   }
 
-  /** The present life goes on by itself; neither calls nor heartbeats pass. */
+  /** Cuts off the current incarnation, which keeps running: neither calls nor heartbeats pass. */
   disconnect(): void {
-    const { life, proxy } = this;
-    if (!life || life.isCutOff) return;
-    life.isCutOff = true;
+    const { incarnation, proxy } = this;
+    if (!incarnation || incarnation.isCutOff) return;
+    incarnation.isCutOff = true;
     this.disconnectedTarget = proxy.target;
     proxy.target = undefined;
     proxy.noTargetBehavior = "silent";
     proxy.stopForwardingAll();
   }
 
-  /** Ends the cut of the present life, if there is one. */
+  /** Reconnects the current incarnation if it is disconnected. */
   reconnect(): void {
-    const { life, proxy, disconnectedTarget: hiddenTarget } = this;
-    if (!life?.isCutOff) return;
-    life.isCutOff = false;
-    proxy.target = hiddenTarget;
-    // Calls that are open would get no answer.
+    const { incarnation, proxy, disconnectedTarget } = this;
+    if (!incarnation?.isCutOff) return;
+    incarnation.isCutOff = false;
+    proxy.target = disconnectedTarget;
+    // Open calls would get no answer.
     proxy.resetAll();
   }
 
--- a/soak/src/checkOutcomes.ts
+++ b/soak/src/checkOutcomes.ts
@@ -1,4 +1,4 @@
-/** Checks after the faults: how jobs end, and what runs on unasked. */
+/** Checks after the faults: whether jobs end as they should, and which runs are left over. */
 
 import { setTimeout as delay } from "node:timers/promises";
 import type { JobTaskId } from "@rackspan/common";
@@ -8,9 +8,9 @@
 
 const CHECK_TIMES = {
   pollMs: 250,
-  /** All jobs are to end within this, milliseconds. */
+  /** Time within which all jobs must have ended, milliseconds. */
   endMs: 60_000,
-  /** A task of a cancelled job is gone after this, milliseconds. */
+  /** Time after which no task of a cancelled job may run, milliseconds. */
   goneMs: 8_000,
 } as const;
 
@@ -23,7 +23,7 @@
   readonly maxAttempts: number;
 }
 
-/** @returns how many accepted jobs are shown as ended */
+/** @returns how many accepted jobs are reported in a final state */
 export const checkOutcomes = async (run: SoakOutcome): Promise<number> => {
   const faultsEndedAt = performance.now();
   const ended = await checkFinalStates(run, faultsEndedAt + CHECK_TIMES.endMs);
@@ -38,7 +38,7 @@
 
 const checkFinalStates = async (
   { jobs, client, history }: SoakOutcome,
-  giveUpAt: number,
+  deadline: number,
 ): Promise<number> => {
   const accepted = jobs.filter(({ isAccepted }) => isAccepted);
   const open = new Set(accepted);
@@ -46,23 +46,23 @@
     history.add(
       "not-finished",
       performance.now(),
-      `${job.id}, a ${job.kind} job, ${what}`,
+      `job ${job.id} of kind ${job.kind} ${what}`,
     );
-  while (open.size > 0 && performance.now() < giveUpAt) {
+  while (open.size > 0 && performance.now() < deadline) {
     for (const job of [...open]) {
       const state = await client.stateOf(job.id);
       if (!FINAL_STATES.includes(state)) continue;
       open.delete(job);
       if (!isAllowed(state, job, history))
-        addViolation(job, `is shown as ${state}`);
+        addViolation(job, `is unexpectedly in state ${state}`);
     }
     await delay(CHECK_TIMES.pollMs);
   }
-  for (const job of open) addViolation(job, "has not ended");
+  for (const job of open) addViolation(job, "has not ended in time");
   return accepted.length - open.size;
 };
 
-/** A task may be given up once this many workers have crashed under it, whatever crashed them. */
+/** Number of workers crashed under a task, by whatever cause, from which on it may fail permanently. */
 const MIN_CRASHES_TO_FAIL = 2;
 
 const isAllowed = (
@@ -83,7 +83,11 @@
   const ids = new Set(cancelled.map(({ id }) => id));
   for (const { task, run, host, beganAt } of history.openRuns()) {
     if (!ids.has(jobOf(task))) continue;
-    history.add("unasked", beganAt, `${task}#${run} at ${host} runs on`);
+    history.add(
+      "unasked",
+      beganAt,
+      `${task}#${run} on ${host} still runs after its job was cancelled`,
+    );
   }
 };
 
@@ -98,7 +102,7 @@
   history.checkEnds(maxAttempts, (task) => ids.has(jobOf(task)), noGang);
 };
 
-/** No task is started three times more after three workers have crashed under it. */
+/** Checks that no task is started three more times after three workers have crashed under it. */
 const checkCrashLimits = ({ jobs, history }: SoakOutcome): void => {
   for (const { id, kind } of jobs) {
     if (kind === "crashing") history.checkCrashes(`${id}.0.0.0` as JobTaskId);
--- a/soak/src/faults.ts
+++ b/soak/src/faults.ts
@@ -1,4 +1,4 @@
-/** The faults of a run, drawn before it begins. */
+/** The faults of a soak run, drawn before it starts. */
 
 import { derivedRandom } from "./derivedRandom.js";
 
@@ -20,24 +20,24 @@
 
 export interface Fault {
   readonly kind: FaultKind;
-  /** Milliseconds since the faults began. */
+  /** Start of the fault, in milliseconds after the injection of faults started. */
   readonly at: number;
-  /** How long it lasts, milliseconds. */
+  /** How long the fault lasts, milliseconds. */
   readonly durationMs: number;
-  /** Decides which hosts or entries it affects, in [0, 1). */
+  /** Seed that selects the affected hosts or entries, in [0, 1). */
   readonly draw: number;
 }
 
 interface FaultSeries {
-  /** The share of runs that have it. */
+  /** The share of soak runs that include the series. */
   readonly runShare: number;
-  /** Between two faults of the series, milliseconds on the mean. */
+  /** Mean interval between two faults of the series, milliseconds. */
   readonly meanIntervalMs: number;
   readonly minDurationMs: number;
   readonly maxDurationMs: number;
 }
 
-/** Series overlap; each goes on from begin to end of the faults. */
+/** Series overlap; each lasts for the whole time in which faults are injected. */
 export const FAULT_SERIES: Readonly<Record<FaultKind, FaultSeries>> = {
   newLives: {
     runShare: 0.7,
@@ -57,7 +57,7 @@
     minDurationMs: 500,
     maxDurationMs: 2_000,
   },
-  // Less than the leadership's lease, so that it leads on.
+  // Shorter than the leadership's lease, so that the leader keeps it.
   frozenLeader: {
     runShare: 0.6,
     meanIntervalMs: 1_500,
@@ -100,8 +100,8 @@
     minDurationMs: 50,
     maxDurationMs: 1_000,
   },
-  // New ones come last, so that what seeds draw before them stays as it is. Long enough
-  // that starts past the time that the operator allows would show.
+  // New series are appended, so that existing seeds draw the same faults as before.
+  // Evacuations are long enough to expose starts after the time that the operator allows.
   evacuatedZone: {
     runShare: 0.4,
     meanIntervalMs: 5_000,
@@ -114,7 +114,7 @@
     minDurationMs: 1,
     maxDurationMs: 900,
   },
-  // Longer than the leadership's lease, so that another entry leads.
+  // Longer than the leadership's lease, so that another entry becomes leader.
   lostLeader: {
     runShare: 0.4,
     meanIntervalMs: 5_000,
@@ -129,7 +129,7 @@
   },
 };
 
-/** @param only the series to play; drawn when undefined */
+/** @param only the series to include; drawn from the seed when undefined */
 export const drawFaults = (
   seed: number,
   seconds: number,
@@ -138,19 +138,16 @@
   const random = derivedRandom(seed, "faults");
   const faults: Fault[] = [];
   for (const kind of Object.keys(FAULT_SERIES) as FaultKind[]) {
-    const {
-      runShare: share,
-      meanIntervalMs: everyMs,
-      minDurationMs: leastMs,
-      maxDurationMs: mostMs,
-    } = FAULT_SERIES[kind];
-    const isDrawn = random.next() < share;
+    const { runShare, meanIntervalMs, minDurationMs, maxDurationMs } =
+      FAULT_SERIES[kind];
+    const isDrawn = random.next() < runShare;
     if (only ? !only.includes(kind) : !isDrawn) continue;
-    let at = random.next() * everyMs;
+    let at = random.next() * meanIntervalMs;
     while (at < seconds * 1_000) {
-      const forMs = leastMs + random.next() * (mostMs - leastMs);
-      faults.push({ kind, at, durationMs: forMs, draw: random.next() });
-      at += everyMs * (0.5 + random.next());
+      const durationMs =
+        minDurationMs + random.next() * (maxDurationMs - minDurationMs);
+      faults.push({ kind, at, durationMs, draw: random.next() });
+      at += meanIntervalMs * (0.5 + random.next());
     }
   }
   return faults.sort((one, other) => one.at - other.at);
--- a/soak/src/main.ts
+++ b/soak/src/main.ts
@@ -1,8 +1,8 @@
 /**
- * `npm run soak`: plays the bundled programs as real processes under faults. A
- * seed decides all draws, and which faults come when. Real time decides the rest,
- * so that two runs of one seed are alike but not the same: a seed that showed a
- * violation may need several runs to show it again, and its logs are what counts.
+ * `npm run soak`: runs the bundled programs as real processes under faults. The seed
+ * determines all random draws, including the faults and their times. Timing is real,
+ * so that two runs of one seed are similar but not identical: reproducing a violation
+ * may take several runs of its seed, and the logs of the first one are the evidence.
  */
 
 import { writeFileSync } from "node:fs";
@@ -66,12 +66,12 @@
 };
 
 const program = new Command("soak")
-  .option("--seed <number>", "of the first run", "1")
-  .option("--runs <number>", "one seed after the other", "1")
-  .option("--seconds <number>", "for which jobs and faults come", "20")
-  .option("--programs <folder>", "of the bundled programs", "target")
-  .option("--logs <folder>", "for settings, logs and runs", "tmp/soak")
-  .option("--only <kinds...>", "series of faults; drawn by the seed otherwise")
+  .option("--seed <number>", "seed of the first run", "1")
+  .option("--runs <number>", "number of runs, with consecutive seeds", "1")
+  .option("--seconds <number>", "duration of jobs and faults", "20")
+  .option("--programs <folder>", "folder of the bundled programs", "target")
+  .option("--logs <folder>", "folder for settings, logs and runs", "tmp/soak")
+  .option("--only <kinds...>", "fault series; drawn from the seed by default")
   .action(async (options: Options) => {
     let clean = true;
     for (let at = 0; at < Number(options.runs); at += 1) {
--- a/soak/src/runSoak.ts
+++ b/soak/src/runSoak.ts
@@ -1,4 +1,4 @@
-/** One run of the soak: a site, jobs, series of faults, a time without faults, the checks. */
+/** One soak run: starts a site, submits jobs under faults, and checks the outcomes after the faults. */
 
 import { appendFileSync, writeFileSync } from "node:fs";
 import { join } from "node:path";
@@ -18,40 +18,40 @@
 const SOAK = {
   entries: 3,
   hosts: { least: 6, more: 6 },
-  /** Drawn by the seed: up to this many attempts, this share of failing jobs. */
+  /** Upper bounds of the attempts of a task and of the share of failing jobs, both drawn from the seed. */
   mostAttempts: 3,
   mostFailing: 0.9,
-  /** A run of crashing jobs has this share of them. */
+  /** Share of crashing jobs in the runs that have them. */
   crashing: 0.12,
-  /** Share of the runs with such jobs. */
+  /** Share of the runs that have crashing jobs. */
   withCrashing: 0.5,
-  /** Share of the runs whose workers start again under their ids. */
+  /** Share of the runs whose workers reuse their ids when they start again. */
   withOneId: 0.7,
   clients: 4,
-  /** Time for the processes to start, milliseconds. */
+  /** Timeout for the start of all processes, milliseconds. */
   startMs: 30_000,
   startPollMs: 250,
 } as const;
 
-/** An id that no job of a stream has. */
+/** A job id that no stream uses. */
 const UNKNOWN_JOB = "0000000000000000";
 
 export interface SoakOptions {
   readonly seed: number;
-  /** How long jobs and faults come. */
+  /** How long jobs are submitted and faults are injected, in seconds. */
   readonly seconds: number;
   readonly programs: BundledPrograms;
-  /** For settings, logs and a record of all runs; made where it is missing. */
+  /** Folder for settings, logs and the record of all runs; created if missing. */
   readonly folder: string;
-  /** Series to play; drawn by the seed when undefined. */
+  /** Fault series to include; drawn from the seed when undefined. */
   readonly only?: readonly FaultKind[];
-  /** Whether jobs come that crash their workers; drawn by the seed when undefined. */
+  /** Whether some jobs crash their workers; drawn from the seed when undefined. */
   readonly crashingJobs?: boolean;
-  /** Whether workers start again under their ids; drawn by the seed when undefined. */
+  /** Whether workers reuse their ids when they start again; drawn from the seed when undefined. */
   readonly reusesIds?: boolean;
 }
 
-/** What a seed decides besides jobs and faults. */
+/** Parameters that a seed determines besides jobs and faults. */
 interface SoakParameters {
   readonly hosts: number;
   readonly maxAttempts: number;
@@ -65,17 +65,17 @@
   readonly violations: readonly JobViolation[];
   readonly accepted: number;
   readonly ended: number;
-  /** Processes that ended by themselves. */
+  /** How often processes exited without being stopped. */
   readonly unexpectedExits: number;
   readonly faultKinds: readonly FaultKind[];
 }
 
 export const runSoak = async (options: SoakOptions): Promise<SoakResult> => {
   const { seed, seconds, folder, only } = options;
-  const mix = drawParameters(options);
+  const parameters = drawParameters(options);
   const recorder = new RunRecorder();
   const { entries } = SOAK;
-  const site = new SoakSite({ ...options, ...mix, entries, recorder });
+  const site = new SoakSite({ ...options, ...parameters, entries, recorder });
   const clients: JobClient[] = [];
   try {
     await site.start();
@@ -89,14 +89,14 @@
     );
     const jobs = await submitJobs(
       options,
-      mix,
+      parameters,
       clients,
       player.injectAll(faults),
     );
     const { history, seen } = recorder;
-    const ended = await checkOutcomes({ jobs, client, history, ...mix });
+    const ended = await checkOutcomes({ jobs, client, history, ...parameters });
     return {
-      ...mix,
+      ...parameters,
       runs: seen.length,
       violations: history.violations,
       accepted: jobs.filter(({ isAccepted }) => isAccepted).length,
@@ -114,7 +114,7 @@
 const drawParameters = ({
   seed,
   crashingJobs,
-  reusesIds: oneId,
+  reusesIds,
 }: SoakOptions): SoakParameters => {
   const random = derivedRandom(seed, "site");
   const hasCrashes =
@@ -124,7 +124,7 @@
     maxAttempts: 1 + pickIndex(random, SOAK.mostAttempts),
     failingShare: SOAK.mostFailing * random.next(),
     crashingShare: hasCrashes ? SOAK.crashing : 0,
-    reusesId: oneId ?? derivedRandom(seed, "lives").next() < SOAK.withOneId,
+    reusesId: reusesIds ?? derivedRandom(seed, "lives").next() < SOAK.withOneId,
   };
 };
 
@@ -135,22 +135,23 @@
   });
 
 const waitUntilServing = async (client: JobClient): Promise<void> => {
-  const giveUpAt = performance.now() + SOAK.startMs;
-  let answers = 0;
-  while (answers < SOAK.entries * 2) {
-    if (performance.now() > giveUpAt) throw new Error("no entry takes jobs");
+  const deadline = performance.now() + SOAK.startMs;
+  let servingAnswers = 0;
+  while (servingAnswers < SOAK.entries * 2) {
+    if (performance.now() > deadline)
+      throw new Error("no entry serves the job queue");
     const state = await client.stateOf(UNKNOWN_JOB);
-    if (state === "410") answers += 1;
+    if (state === "410") servingAnswers += 1;
     else await delay(SOAK.startPollMs);
   }
 };
 
-/** Hands in jobs beside the faults, until both are over. */
+/** Submits jobs while faults are injected; resolves when both have ended. */
 const submitJobs = async (
   { seed, seconds }: SoakOptions,
   { failingShare, crashingShare }: SoakParameters,
   clients: readonly JobClient[],
-  faulting: Promise<void>,
+  faultsEnded: Promise<void>,
 ): Promise<readonly StreamedJob[]> => {
   const stream = new JobStream({
     seed,
@@ -160,7 +161,7 @@
   });
   const streaming = stream.run();
   await delay(seconds * 1_000);
-  await Promise.all([stream.stop(), streaming, faulting]);
+  await Promise.all([stream.stop(), streaming, faultsEnded]);
   return stream.jobs;
 };
 
--- a/soak/src/settings.ts
+++ b/soak/src/settings.ts
@@ -1,6 +1,6 @@
-/** Settings of the programs, as the deployment's templates would render them. */
+/** Builds the settings files of the programs, as the deployment's templates render them. */
 
-/** The site's bounds, milliseconds but where the name says otherwise. */
+/** Time limits of the site, in milliseconds unless the name has another unit. */
 export const BOUNDS = {
   leaseMs: 6_000,
   stopMs: 200,
@@ -39,8 +39,8 @@
 }
 
 /**
- * @param knowsLeases whether the program's settings have the bounds of leases;
- * earlier programs refuse a field that they do not know
+ * @param knowsLeases whether the program's settings have the time limits of leases;
+ * earlier versions reject unknown fields
  */
 export const sideSettings = (
   at: SideLocation,
--- a/soak/tests/soak.test.ts
+++ b/soak/tests/soak.test.ts
@@ -1,4 +1,4 @@
-/** The programs of this tree as real processes break no rule under many faults at once. */
+/** Runs the programs of this tree as real processes under concurrent faults and checks all invariants. */
 
 import { execFileSync } from "node:child_process";
 import { mkdtempSync, rmSync } from "node:fs";
@@ -7,7 +7,7 @@
 import { fileURLToPath } from "node:url";
 import { after, test } from "node:test";
 import { expect } from "earl";
-import { killAllProcesses, playSoak, Programs } from "@rackspan/soak";
+import { killAllProcesses, runSoak, BundledPrograms } from "@rackspan/soak";
 
 const SECONDS = 14;
 
@@ -18,21 +18,16 @@
   rmSync(folder, { recursive: true });
 });
 
-/** Bundles the tree's programs into a folder of this test. */
-const bundle = (): Programs => {
+/** Bundles the tree's programs into the folder of this test. */
+const bundle = (): BundledPrograms => {
   const url = new URL("../../../scripts/bundle.mjs", import.meta.url);
   const target = join(folder, "target");
   execFileSync(process.execPath, [fileURLToPath(url), target]);
-  return new Programs(target);
+  return new BundledPrograms(target);
 };
 
-test("no rule is broken while workers get new lives and answers come late", async () => {
-  const {
-    violations,
-    accepted,
-    ended,
-    unexpectedExits: ownEnds,
-  } = await playSoak({
+test("no invariant is violated while workers are replaced and answers are delayed", async () => {
+  const { violations, accepted, ended, unexpectedExits } = await runSoak({
     seed: 16,
     seconds: SECONDS,
     programs: bundle(),
@@ -45,20 +40,15 @@
   );
   expect(accepted > 0).toEqual(true);
   expect(ended).toEqual(accepted);
-  expect(ownEnds).toEqual(0);
+  expect(unexpectedExits).toEqual(0);
 });
 
-// Workers crash by their tasks alone here, so no other job may be given up.
-test("tasks that crash their workers are given up, and no others, while leaders are killed", async () => {
-  const {
-    violations,
-    accepted,
-    ended,
-    unexpectedExits: ownEnds,
-  } = await playSoak({
+// Only tasks crash workers here, so no other job may fail permanently.
+test("only tasks that crash their workers fail permanently while leaders are killed", async () => {
+  const { violations, accepted, ended, unexpectedExits } = await runSoak({
     seed: 23,
     seconds: SECONDS,
-    programs: new Programs(join(folder, "target")),
+    programs: new BundledPrograms(join(folder, "target")),
     folder: join(folder, "crash-logs"),
     only: ["killedEntry", "frozenLeader", "killedSides"],
     crashingJobs: true,
@@ -68,17 +58,12 @@
   );
   expect(accepted > 0).toEqual(true);
   expect(ended).toEqual(accepted);
-  expect(ownEnds).toEqual(0);
+  expect(unexpectedExits).toEqual(0);
 });
 
-// The first ends of a next life must not be forgotten unread.
-test("no rule is broken while workers start again at once under their ids", async () => {
-  const {
-    violations,
-    accepted,
-    ended,
-    unexpectedExits: ownEnds,
-  } = await playSoak({
+// Guards against losing the first ends of a next incarnation before they are read.
+test("no invariant is violated while workers restart at once with the same ids", async () => {
+  const { violations, accepted, ended, unexpectedExits } = await runSoak({
     seed: 3,
     seconds: SECONDS,
     programs: bundle(),
@@ -92,5 +77,5 @@
   );
   expect(accepted > 0).toEqual(true);
   expect(ended).toEqual(accepted);
-  expect(ownEnds).toEqual(0);
+  expect(unexpectedExits).toEqual(0);
 });
