--- a/bench/src/benchmarks.ts
+++ b/bench/src/benchmarks.ts
@@ -1,4 +1,4 @@
-/** Benchmarks register themselves here by name. */
+/** Registry of benchmarks by name. */
 
 export type Benchmark = (args: readonly string[]) => Promise<void>;
 
--- a/bench/src/capacity.ts
+++ b/bench/src/capacity.ts
@@ -1,4 +1,4 @@
-/** What one more side costs an entry, and an entry a side, while nothing happens. */
+/** Measures the idle cost of one more side for an entry, and of an entry for a side. */
 
 import { subscribe } from "node:diagnostics_channel";
 import type { Socket } from "node:net";
@@ -17,7 +17,7 @@
 const WINDOW_MS = 20_000;
 const SETTLE_MS = 3_000;
 
-/** Bytes of all connections that this thread's servers have taken. */
+/** Counts the bytes of all connections that servers of this thread have accepted. */
 class ServerBytes {
   private readonly sockets = new Set<Socket>();
 
@@ -27,7 +27,7 @@
     });
   }
 
-  /** Bytes on connections to one of the ports, both ways together. */
+  /** Sum of the bytes read and written on connections to any of the ports. */
   total(ports: ReadonlySet<number>): number {
     let sum = 0;
     for (const socket of this.sockets) {
@@ -46,7 +46,7 @@
 ) => {
   const sides: SideProcess[] = [];
   for (const place of site.workers) {
-    // Renewals of leases are the worker's traffic and are left out here.
+    // Effectively disables lease renewals, which are traffic to the worker, not to the entry.
     const tasks = { renewEveryMs: 300_000 };
     const settings = sideSettingsSchema.parse(
       sideSettingsFor(platform, place, { tasks }),
--- a/bench/src/config.ts
+++ b/bench/src/config.ts
@@ -1,4 +1,4 @@
-/** Time from an accepted change to its being in force at every process that reads the log. */
+/** Measures the time from submitting a change until it is in force at every process that reads the log. */
 
 import {
   freshId,
--- a/bench/src/decisions.ts
+++ b/bench/src/decisions.ts
@@ -1,4 +1,4 @@
-/** What one decision costs against the number of workers: picking and placing. */
+/** Measures the cost of picking an endpoint and of placing a task by the number of workers. */
 
 import {
   brand,
@@ -23,8 +23,8 @@
 const SIZES = [11, 140, 1_400] as const;
 const ROUNDS = 3_000;
 const ENTRIES = 6;
-const SUBSET_LEAST = 32;
-const TASKS_A_HOST = 20;
+const MIN_SUBSET_SIZE = 32;
+const TASKS_PER_HOST = 20;
 
 const timeUs = (work: () => void): number => {
   for (let round = 0; round < ROUNDS / 10; round += 1) work();
@@ -60,7 +60,7 @@
         ready: true,
         leaving: false,
         placing: [],
-        tasks: Array.from({ length: TASKS_A_HOST }, (_, task) => ({
+        tasks: Array.from({ length: TASKS_PER_HOST }, (_, task) => ({
           unit: `service/s-${task}/${index}`,
           kind: "service",
           state: "running",
@@ -96,7 +96,7 @@
     nameOf: ({ host }) => host,
     entryIndex: 1,
     entryCount: ENTRIES,
-    minSize: SUBSET_LEAST,
+    minSize: MIN_SUBSET_SIZE,
   });
   const ejector = new OutlierEjector({
     clock: new SystemClock(),
--- a/bench/src/fakeEndpoints.ts
+++ b/bench/src/fakeEndpoints.ts
@@ -1,4 +1,4 @@
-/** Endpoints with slots and a queue on the passed-in clock; each a small fake at the picker's interface. */
+/** Fake endpoints with slots and a queue on simulated time, behind the picker's interface. */
 
 import type {
   AvailabilityZone,
@@ -23,7 +23,7 @@
   readonly done: (outcome: FakeOutcome) => void;
 }
 
-/** Events in the order of time; a plain heap would do, the sizes here need no more. */
+/** Runs simulated events in order of time; a binary heap is fast enough at these sizes. */
 export class EventQueue {
   private readonly heap: { readonly at: number; readonly run: () => void }[] =
     [];
@@ -41,7 +41,7 @@
     }
   }
 
-  /** Runs everything that is due by `end`. */
+  /** Runs all events that are due by `end`. */
   runUntil(end: number): void {
     for (let next = this.heap[0]; next && next.at <= end; next = this.heap[0]) {
       this.removeFirst();
@@ -83,9 +83,9 @@
 
 export class FakeEndpoint {
   readonly host: HostId;
-  /** Multiplies the time of each request: interference by noisy tasks. */
+  /** Multiplies the service time of each request, to simulate interference by noisy tasks. */
   slowdown = 1;
-  /** Fails each request at once, as a black hole does. */
+  /** Whether each request fails at once, as at a black-hole endpoint. */
   failing = false;
   served = 0;
   private busy = 0;
@@ -114,7 +114,7 @@
     this.busy += 1;
     this.served += 1;
     const ms =
-      this.options.meanMs * this.slowdown * heavyTail(this.options.random);
+      this.options.meanMs * this.slowdown * drawHeavyTail(this.options.random);
     this.events.at(this.events.now + ms, () => {
       this.busy -= 1;
       done("ok");
@@ -124,13 +124,13 @@
   }
 }
 
-/** Mean 1; one request in fifty takes eight times as long. */
-const heavyTail = (random: Random): number => {
+/** Draws a factor with mean 1; one request in fifty takes eight times as long. */
+const drawHeavyTail = (random: Random): number => {
   const long = random.next() < 0.02 ? 8 : 1;
   return (long * (0.5 + random.next())) / 1.14;
 };
 
-/** What one entry knows of one endpoint. */
+/** One entry's view of one endpoint. */
 export class FakeView implements EndpointView {
   readonly host: HostId;
   readonly incarnation = "run" as Incarnation;
--- a/bench/src/loadWorker.ts
+++ b/bench/src/loadWorker.ts
@@ -1,17 +1,17 @@
 /**
- * A closed loop of callers on a thread of its own, so that the loop's work does
- * not count as the entry's. Threads of one process; no process is started.
+ * Generates load from concurrent callers on a separate thread, so that its work is not
+ * counted as the entry's. Runs as a worker thread; starts no process.
  */
 
 import { Agent, request } from "node:http";
 import { parentPort, workerData } from "node:worker_threads";
 import { LatencyRecorder } from "@rackspan/common";
 
-export interface LoadOrder {
+export interface LoadOptions {
   readonly url: string;
   readonly connections: number;
   readonly durationMs: number;
-  /** Requests a second to offer; 0 for as many as go. */
+  /** Offered requests per second; 0 runs a closed loop at the maximum rate. */
   readonly rate: number;
 }
 
@@ -34,7 +34,7 @@
     req.end();
   });
 
-const runLoad = async (order: LoadOrder): Promise<LoadResult> => {
+const runLoad = async (order: LoadOptions): Promise<LoadResult> => {
   const agent = new Agent({ keepAlive: true, maxSockets: order.connections });
   const latency = new LatencyRecorder();
   const startedAt = performance.now();
@@ -43,7 +43,7 @@
   let issued = 0;
   const caller = async (): Promise<void> => {
     while (performance.now() < end) {
-      // In an open loop a request is late from its due time on, not from its sending.
+      // In an open loop latency counts from the due time of a request, not from its sending.
       const due =
         order.rate > 0
           ? startedAt + (issued++ / order.rate) * 1_000
@@ -66,4 +66,4 @@
   };
 };
 
-parentPort?.postMessage(await runLoad(workerData as LoadOrder));
+parentPort?.postMessage(await runLoad(workerData as LoadOptions));
--- a/bench/src/output.ts
+++ b/bench/src/output.ts
@@ -1,4 +1,4 @@
-/** Prints figures as a table for people and as one JSON line for programs. */
+/** Prints results as a table and as one line of JSON. */
 
 import { formatTable } from "@rackspan/cli";
 
--- a/bench/src/path.ts
+++ b/bench/src/path.ts
@@ -1,6 +1,6 @@
 /**
- * What entry and side add to a request: the endpoint alone, and the same endpoint
- * behind both, in one run. Each role is on a thread of its own.
+ * Measures the overhead of entry and side per request: compares calls of an endpoint with
+ * calls through entry and side, in one run. Each role runs on its own thread.
  */
 
 import {
@@ -34,7 +34,7 @@
   readonly entry: RoleThread;
   readonly sides: readonly RoleThread[];
   readonly platform: StandinPlatform;
-  /** An endpoint that runs the same code, called without entry and side. */
+  /** An endpoint with the same code that is called directly. */
   readonly direct: RoleThread;
 }
 
--- a/bench/src/roleWorker.ts
+++ b/bench/src/roleWorker.ts
@@ -1,4 +1,4 @@
-/** Runs one role of a bench site on a thread of its own, and reports what it used. */
+/** Runs one role of a benchmark site on its own thread and reports its resource usage. */
 
 import { parentPort, workerData } from "node:worker_threads";
 import { SystemClock } from "@rackspan/common";
@@ -6,7 +6,7 @@
 import { SideProcess, sideSettingsSchema } from "@rackspan/side";
 import { EndpointStandin, RequestLedger } from "@rackspan/standins";
 
-export interface RoleOrder {
+export interface RoleOptions {
   readonly role: "entry" | "side" | "endpoint";
   readonly settings: unknown;
 }
@@ -18,24 +18,27 @@
   readonly control?: string;
 }
 
-/** Asked for by a message; CPU of the thread's event loop, memory of its heap. */
+/** Reply to a message: active time of the thread's event loop and size of its heap. */
 export interface RoleUsage {
   readonly event: "usage";
   readonly activeMs: number;
   readonly heapMiB: number;
 }
 
-class UncountedLedger extends RequestLedger {
+class DiscardingLedger extends RequestLedger {
   override record(): void {
-    // A long run would fill the memory with its own record.
+    // Records nothing, since a long run would fill the memory.
   }
 }
 
-const startRole = async ({ role, settings }: RoleOrder): Promise<RoleReady> => {
+const startRole = async ({
+  role,
+  settings,
+}: RoleOptions): Promise<RoleReady> => {
   if (role === "endpoint") {
     const endpoint = new EndpointStandin({
       name: "bench",
-      requests: new UncountedLedger(),
+      requests: new DiscardingLedger(),
     });
     return { event: "ready", address: await endpoint.listen() };
   }
@@ -54,7 +57,7 @@
   return { event: "ready", address: entry.url, control: entry.controlAddress };
 };
 
-const ready = await startRole(workerData as RoleOrder);
+const ready = await startRole(workerData as RoleOptions);
 parentPort?.on("message", () => {
   const { active } = performance.eventLoopUtilization();
   const heapMiB = process.memoryUsage().heapUsed / 1_048_576;
--- a/bench/src/routing.ts
+++ b/bench/src/routing.ts
@@ -1,4 +1,4 @@
-/** The pickers, ejector and retry budget against fake endpoints, compared in one run. */
+/** Compares the pickers, with ejector and retry budget, on fake endpoints. */
 
 import {
   LatencyRecorder,
@@ -42,13 +42,13 @@
 
 interface Scenario {
   readonly name: string;
-  /** Requests offered, as a share of what all slots together can serve. */
+  /** Offered load as a share of the capacity of all slots. */
   readonly load: number;
   readonly begin: (endpoints: readonly FakeEndpoint[], random: Random) => void;
   readonly end: (endpoints: readonly FakeEndpoint[]) => void;
 }
 
-const calm = (endpoints: readonly FakeEndpoint[]): void => {
+const clearFaults = (endpoints: readonly FakeEndpoint[]): void => {
   for (const endpoint of endpoints) {
     endpoint.slowdown = 1;
     endpoint.failing = false;
@@ -56,13 +56,13 @@
 };
 
 const SCENARIOS: readonly Scenario[] = [
-  { name: "steady, 60%", load: 0.6, begin: () => undefined, end: calm },
+  { name: "steady, 60%", load: 0.6, begin: () => undefined, end: clearFaults },
   {
     name: "noisy tasks on 3 hosts, 50%",
     load: 0.5,
     begin: (endpoints) =>
       endpoints.slice(0, 3).forEach((endpoint) => (endpoint.slowdown = 5)),
-    end: calm,
+    end: clearFaults,
   },
   {
     name: "slow zone, 50%",
@@ -71,7 +71,7 @@
       endpoints
         .filter(({ options }) => options.zone === ZONES[0])
         .forEach((endpoint) => (endpoint.slowdown = 3)),
-    end: calm,
+    end: clearFaults,
   },
   {
     name: "one worker fails everything, 50%",
@@ -80,16 +80,21 @@
       const [first] = endpoints;
       if (first) first.failing = true;
     },
-    end: calm,
+    end: clearFaults,
   },
   {
     name: "everything fails, 50%",
     load: 0.5,
     begin: (endpoints) =>
       endpoints.forEach((endpoint) => (endpoint.failing = true)),
-    end: calm,
+    end: clearFaults,
+  },
+  {
+    name: "twice the capacity",
+    load: 2,
+    begin: () => undefined,
+    end: clearFaults,
   },
-  { name: "twice the capacity", load: 2, begin: () => undefined, end: calm },
 ];
 
 interface Result {
@@ -99,12 +104,12 @@
   readonly overTarget: number;
   readonly goodput: number;
   readonly retryShare: number;
-  /** Attempts that the first host got, as a share, from 5 s after the fault on. */
+  /** Share of attempts sent to the first host, from 5 s after the fault started until it ends. */
   readonly firstHostShare: number;
   readonly pickUs: number;
 }
 
-/** One entry: picker, ejector and budget as the attempt loop uses them. */
+/** A simulated entry: picker, ejector and retry budget as in the attempt loop. */
 class FakeEntry {
   readonly views: readonly FakeView[];
   readonly picker: EndpointPicker;
@@ -262,7 +267,7 @@
   results: readonly Result[],
   baseline: readonly Result[],
 ): Row => {
-  const middle = (read: (result: Result) => number): number =>
+  const medianOf = (read: (result: Result) => number): number =>
     median(results.map(read));
   const ratios = results.map(
     ({ p99 }, seed) => p99 / (baseline[seed]?.p99 ?? p99),
@@ -270,16 +275,16 @@
   const sorted = [...ratios].sort((a, b) => a - b);
   return {
     picker,
-    "p50 ms": middle(({ p50 }) => p50),
-    "p99 ms": middle(({ p99 }) => p99),
-    "p99.9 ms": middle(({ p999 }) => p999),
-    "over 40 ms %": 100 * middle(({ overTarget }) => overTarget),
-    "goodput %": 100 * middle(({ goodput }) => goodput),
-    "retries %": 100 * middle(({ retryShare }) => retryShare),
-    "host-0 %": 100 * middle(({ firstHostShare }) => firstHostShare),
+    "p50 ms": medianOf(({ p50 }) => p50),
+    "p99 ms": medianOf(({ p99 }) => p99),
+    "p99.9 ms": medianOf(({ p999 }) => p999),
+    "over 40 ms %": 100 * medianOf(({ overTarget }) => overTarget),
+    "goodput %": 100 * medianOf(({ goodput }) => goodput),
+    "retries %": 100 * medianOf(({ retryShare }) => retryShare),
+    "host-0 %": 100 * medianOf(({ firstHostShare }) => firstHostShare),
     "p99 / of two": median(ratios),
     spread: `${(sorted[0] ?? 0).toFixed(2)}..${(sorted.at(-1) ?? 0).toFixed(2)}`,
-    "us/pick": middle(({ pickUs }) => pickUs),
+    "us/pick": medianOf(({ pickUs }) => pickUs),
   };
 };
 
--- a/bench/src/starts.ts
+++ b/bench/src/starts.ts
@@ -1,4 +1,4 @@
-/** Task starts at a rate over the whole path: time from submit to start, appends, lost claims. */
+/** Submits jobs at fixed rates and measures the time from submit to start, appends and lost claims. */
 
 import { silentLogger } from "@rackspan/common";
 import { OPERATOR_METHODS } from "@rackspan/entry";
--- a/bench/src/state.ts
+++ b/bench/src/state.ts
@@ -1,4 +1,4 @@
-/** The fold, snapshots and restores against the number of live jobs. */
+/** Measures the cost of the fold, snapshots and restores by the number of live jobs. */
 
 import {
   brand,
--- a/bench/src/threadedSite.ts
+++ b/bench/src/threadedSite.ts
@@ -1,4 +1,4 @@
-/** Settings of processes that a benchmark starts on a stand-in platform. */
+/** Settings of the processes that a benchmark starts on a stand-in platform. */
 
 import type { SiteDescription, StandinPlatform } from "@rackspan/harness";
 import { RoleThread } from "./threads.js";
@@ -25,7 +25,7 @@
   ...overrides,
 });
 
-/** The first entry of the site, on a thread of its own. */
+/** Starts the first entry of the site on its own thread. */
 export const startEntryThread = async (
   platform: StandinPlatform,
   site: SiteDescription,
--- a/bench/src/threads.ts
+++ b/bench/src/threads.ts
@@ -1,8 +1,8 @@
-/** Starts the bench's threads and talks to them. */
+/** Starts the threads of benchmarks and exchanges messages with them. */
 
 import { Worker } from "node:worker_threads";
-import type { LoadOrder, LoadResult } from "./loadWorker.js";
-import type { RoleOrder, RoleReady, RoleUsage } from "./roleWorker.js";
+import type { LoadOptions, LoadResult } from "./loadWorker.js";
+import type { RoleOptions, RoleReady, RoleUsage } from "./roleWorker.js";
 
 const nextMessage = <T>(worker: Worker): Promise<T> =>
   new Promise((resolve, reject) => {
@@ -14,7 +14,7 @@
     worker.once("error", reject);
   });
 
-export const runLoad = async (order: LoadOrder): Promise<LoadResult> => {
+export const runLoad = async (order: LoadOptions): Promise<LoadResult> => {
   const worker = new Worker(new URL("./loadWorker.js", import.meta.url), {
     workerData: order,
   });
@@ -23,14 +23,14 @@
   return result;
 };
 
-/** A role of a site on its own thread. */
+/** A role of a benchmark site that runs on its own thread. */
 export class RoleThread {
   private constructor(
     private readonly worker: Worker,
     readonly ready: RoleReady,
   ) {}
 
-  static async start(order: RoleOrder): Promise<RoleThread> {
+  static async start(order: RoleOptions): Promise<RoleThread> {
     const worker = new Worker(new URL("./roleWorker.js", import.meta.url), {
       workerData: order,
     });
--- a/bench/src/writeTemporary.ts
+++ b/bench/src/writeTemporary.ts
@@ -1,4 +1,4 @@
-/** Writes a value to a file of its own, for the command line to read. */
+/** Writes a value to a temporary file for the command line. */
 
 import { mkdtempSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
--- a/scripts/src/tally.ts
+++ b/scripts/src/RequestTally.ts
@@ -1,15 +1,15 @@
-/** Counts what became of requests, by the reason that each refusal names. */
+/** Counts the outcomes of requests; refusals are counted by reason. */
 
 import type { CallAnswer } from "@rackspan/harness";
 
-export class Tally {
+export class RequestTally {
   sent = 0;
   answered = 0;
-  /** Connections that broke before the whole answer was here. */
+  /** Requests whose connection broke before the answer was complete. */
   broken = 0;
   private readonly refusals = new Map<string, number>();
 
-  note({ headers }: CallAnswer): void {
+  record({ headers }: CallAnswer): void {
     const outcome = headers["rackspan-outcome"];
     if (outcome === undefined) {
       this.answered += 1;
--- a/scripts/src/checkChance.ts
+++ b/scripts/src/checkChance.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run check:chance -- --runs N --seed S`: how often jobs whose tasks crash nothing are
- * given up where workers end by chance.
+ * `npm run check:chance -- --runs N --seed S`: measures how often jobs fail permanently although
+ * their tasks crash no worker, while workers end at random.
  */
 
 import { Command } from "commander";
@@ -10,11 +10,11 @@
   type ChanceOutcome,
 } from "@rackspan/checker";
 import { printViolations } from "./printViolations.js";
-import { wholeNumber } from "./wholeNumber.js";
+import { parseInteger } from "./parseInteger.js";
 
 const { runs, seed } = new Command("check:chance")
-  .option("--runs <n>", "schedules to run", wholeNumber, 20)
-  .option("--seed <s>", "seed of the first one", wholeNumber, 1)
+  .option("--runs <n>", "schedules to run", parseInteger, 20)
+  .option("--seed <s>", "seed of the first one", parseInteger, 1)
   .parse()
   .opts<{ readonly runs: number; readonly seed: number }>();
 
--- a/scripts/src/checkHistories.ts
+++ b/scripts/src/checkHistories.ts
@@ -1,4 +1,4 @@
-/** `npm run check:histories -- --runs N --seed S`: many schedules, and the shortest that fails. */
+/** `npm run check:histories -- --runs N --seed S`: runs random schedules and prints the shortest one that fails. */
 
 import { Command, InvalidArgumentError } from "commander";
 import fc from "fast-check";
@@ -8,7 +8,7 @@
   schedules,
   type Mutant,
 } from "@rackspan/checker";
-import { wholeNumber } from "./wholeNumber.js";
+import { parseInteger } from "./parseInteger.js";
 
 interface Options {
   readonly runs: number;
@@ -23,9 +23,9 @@
 };
 
 const { runs, seed, mutant } = new Command("check:histories")
-  .option("--runs <n>", "schedules to run", wholeNumber, 1_000)
-  .option("--seed <s>", "seed of the schedules", wholeNumber, 1)
-  .option("--mutant <name>", "switch a safety step off", mutantName)
+  .option("--runs <n>", "schedules to run", parseInteger, 1_000)
+  .option("--seed <s>", "seed of the schedules", parseInteger, 1)
+  .option("--mutant <name>", "disable a safety step", mutantName)
   .parse()
   .opts<Options>();
 
--- a/scripts/src/checkJobSchedules.ts
+++ b/scripts/src/checkJobSchedules.ts
@@ -1,4 +1,4 @@
-/** `npm run check:jobs -- --runs N --seed S`: random schedules of the job engine. */
+/** `npm run check:jobs -- --runs N --seed S`: runs random schedules of the job engine. */
 
 import { Command } from "commander";
 import {
@@ -16,7 +16,7 @@
   runSuccessionSchedule,
 } from "@rackspan/checker";
 import { printViolations } from "./printViolations.js";
-import { wholeNumber } from "./wholeNumber.js";
+import { parseInteger } from "./parseInteger.js";
 
 interface Options {
   readonly runs: number;
@@ -34,22 +34,34 @@
 }
 
 const options = new Command("check:jobs")
-  .option("--runs <n>", "schedules to run", wholeNumber, 50)
-  .option("--seed <s>", "seed of the first one", wholeNumber, 1)
+  .option("--runs <n>", "schedules to run", parseInteger, 50)
+  .option("--seed <s>", "seed of the first one", parseInteger, 1)
   .option("--harsh", "jobs of all kinds and more faults", false)
-  .option("--starved", "a leader short of time, and runs that fail", false)
+  .option(
+    "--starved",
+    "a leader that is short of time, and failing runs",
+    false,
+  )
   .option(
     "--crashing",
     "tasks that crash their workers, suspended leaders",
     false,
   )
-  .option("--evacuating", "harsh, and zones that are evacuated", false)
-  .option("--reborn", "harsh, and workers that start again at once", false)
-  .option("--forgetting", "reborn, and sides that are started anew", false)
-  .option("--succession", "leaders lost in a row, workers silent", false)
-  .option("--dropped", "the same, and leaders the store drops untold", false)
-  .option("--returning", "workers silent as their leaders are lost", false)
-  .option("--silenced", "harsh, silent connections, late heartbeats", false)
+  .option("--evacuating", "harsh, with zone evacuations", false)
+  .option("--reborn", "harsh, with workers that restart at once", false)
+  .option("--forgetting", "reborn, with side processes that restart", false)
+  .option("--succession", "successive leaders lost, silent workers", false)
+  .option(
+    "--dropped",
+    "succession, with leaders removed by the store without notice",
+    false,
+  )
+  .option("--returning", "silent workers while leaders are lost", false)
+  .option(
+    "--silenced",
+    "harsh, with silent connections and late heartbeats",
+    false,
+  )
   .parse()
   .opts<Options>();
 const { runs, seed, harsh, starved, crashing, evacuating, reborn } = options;
@@ -70,12 +82,12 @@
 };
 
 const run = pickSchedule();
-let broken = 0;
+let failedSchedules = 0;
 for (let at = seed; at < seed + runs; at += 1) {
   const violations = await run(at);
-  if (violations.length > 0) broken += 1;
+  if (violations.length > 0) failedSchedules += 1;
   printViolations(at, violations);
 }
 process.stdout.write(
-  `${runs} schedules from seed ${seed}: ${broken} with a violation\n`,
+  `${runs} schedules from seed ${seed}: ${failedSchedules} with a violation\n`,
 );
--- a/scripts/src/demo.ts
+++ b/scripts/src/demo.ts
@@ -1,6 +1,6 @@
 /**
- * The main job, on embedded stand-ins: an example's declarations are applied,
- * its three kinds of work run, and planned stops happen meanwhile.
+ * Demo on embedded stand-ins: applies an example's declarations and runs its three
+ * kinds of work while a side and an entry are stopped as planned.
  */
 
 import { mkdtempSync, rmSync, writeFileSync } from "node:fs";
@@ -16,7 +16,7 @@
   type SiteDescription,
 } from "@rackspan/harness";
 import { DemoLoad } from "./demoLoad.js";
-import { faultsOf, formatSummary, summarize } from "./demoSummary.js";
+import { findFaults, formatSummary, summarize } from "./demoSummary.js";
 import { findScenario, type Scenario } from "./scenarios.js";
 
 interface DemoOptions {
@@ -31,7 +31,7 @@
 const MIXED_LOAD_MS = 1_500;
 const AFTER_STOP_MS = 500;
 
-/** The same site on free ports, so that several demos can run at once. */
+/** Returns the site with free ports, so that several demos can run concurrently. */
 const onFreePorts = (site: SiteDescription): SiteDescription => ({
   ...site,
   logPort: 0,
@@ -64,7 +64,7 @@
     [...fold.units.unfinishedUnits()].every(({ spec }) => spec.kind !== "job"),
   );
 
-/** The side that one of the watches is on, for a planned stop. */
+/** Returns the host of the first watch's endpoint, whose side is then stopped. */
 const hostOfWatch = (load: DemoLoad): string => {
   const [endpoint] = load.watches[0]?.endpoints ?? [];
   return (endpoint ?? "").split("@")[1] ?? "";
@@ -103,7 +103,7 @@
   await waitUntil("all jobs have finished", () => jobsAreFinished(site));
 };
 
-const untilInterrupted = (): Promise<void> =>
+const waitUntilInterrupted = (): Promise<void> =>
   new Promise((resolve) => {
     const alive = setInterval(() => undefined, 60_000);
     const end = (): void => {
@@ -119,10 +119,10 @@
   scenario: Scenario,
 ): Promise<number> => {
   const { example, json } = options;
-  const say = (text: string): void => {
+  const printText = (text: string): void => {
     if (!json) process.stdout.write(`${text}\n`);
   };
-  const emit = (event: object): void => {
+  const printEvent = (event: object): void => {
     if (json) process.stdout.write(`${JSON.stringify(event)}\n`);
   };
   const folder = mkdtempSync(join(tmpdir(), "rackspan-demo-"));
@@ -134,7 +134,7 @@
   const load = new DemoLoad(site, scenario);
   try {
     await site.start();
-    say(
+    printText(
       `${description.entries.length} entries and ${description.workers.length} side processes are ready`,
     );
     await site.operator.runOrThrow(
@@ -149,20 +149,20 @@
     const control = [...site.entries.values()].map(
       ({ controlAddress }) => controlAddress,
     );
-    emit({ event: "ready", entries: site.urls, control });
-    say(
+    printEvent({ event: "ready", entries: site.urls, control });
+    printText(
       `declarations of ${example} are in force; entries: ${site.urls.join(" ")}; control: ${control.join(" ")}`,
     );
     if (options.keep) {
-      await untilInterrupted();
+      await waitUntilInterrupted();
       return 0;
     }
     await runLoad(site, load, folder);
     const summary = summarize(site, load, scenario);
-    const faults = faultsOf(summary);
-    say(formatSummary(summary));
+    const faults = findFaults(summary);
+    printText(formatSummary(summary));
     for (const fault of faults) process.stderr.write(`fault: ${fault}\n`);
-    emit(summary);
+    printEvent(summary);
     return faults.length === 0 ? 0 : 1;
   } finally {
     load.close();
@@ -174,10 +174,10 @@
 const program = new Command("demo")
   .option("--example <name>", "kaigi or bayfinder", "kaigi")
   .option("--json", "events as JSON lines, for programs")
-  .option("--keep", "stay up until SIGINT, for trying things by hand")
+  .option("--keep", "keep running until SIGINT, for manual tests")
   .option(
     "--log-level <level>",
-    "logs of all processes, on standard error",
+    "log level of all processes; logs go to standard error",
     "silent",
   )
   .parse();
--- a/scripts/src/demoLoad.ts
+++ b/scripts/src/demoLoad.ts
@@ -1,4 +1,4 @@
-/** The callers and operators of the demo. */
+/** Generates the load of the demo: requests, keyed requests, watches and jobs. */
 
 import {
   Caller,
@@ -7,7 +7,7 @@
   type Site,
 } from "@rackspan/harness";
 import type { Scenario } from "./scenarios.js";
-import { Tally } from "./tally.js";
+import { RequestTally } from "./RequestTally.js";
 
 const QUICK_CALLERS = 12;
 const QUICK_PAUSE_MS = 4;
@@ -16,9 +16,9 @@
 const CANCELLED_JOBS = 2;
 
 export class DemoLoad {
-  readonly quick = new Tally();
-  readonly once = new Tally();
-  readonly replays = new Tally();
+  readonly quick = new RequestTally();
+  readonly once = new RequestTally();
+  readonly replays = new RequestTally();
   readonly keys: string[] = [];
   readonly watches: EventStreamClient[] = [];
   jobsSubmitted = 0;
@@ -26,14 +26,14 @@
   jobsRefused = 0;
   private stopping = false;
   private readonly caller = new Caller();
-  private turn = 0;
+  private nextEntryIndex = 0;
 
   constructor(
     private readonly site: Site,
     private readonly scenario: Scenario,
   ) {}
 
-  /** Quick requests from several callers until `stopQuick`. */
+  /** Sends quick requests from several callers until `stopQuick` is called. */
   async runQuick(): Promise<void> {
     const callers = Array.from({ length: QUICK_CALLERS }, () =>
       this.runQuickCaller(),
@@ -45,7 +45,7 @@
     this.stopping = true;
   }
 
-  /** Each key is used, and then used again at another entry. */
+  /** Sends one request for each key and repeats it at the next entry. */
   async runOnce(): Promise<void> {
     for (let index = 0; index < KEYS; index += 1) {
       const key = `${this.scenario.example}-key-${index}`;
@@ -98,13 +98,13 @@
     this.caller.close();
   }
 
-  /** As the platform's balancer does: only entries that say that they are ready. */
+  /** Returns the URL of the next ready entry, as the platform's load balancer selects it. */
   private nextUrl(): string {
     const ready = [...this.site.entries.values()].filter(
       (entry) => entry.notReadyReason() === undefined,
     );
-    this.turn += 1;
-    const entry = ready[this.turn % ready.length];
+    this.nextEntryIndex += 1;
+    const entry = ready[this.nextEntryIndex % ready.length];
     if (!entry) throw new Error("no entry is ready");
     return entry.url;
   }
@@ -116,7 +116,7 @@
     }
   }
 
-  private async sendOnce(key: string, tally: Tally): Promise<void> {
+  private async sendOnce(key: string, tally: RequestTally): Promise<void> {
     await this.send(this.scenario.oncePath, tally, {
       method: "POST",
       body: `tally of ${key}`,
@@ -126,12 +126,12 @@
 
   private async send(
     path: string,
-    tally: Tally,
+    tally: RequestTally,
     options: Parameters<Caller["call"]>[1],
   ): Promise<void> {
     tally.sent += 1;
     try {
-      tally.note(await this.caller.call(`${this.nextUrl()}${path}`, options));
+      tally.record(await this.caller.call(`${this.nextUrl()}${path}`, options));
     } catch {
       tally.broken += 1;
     }
--- a/scripts/src/demoSummary.ts
+++ b/scripts/src/demoSummary.ts
@@ -1,4 +1,4 @@
-/** What the demo has seen, for people and for programs. */
+/** Summarizes the results of the demo as text and as JSON. */
 
 import type { Site } from "@rackspan/harness";
 import type { DemoLoad } from "./demoLoad.js";
@@ -13,7 +13,7 @@
   readonly requestsRefused: Readonly<Record<string, number>>;
   readonly keysUsed: number;
   readonly keysReplayed: number;
-  /** Keys whose request ran at endpoints more than once. */
+  /** Keys whose request was executed more than once. */
   readonly keysRunTwice: number;
   readonly jobsSubmitted: number;
   readonly jobsDone: number;
@@ -21,11 +21,11 @@
   readonly jobsRefused: number;
   readonly jobsRunTwice: number;
   readonly jobsLost: number;
-  /** Times two tasks of one unit ran at once. */
+  /** How often two tasks of one unit ran at the same time. */
   readonly overlaps: number;
   readonly standingWorkersRestarted: number;
   readonly watches: number;
-  /** Watches that went on from another endpoint on the same or a new connection. */
+  /** Watches that continued from another endpoint, on the same or a new connection. */
   readonly watchesMoved: number;
   readonly watchesReconnected: number;
   /** Watches that lost or repeated an event. */
@@ -100,21 +100,21 @@
 const latencyName = ({ example }: Scenario): string =>
   example === "kaigi" ? "request_check" : "request_query";
 
-/** What must not be for the demo to have succeeded. */
-export const faultsOf = (summary: DemoSummary): readonly string[] => {
+/** Returns the violated expectations of the demo; empty if it succeeded. */
+export const findFaults = (summary: DemoSummary): readonly string[] => {
   const faults: string[] = [];
-  const forbid = (what: string, count: number): void => {
+  const expectNone = (what: string, count: number): void => {
     if (count > 0) faults.push(`${what}: ${count}`);
   };
-  forbid("requests broken", summary.requestsBroken);
-  forbid("keys run twice", summary.keysRunTwice);
-  forbid("keys not replayed", summary.keysUsed - summary.keysReplayed);
-  forbid("jobs run twice", summary.jobsRunTwice);
-  forbid("jobs lost", summary.jobsLost);
-  forbid("tasks of one unit at once", summary.overlaps);
-  forbid("watches broken", summary.watchesBroken);
-  forbid("impossible jobs taken", 1 - summary.jobsRefused);
-  forbid(
+  expectNone("requests broken", summary.requestsBroken);
+  expectNone("keys run twice", summary.keysRunTwice);
+  expectNone("keys not replayed", summary.keysUsed - summary.keysReplayed);
+  expectNone("jobs run twice", summary.jobsRunTwice);
+  expectNone("jobs lost", summary.jobsLost);
+  expectNone("tasks of one unit at once", summary.overlaps);
+  expectNone("watches broken", summary.watchesBroken);
+  expectNone("impossible jobs taken", 1 - summary.jobsRefused);
+  expectNone(
     "standing workers not restarted",
     summary.standingWorkersRestarted >= 3 ? 0 : 1,
   );
--- a/scripts/src/printViolations.ts
+++ b/scripts/src/printViolations.ts
@@ -1,4 +1,4 @@
-/** Prints what a schedule broke, and lets the process fail for it. */
+/** Prints the violations of a schedule and sets the exit code to 1 if there are any. */
 
 import type { JobViolation } from "@rackspan/checker";
 
--- a/scripts/src/runTests.ts
+++ b/scripts/src/runTests.ts
@@ -1,7 +1,7 @@
 /**
- * `npm test`: runs the test files that it is given. Passes over the tests that
- * KNOWN-RED.txt lists, and prints them; fails on any other failure, and when a
- * listed test did not fail, since its line must then go.
+ * `npm test`: runs the given test files. Tolerates and prints failures of the tests that
+ * KNOWN-RED.txt lists. Fails on any other failure, and when a listed test did not fail,
+ * since its line must then be removed.
  */
 
 import { existsSync, readFileSync } from "node:fs";
@@ -14,7 +14,7 @@
 } from "@rackspan/harness";
 
 const KNOWN_RED_FILE = "KNOWN-RED.txt";
-/** Several times what the longest file takes on a busy machine. */
+/** Several times the duration of the longest file on a busy machine. */
 const FILE_TIMEOUT_MS = 10 * 60 * 1_000;
 
 const readKnownRed = (): KnownRed[] =>
@@ -52,5 +52,5 @@
   outcomes.length > 0 &&
   verdict.unexpected.length === 0 &&
   verdict.notFailed.length === 0;
-// Files whose process is kept open by a handle must not keep this one.
+// Exits explicitly, so that test processes kept open by a handle do not block this one.
 process.exit(isGreen ? 0 : 1);
--- a/scripts/src/scenarios.ts
+++ b/scripts/src/scenarios.ts
@@ -1,11 +1,11 @@
-/** What the demo does with each example. */
+/** Paths and names that the demo uses with each example. */
 
 export interface Scenario {
   /** Folder below `examples/`. */
   readonly example: string;
   /** Path of quick requests. */
   readonly quickPath: string;
-  /** Path of requests that may run once only. */
+  /** Path of keyed requests, which may run only once. */
   readonly oncePath: string;
   readonly watchPath: string;
   readonly jobPrefix: string;
@@ -34,10 +34,10 @@
   },
 ];
 
-/** @throws when there is no such example */
+/** @throws Error when there is no such example */
 export const findScenario = (example: string): Scenario => {
   const scenario = SCENARIOS.find((candidate) => candidate.example === example);
   if (scenario) return scenario;
   const known = SCENARIOS.map((candidate) => candidate.example).join(", ");
-  throw new Error(`no example "${example}"; use one of: ${known}`);
+  throw new Error(`unknown example "${example}"; use one of: ${known}`);
 };
--- a/scripts/src/standins.ts
+++ b/scripts/src/standins.ts
@@ -1,4 +1,4 @@
-/** Runs an example's platform as stand-ins, for trying the binaries as separate processes. */
+/** Runs the stand-in platform of an example, to try the programs as separate processes. */
 
 import { join } from "node:path";
 import { fileURLToPath } from "node:url";
