--- a/packages/harness/src/siteFile.ts
+++ b/packages/harness/src/siteFile.ts
@@ -11,7 +11,7 @@
 
 const portSchema = z.number().int().min(0).max(65_535).default(0);
 
-const placeSchema = {
+const locationSchema = {
   host: idSchema<HostId>(),
   availabilityZone: idSchema<AvailabilityZone>(),
   rack: idSchema<Rack>(),
@@ -23,14 +23,14 @@
   worker: z.strictObject({ processors: z.number(), memoryMiB: z.number() }),
   entries: z.array(
     z.strictObject({
-      ...placeSchema,
+      ...locationSchema,
       port: portSchema,
       controlPort: portSchema,
     }),
   ),
   workers: z.array(
     z.strictObject({
-      ...placeSchema,
+      ...locationSchema,
       accelerators: z.number().int().min(0).default(0),
       sidePort: portSchema,
       workerPort: portSchema,
@@ -44,7 +44,7 @@
 export const loadSite = (file: string): SiteDescription =>
   loadSettings({ file, schema: siteSchema });
 
-export interface SmallSiteOptions {
+export interface DescribeSiteOptions {
   readonly workers: number;
   readonly entries: number;
   readonly processors?: number;
@@ -54,7 +54,7 @@
 const HOSTS_PER_RACK = 3;
 
 /** Describes a site of the given size, for tests and benchmarks. */
-export const describeSite = (options: SmallSiteOptions): SiteDescription => {
+export const describeSite = (options: DescribeSiteOptions): SiteDescription => {
   const place = (kind: string, index: number) => {
     const zone = ZONES[index % ZONES.length] as string;
     const rack = `${zone}-r${Math.floor(index / ZONES.length / HOSTS_PER_RACK)}`;
--- a/packages/harness/tests/failures.test.ts
+++ b/packages/harness/tests/failures.test.ts
@@ -113,7 +113,7 @@
   const host = String(unitAt(site, "job/a")?.claim?.host);
   await site.killSide(host);
   // The task's lease expires while the host list still contains the host.
-  await waitUntil("its lease has lapsed", () => !isRunning(site, "job/a"));
+  await waitUntil("its lease has expired", () => !isRunning(site, "job/a"));
   await new Promise((resolve) => setTimeout(resolve, 1_500));
   expect([
     unitAt(site, "job/a")?.phase,
--- a/packages/standins/src/MemoryStore.ts
+++ b/packages/standins/src/MemoryStore.ts
@@ -65,7 +65,7 @@
   async append(req: AppendRequest): Promise<number> {
     await this.applyFault("before");
     const topic = this.topic(req.topic);
-    const end = appendTo(topic, req);
+    const end = appendChecked(topic, req);
     this.appends += 1;
     for (const wake of topic.waiting) wake();
     topic.waiting.clear();
@@ -207,29 +207,29 @@
  * have any sequence number, except after an empty append that set the epoch: the next
  * append must then follow the last one of the previous epoch.
  */
-const appendTo = (
+const appendChecked = (
   topic: Topic,
   { records, stamp, ...req }: AppendRequest,
 ): number => {
   const { producer, epoch, sequence } = stamp;
-  const mark = topic.producers.get(producer) ?? newProducerState(epoch);
-  topic.producers.set(producer, mark);
-  if (epoch < mark.epoch)
+  const state = topic.producers.get(producer) ?? newProducerState(epoch);
+  topic.producers.set(producer, state);
+  if (epoch < state.epoch)
     throw new FencedError("the topic has an append with a higher epoch");
-  const continues = mark.epoch === epoch && mark.sequence > 0;
-  mark.epoch = epoch;
+  const continues = state.epoch === epoch && state.sequence > 0;
+  state.epoch = epoch;
   if (records.length === 0) return topic.records.length;
   if (continues) {
-    const answered = mark.answers.get(sequence);
+    const answered = state.answers.get(sequence);
     if (answered !== undefined) return answered;
-    const wanted = mark.sequence + 1;
+    const wanted = state.sequence + 1;
     if (sequence !== wanted) throw new SequenceError(req.topic, wanted);
   }
   for (const record of records) {
     topic.records.push({ ...record, offset: topic.records.length });
   }
   const end = topic.records.length;
-  rememberAnswer(mark, sequence, end);
+  rememberAnswer(state, sequence, end);
   return end;
 };
 
@@ -240,14 +240,14 @@
 });
 
 const rememberAnswer = (
-  mark: ProducerState,
+  state: ProducerState,
   sequence: number,
   end: number,
 ): void => {
-  mark.sequence = sequence;
-  mark.answers.delete(sequence);
-  mark.answers.set(sequence, end);
-  if (mark.answers.size <= MAX_REMEMBERED_APPENDS) return;
-  const [oldest] = mark.answers.keys();
-  if (oldest !== undefined) mark.answers.delete(oldest);
+  state.sequence = sequence;
+  state.answers.delete(sequence);
+  state.answers.set(sequence, end);
+  if (state.answers.size <= MAX_REMEMBERED_APPENDS) return;
+  const [oldest] = state.answers.keys();
+  if (oldest !== undefined) state.answers.delete(oldest);
 };
--- a/soak/src/FaultInjector.ts
+++ b/soak/src/FaultInjector.ts
@@ -10,8 +10,8 @@
 import type { SoakWorker } from "./SoakWorker.js";
 
 /** Longer than the side's timeout for one answer, shorter than the leases of some orders. */
-const HOLDS = { share: 0.15, leastMs: 300, mostMs: 3_000 } as const;
-const SHORT_HOLDS = { share: 0.15, leastMs: 5, mostMs: 900 } as const;
+const HOLDS = { share: 0.15, minMs: 300, maxMs: 3_000 } as const;
+const SHORT_HOLDS = { share: 0.15, minMs: 5, maxMs: 900 } as const;
 
 /** Share of the workers that may be lost permanently; the others then do all work. */
 const PERMANENT_LOSS_SHARE = 1 / 3;
--- a/soak/src/FaultyProxy.ts
+++ b/soak/src/FaultyProxy.ts
@@ -15,11 +15,11 @@
 /** The share of chunks that are delayed, and the bounds of the delay. */
 export interface HoldDistribution {
   readonly share: number;
-  readonly leastMs: number;
-  readonly mostMs: number;
+  readonly minMs: number;
+  readonly maxMs: number;
 }
 
-export const NO_HOLDS: HoldDistribution = { share: 0, leastMs: 0, mostMs: 0 };
+export const NO_HOLDS: HoldDistribution = { share: 0, minMs: 0, maxMs: 0 };
 
 /** How new connections are handled while there is no target. */
 export type NoTargetBehavior = "silent" | "reset";
@@ -113,7 +113,8 @@
     const answerPipe = new DelayedPipe(targetSocket, {
       drawHoldMs: () => this.drawHoldMs(this.answerHolds),
       send: (chunk) => void callerSocket.write(chunk),
-      // A caller's connection whose target has closed stays open until it is reset.
+      // While bytes are discarded, the caller's connection stays open until it is reset,
+      // even if the target has closed.
       onDrained: () => {
         if (!answerPipe.isDiscarding) endSoon(callerSocket);
       },
@@ -132,9 +133,9 @@
     targetSocket.on("close", removeIfClosed);
   }
 
-  private drawHoldMs({ share, leastMs, mostMs }: HoldDistribution): number {
+  private drawHoldMs({ share, minMs, maxMs }: HoldDistribution): number {
     if (this.random.next() >= share) return 0;
-    return leastMs + this.random.next() * (mostMs - leastMs);
+    return minMs + this.random.next() * (maxMs - minMs);
   }
 }
 
--- a/soak/src/JobClient.ts
+++ b/soak/src/JobClient.ts
@@ -11,7 +11,7 @@
 
 const CALL_TIMES = {
   /** Timeout of one call, milliseconds. */
-  answerMs: 2_000,
+  timeoutMs: 2_000,
   repeatPauseMs: 100,
   /** How long a call is repeated, milliseconds. */
   repeatForMs: 25_000,
@@ -89,9 +89,9 @@
       method,
       headers: {
         host: QUEUE.hostName,
-        "rackspan-timeout-ms": String(CALL_TIMES.answerMs),
+        "rackspan-timeout-ms": String(CALL_TIMES.timeoutMs),
       },
-      signal: AbortSignal.timeout(CALL_TIMES.answerMs),
+      signal: AbortSignal.timeout(CALL_TIMES.timeoutMs),
     });
     try {
       req.end(body);
--- a/soak/src/JobStream.ts
+++ b/soak/src/JobStream.ts
@@ -7,15 +7,15 @@
 
 const JOB_STREAM = {
   /** Mean interval between two jobs, milliseconds. */
-  gapMs: 170,
+  meanIntervalMs: 170,
   /** Shares of these kinds among the jobs that do not fail. */
-  cancelled: 0.2,
-  lasting: 0.08,
+  cancelledShare: 0.2,
+  lastingShare: 0.08,
   /** Longest time between the acceptance of a job and its cancellation, milliseconds. */
-  cancelWithinMs: 3_000,
-  steps: { least: 2, more: 3 },
-  tasks: { least: 6, more: 3 },
-  runMs: { least: 60, more: 600 },
+  maxCancelDelayMs: 3_000,
+  steps: { min: 2, range: 3 },
+  tasks: { min: 6, range: 3 },
+  runMs: { min: 60, range: 600 },
 } as const;
 
 /** Tasks of a failing job that always fail, as `STEP.INDEX`; several use up their attempts concurrently. */
@@ -58,7 +58,7 @@
       const work = this.drawJob()();
       this.pending.add(work);
       void work.finally(() => this.pending.delete(work));
-      await delay(JOB_STREAM.gapMs * 2 * this.random.next());
+      await delay(JOB_STREAM.meanIntervalMs * 2 * this.random.next());
     }
   }
 
@@ -82,7 +82,7 @@
     this.jobs.push(job);
     const client = clients[pickIndex(random, clients.length)];
     const body = drawBody(kind, random);
-    const cancelAfterMs = random.next() * JOB_STREAM.cancelWithinMs;
+    const cancelAfterMs = random.next() * JOB_STREAM.maxCancelDelayMs;
     return async () => {
       if (!client) return;
       job.isAccepted = (await client.submit(job.id, body)) === true;
@@ -103,8 +103,9 @@
 }
 
 const kindOf = (draw: number): JobKind => {
-  if (draw < JOB_STREAM.cancelled) return "cancelled";
-  if (draw < JOB_STREAM.cancelled + JOB_STREAM.lasting) return "lasting";
+  if (draw < JOB_STREAM.cancelledShare) return "cancelled";
+  if (draw < JOB_STREAM.cancelledShare + JOB_STREAM.lastingShare)
+    return "lasting";
   return "plain";
 };
 
@@ -127,9 +128,9 @@
 };
 
 const drawBetween = (
-  { least, more }: { readonly least: number; readonly more: number },
+  { min, range }: { readonly min: number; readonly range: number },
   random: Random,
-): number => least + pickIndex(random, more);
+): number => min + pickIndex(random, range);
 
 /** @returns 16 hex digits */
 const jobIdOf = (seed: number, number: number): string =>
--- a/soak/src/checkOutcomes.ts
+++ b/soak/src/checkOutcomes.ts
@@ -9,9 +9,9 @@
 const CHECK_TIMES = {
   pollMs: 250,
   /** Time within which all jobs must have ended, milliseconds. */
-  endMs: 60_000,
+  finishMs: 60_000,
   /** Time after which no task of a cancelled job may run, milliseconds. */
-  goneMs: 8_000,
+  stoppedMs: 8_000,
 } as const;
 
 const FINAL_STATES = ["completed", "failed", "cancelled"];
@@ -26,9 +26,12 @@
 /** @returns how many accepted jobs are reported in a final state */
 export const checkOutcomes = async (run: SoakOutcome): Promise<number> => {
   const faultsEndedAt = performance.now();
-  const ended = await checkFinalStates(run, faultsEndedAt + CHECK_TIMES.endMs);
+  const ended = await checkFinalStates(
+    run,
+    faultsEndedAt + CHECK_TIMES.finishMs,
+  );
   await delay(
-    Math.max(0, faultsEndedAt + CHECK_TIMES.goneMs - performance.now()),
+    Math.max(0, faultsEndedAt + CHECK_TIMES.stoppedMs - performance.now()),
   );
   checkCancelledTasksStopped(run);
   checkRecordedEnds(run);
@@ -71,11 +74,11 @@
   history: RunHistory,
 ): boolean => {
   if (state === "cancelled") return isCancelled;
-  const neverCompletes = kind === "failing" || kind === "crashing";
+  const cannotComplete = kind === "failing" || kind === "crashing";
   if (state === "failed") {
-    return neverCompletes || history.mostCrashes(id) >= MIN_CRASHES_TO_FAIL;
+    return cannotComplete || history.mostCrashes(id) >= MIN_CRASHES_TO_FAIL;
   }
-  return !neverCompletes && kind !== "lasting";
+  return !cannotComplete && kind !== "lasting";
 };
 
 const checkCancelledTasksStopped = ({ jobs, history }: SoakOutcome): void => {
--- a/soak/src/runSoak.ts
+++ b/soak/src/runSoak.ts
@@ -17,19 +17,19 @@
 
 const SOAK = {
   entries: 3,
-  hosts: { least: 6, more: 6 },
+  hosts: { min: 6, range: 6 },
   /** Upper bounds of the attempts of a task and of the share of failing jobs, both drawn from the seed. */
-  mostAttempts: 3,
-  mostFailing: 0.9,
+  maxAttempts: 3,
+  maxFailingShare: 0.9,
   /** Share of crashing jobs in the runs that have them. */
-  crashing: 0.12,
+  crashingJobShare: 0.12,
   /** Share of the runs that have crashing jobs. */
-  withCrashing: 0.5,
+  crashingRunShare: 0.5,
   /** Share of the runs whose workers reuse their ids when they start again. */
-  withOneId: 0.7,
+  reusedIdShare: 0.7,
   clients: 4,
   /** Timeout for the start of all processes, milliseconds. */
-  startMs: 30_000,
+  startTimeoutMs: 30_000,
   startPollMs: 250,
 } as const;
 
@@ -118,13 +118,15 @@
 }: SoakOptions): SoakParameters => {
   const random = derivedRandom(seed, "site");
   const hasCrashes =
-    crashingJobs ?? derivedRandom(seed, "crashes").next() < SOAK.withCrashing;
+    crashingJobs ??
+    derivedRandom(seed, "crashes").next() < SOAK.crashingRunShare;
   return {
-    hosts: SOAK.hosts.least + pickIndex(random, SOAK.hosts.more),
-    maxAttempts: 1 + pickIndex(random, SOAK.mostAttempts),
-    failingShare: SOAK.mostFailing * random.next(),
-    crashingShare: hasCrashes ? SOAK.crashing : 0,
-    reusesId: reusesIds ?? derivedRandom(seed, "lives").next() < SOAK.withOneId,
+    hosts: SOAK.hosts.min + pickIndex(random, SOAK.hosts.range),
+    maxAttempts: 1 + pickIndex(random, SOAK.maxAttempts),
+    failingShare: SOAK.maxFailingShare * random.next(),
+    crashingShare: hasCrashes ? SOAK.crashingJobShare : 0,
+    reusesId:
+      reusesIds ?? derivedRandom(seed, "lives").next() < SOAK.reusedIdShare,
   };
 };
 
@@ -135,7 +137,7 @@
   });
 
 const waitUntilServing = async (client: JobClient): Promise<void> => {
-  const deadline = performance.now() + SOAK.startMs;
+  const deadline = performance.now() + SOAK.startTimeoutMs;
   let servingAnswers = 0;
   while (servingAnswers < SOAK.entries * 2) {
     if (performance.now() > deadline)
