--- a/packages/harness/src/Site.ts
+++ b/packages/harness/src/Site.ts
@@ -1,6 +1,6 @@
 /**
- * A whole site in this process: the real entry and side processes' code over
- * loopback, on a stand-in platform. For the demo, benchmarks and tests.
+ * A whole site in this process: the real code of the entry and side processes over
+ * loopback, on a stand-in platform. Used by the demo, benchmarks and tests.
  */
 
 import {
@@ -13,7 +13,7 @@
 import { SideProcess, sideSettingsSchema } from "@rackspan/side";
 import { OperatorSession } from "./OperatorSession.js";
 import type { SiteDescription } from "./siteFile.js";
-import { StandinPlatform, type WorkerPlace } from "./StandinPlatform.js";
+import { StandinPlatform, type WorkerDescription } from "./StandinPlatform.js";
 import { waitUntil } from "./waitUntil.js";
 
 type Overrides = Readonly<Record<string, unknown>>;
@@ -21,12 +21,12 @@
 export interface SiteOptions {
   readonly description: SiteDescription;
   readonly logger?: Logger;
-  /** Settings that differ from the defaults, by group. */
+  /** Settings that override the defaults, by group. */
   readonly entrySettings?: Overrides;
   readonly sideSettings?: Overrides;
 }
 
-/** Short enough that tests and the demo see planned stops end. */
+/** Short enough for planned stops to complete within tests and the demo. */
 const SHORT_DRAIN = { noticeMs: 300, limitMs: 3_000 };
 const ANY_PORT = { address: "127.0.0.1", port: 0 };
 const DEVELOPMENT = { mode: "development" };
@@ -42,7 +42,7 @@
     this.logger = options.logger ?? silentLogger;
   }
 
-  /** Starts everything, and waits until all of it is ready. */
+  /** Starts all processes and waits until they are ready. */
   async start(): Promise<void> {
     await this.platform.start();
     for (const place of this.options.description.workers)
@@ -58,30 +58,30 @@
     );
   }
 
-  /** Where callers come in, one URL for each entry. */
+  /** URLs of the entries for callers. */
   get urls(): readonly string[] {
     return [...this.entries.values()].map(({ url }) => url);
   }
 
   entry(name: string): EntryProcess {
-    return found(this.entries.get(hostId(name)), name);
+    return requireFound(this.entries.get(hostId(name)), name);
   }
 
   side(name: string): SideProcess {
-    return found(this.sides.get(hostId(name)), name);
+    return requireFound(this.sides.get(hostId(name)), name);
   }
 
-  workerPlace(name: string): WorkerPlace {
+  workerDescription(name: string): WorkerDescription {
     const { workers } = this.options.description;
-    return found(
+    return requireFound(
       workers.find(({ host }) => host === name),
       name,
     );
   }
 
   async startSide(name: string, generation = 1): Promise<SideProcess> {
-    const place = this.workerPlace(name);
-    const worker = found(this.platform.workers.get(place.host), name);
+    const place = this.workerDescription(name);
+    const worker = requireFound(this.platform.workers.get(place.host), name);
     const { host, availabilityZone, rack } = place;
     const settings = sideSettingsSchema.parse({
       host,
@@ -106,7 +106,7 @@
 
   async startEntry(name: string): Promise<EntryProcess> {
     const { entries } = this.options.description;
-    const place = found(
+    const place = requireFound(
       entries.find(({ host }) => host === name),
       name,
     );
@@ -129,7 +129,7 @@
     return entry;
   }
 
-  /** A planned stop. */
+  /** Shuts the entry down as in a planned stop. */
   async stopEntry(name: string): Promise<void> {
     const entry = this.entry(name);
     this.entries.delete(hostId(name));
@@ -143,7 +143,7 @@
     await entry.kill();
   }
 
-  /** A planned stop of the side process alone; its worker goes on. */
+  /** Shuts the side process down as in a planned stop; its worker keeps running. */
   async stopSide(name: string): Promise<void> {
     const side = this.side(name);
     this.sides.delete(hostId(name));
@@ -169,10 +169,10 @@
     const sidesReady = [...this.sides.values()].every(
       ({ tasks }) => tasks.ready,
     );
-    return entriesReady && sidesReady && this.knowsAllSides();
+    return entriesReady && sidesReady && this.hasAllSidesReady();
   }
 
-  private knowsAllSides(): boolean {
+  private hasAllSidesReady(): boolean {
     return [...this.entries.values()].every(
       ({ sides }) =>
         sides.views().filter(({ ready }) => ready).length === this.sides.size,
@@ -180,7 +180,7 @@
   }
 }
 
-const found = <T>(value: T | undefined, name: string): T => {
-  if (value === undefined) throw new Error(`this site has no ${name}`);
+const requireFound = <T>(value: T | undefined, name: string): T => {
+  if (value === undefined) throw new Error(`unknown process or host: ${name}`);
   return value;
 };
--- a/packages/harness/src/StandinPlatform.ts
+++ b/packages/harness/src/StandinPlatform.ts
@@ -1,4 +1,4 @@
-/** The whole platform of a site, played by stand-ins in this process. */
+/** The platform of a site: stand-ins of the log, the host list and the workers in this process. */
 
 import { brand, type HostGeneration, type HostId } from "@rackspan/common";
 import type { HostRecord } from "@rackspan/ports";
@@ -14,7 +14,7 @@
 const LONGEST_LEASE_MS = 60_000;
 const FIRST_GENERATION = brand<HostGeneration>(1);
 
-export type WorkerPlace = SiteDescription["workers"][number];
+export type WorkerDescription = SiteDescription["workers"][number];
 
 export class StandinPlatform {
   readonly log = new LogStandin();
@@ -31,8 +31,8 @@
     for (const place of this.site.workers) await this.startWorker(place);
   }
 
-  /** A fresh worker in the place of one that is gone. */
-  async startWorker(place: WorkerPlace): Promise<WorkerStandin> {
+  /** Starts a worker on the host, replacing an earlier one that has ended. */
+  async startWorker(place: WorkerDescription): Promise<WorkerStandin> {
     const { accelerators, host, workerPort } = place;
     const worker = new WorkerStandin({
       name: host,
@@ -46,9 +46,9 @@
     return worker;
   }
 
-  /** Shows an endpoint host on the host list. */
+  /** Adds an endpoint host to the host list. */
   listWorker(
-    place: WorkerPlace,
+    place: WorkerDescription,
     address: string,
     changes: Partial<HostRecord> = {},
   ): void {
--- a/packages/harness/tests/knownRed.test.ts
+++ b/packages/harness/tests/knownRed.test.ts
@@ -1,10 +1,14 @@
 import { test } from "node:test";
 import { expect } from "earl";
-import { judgeOutcomes, MAX_KNOWN_RED, parseKnownRed } from "@rackspan/harness";
+import {
+  compareOutcomes,
+  MAX_KNOWN_RED,
+  parseKnownRed,
+} from "@rackspan/harness";
 
 const LINE = "a task runs once | given back twice | 19 | npm test, no seed";
 
-test("known failures are read line by line, comments and empty lines aside", () => {
+test("known failures are parsed line by line, ignoring comments and empty lines", () => {
   expect(parseKnownRed(`# test | cause\n\n${LINE}\n`)).toEqual([
     {
       test: "a task runs once",
@@ -16,7 +20,7 @@
   expect(parseKnownRed("")).toEqual([]);
 });
 
-test("a known failure without its cause, issue or command is refused", () => {
+test("a known failure without cause, issue or command is rejected", () => {
   expect(() => parseKnownRed("a task runs once | given back twice")).toThrow(
     "is not of the form",
   );
@@ -25,22 +29,24 @@
   );
 });
 
-test("a long list of known failures is refused", () => {
+test("a list with too many known failures is rejected", () => {
   const lines = Array.from({ length: MAX_KNOWN_RED + 1 }, () => LINE);
   expect(() => parseKnownRed(lines.join("\n"))).toThrow("at most");
 });
 
-test("only listed tests may fail, and only while they fail", () => {
+test("unlisted failures and listed tests that do not fail are reported", () => {
   const listed = parseKnownRed(LINE);
   const fails = { test: "a task runs once", passed: false };
-  expect(judgeOutcomes([fails], listed)).toEqual({
+  expect(compareOutcomes([fails], listed)).toEqual({
     unexpected: [],
     knownRed: listed,
-    listedInVain: [],
+    notFailed: [],
   });
   const other = { test: "another", passed: false };
-  expect(judgeOutcomes([fails, other], listed).unexpected).toEqual(["another"]);
-  const mended = { test: "a task runs once", passed: true };
-  expect(judgeOutcomes([mended], listed).listedInVain).toEqual(listed);
-  expect(judgeOutcomes([], listed).listedInVain).toEqual(listed);
+  expect(compareOutcomes([fails, other], listed).unexpected).toEqual([
+    "another",
+  ]);
+  const passing = { test: "a task runs once", passed: true };
+  expect(compareOutcomes([passing], listed).notFailed).toEqual(listed);
+  expect(compareOutcomes([], listed).notFailed).toEqual(listed);
 });
--- a/packages/standins/src/MemoryStore.ts
+++ b/packages/standins/src/MemoryStore.ts
@@ -1,7 +1,7 @@
 /**
- * The platform's store in memory, by its port: keyed topics, stamps of
- * producers, and one group whose only partition has one owner. Faults are
- * switched by tests; time is the clock's.
+ * In-memory implementation of the platform's store: keyed topics, producer stamps,
+ * and one group whose only partition has one owner. Tests switch faults on;
+ * all times are taken from the given clock.
  */
 
 import type { Clock, Epoch, Monotonic } from "@rackspan/common";
@@ -21,20 +21,20 @@
   type TopicName,
 } from "@rackspan/ports";
 
-interface ProducerMark {
+interface ProducerState {
   epoch: number;
-  /** Number of the last append, of whatever epoch; 0 before the first. */
+  /** Number of the last append in any epoch; 0 before the first one. */
   sequence: number;
-  /** The end that each of the last appends was answered with, by its number. */
+  /** The end offset returned for each of the last appends, by number of the append. */
   readonly answers: Map<number, number>;
 }
 
-/** Appends of a producer that may be repeated. */
-const KEPT_ANSWERS = 5;
+/** Number of last appends of a producer that may be repeated without effect. */
+const MAX_REMEMBERED_APPENDS = 5;
 
 interface Topic {
   readonly records: StoredRecord[];
-  readonly producers: Map<string, ProducerMark>;
+  readonly producers: Map<string, ProducerState>;
   readonly waiting: Set<() => void>;
 }
 
@@ -43,17 +43,17 @@
   expiresAt: Monotonic;
 }
 
-/** What becomes of the calls while a fault is on. */
+/** How calls fail while a fault is switched on. */
 export type StoreFault = "none" | "refuses" | "loses-answers" | "silent";
 
-const SILENCE_MS = 500;
+const NO_ANSWER_AFTER_MS = 500;
 
 export class MemoryStore implements StoreClient {
   fault: StoreFault = "none";
-  /** Whether members' times wait, as they may while the store is away. */
+  /** Whether members do not expire, as may happen while the store is unavailable. */
   timesWait = false;
   appends = 0;
-  /** Most records in one answer to a read. */
+  /** Maximum number of records returned by one read. */
   maxReadRecords = Infinity;
   private readonly topics = new Map<TopicName, Topic>();
   private members: GroupMember[] = [];
@@ -63,13 +63,13 @@
   constructor(private readonly clock: Clock) {}
 
   async append(req: AppendRequest): Promise<number> {
-    await this.pass("before");
+    await this.applyFault("before");
     const topic = this.topic(req.topic);
-    const end = appendTo(topic, req);
+    const end = appendChecked(topic, req);
     this.appends += 1;
     for (const wake of topic.waiting) wake();
     topic.waiting.clear();
-    await this.pass("after");
+    await this.applyFault("after");
     return end;
   }
 
@@ -79,7 +79,7 @@
     waitMs,
     signal,
   }: ReadRequest): Promise<ReadResponse> {
-    await this.pass("before");
+    await this.applyFault("before");
     const { records, waiting } = this.topic(topic);
     if (records.length <= from && waitMs > 0) {
       await new Promise<void>((resolve) => {
@@ -93,14 +93,14 @@
       });
     }
     signal?.throwIfAborted();
-    await this.pass("after");
+    await this.applyFault("after");
     const page = records.slice(from, from + this.maxReadRecords);
     const end = Math.max(from, records.length);
     return { records: page, next: from + page.length, end };
   }
 
   async readNewest(topic: TopicName): Promise<RecordPage> {
-    await this.pass("before");
+    await this.applyFault("before");
     const { records } = this.topic(topic);
     const newest = new Map(records.map((record) => [record.key, record]));
     const kept = [...newest.values()].filter(
@@ -110,7 +110,7 @@
   }
 
   async join(req: JoinRequest): Promise<JoinResponse> {
-    await this.pass("before");
+    await this.applyFault("before");
     this.expireMembers();
     const expiresAt = this.clock.monotonic() + req.ttlMs;
     const known = this.members.find(({ name }) => name === req.member);
@@ -121,7 +121,7 @@
     }
     this.ownerName ??= req.member;
     const owns = this.ownerName === req.member;
-    await this.pass("after");
+    await this.applyFault("after");
     return {
       generation: this.generation as unknown as Epoch,
       ownsPartition: owns,
@@ -129,20 +129,20 @@
   }
 
   async leave(_group: string, member: string): Promise<void> {
-    await this.pass("before");
-    this.dropMember(member);
-    await this.pass("after");
+    await this.applyFault("before");
+    this.removeMember(member);
+    await this.applyFault("after");
   }
 
   async owner(): Promise<string | undefined> {
-    await this.pass("before");
+    await this.applyFault("before");
     this.expireMembers();
     return this.ownerName;
   }
 
-  /** Takes the partition from its owner, who is not told. */
+  /** Takes the partition from its owner without notifying it. */
   revoke(): void {
-    if (this.ownerName !== undefined) this.dropMember(this.ownerName);
+    if (this.ownerName !== undefined) this.removeMember(this.ownerName);
   }
 
   recordsOf(topic: TopicName): readonly StoredRecord[] {
@@ -150,10 +150,10 @@
   }
 
   close(): void {
-    // Nothing is open.
+    // There are no resources to close.
   }
 
-  private dropMember(member: string): void {
+  private removeMember(member: string): void {
     const before = this.members.length;
     this.members = this.members.filter(({ name }) => name !== member);
     if (this.members.length === before) return;
@@ -165,7 +165,7 @@
     if (this.timesWait) return;
     const now = this.clock.monotonic();
     for (const { name, expiresAt } of this.members) {
-      if (expiresAt <= now) this.dropMember(name);
+      if (expiresAt <= now) this.removeMember(name);
     }
   }
 
@@ -178,71 +178,76 @@
     return topic;
   }
 
-  private async pass(when: "before" | "after"): Promise<void> {
+  private async applyFault(when: "before" | "after"): Promise<void> {
     switch (this.fault) {
       case "none":
         return;
       case "refuses":
-        if (when === "before") throw new StoreRefusedError("switched off");
+        if (when === "before")
+          throw new StoreRefusedError("the store refuses all calls");
         return;
       case "loses-answers":
         if (when === "before") return;
-        return this.fallSilent();
+        return this.failWithoutAnswer();
       case "silent":
-        return this.fallSilent();
+        return this.failWithoutAnswer();
     }
   }
 
-  private async fallSilent(): Promise<never> {
-    await new Promise<void>((resolve) => this.clock.after(SILENCE_MS, resolve));
+  private async failWithoutAnswer(): Promise<never> {
+    await new Promise<void>((resolve) =>
+      this.clock.after(NO_ANSWER_AFTER_MS, resolve),
+    );
     throw new StoreAnswerLostError("no answer");
   }
 }
 
 /**
- * Only an append with a higher epoch may begin at any number. An empty one sets
- * the epoch, so that the next must follow the last of the epoch before it.
+ * Appends records and checks the producer's stamp. The first append of a higher epoch may
+ * have any sequence number, except after an empty append that set the epoch: the next
+ * append must then follow the last one of the previous epoch.
  */
-const appendTo = (
+const appendChecked = (
   topic: Topic,
   { records, stamp, ...req }: AppendRequest,
 ): number => {
   const { producer, epoch, sequence } = stamp;
-  const mark = topic.producers.get(producer) ?? newMark(epoch);
-  topic.producers.set(producer, mark);
-  if (epoch < mark.epoch) throw new FencedError("a higher epoch was seen");
-  const continues = mark.epoch === epoch && mark.sequence > 0;
-  mark.epoch = epoch;
+  const state = topic.producers.get(producer) ?? newProducerState(epoch);
+  topic.producers.set(producer, state);
+  if (epoch < state.epoch)
+    throw new FencedError("the topic has an append with a higher epoch");
+  const continues = state.epoch === epoch && state.sequence > 0;
+  state.epoch = epoch;
   if (records.length === 0) return topic.records.length;
   if (continues) {
-    const answered = mark.answers.get(sequence);
+    const answered = state.answers.get(sequence);
     if (answered !== undefined) return answered;
-    const wanted = mark.sequence + 1;
+    const wanted = state.sequence + 1;
     if (sequence !== wanted) throw new SequenceError(req.topic, wanted);
   }
   for (const record of records) {
     topic.records.push({ ...record, offset: topic.records.length });
   }
   const end = topic.records.length;
-  noteAnswer(mark, sequence, end);
+  rememberAnswer(state, sequence, end);
   return end;
 };
 
-const newMark = (epoch: number): ProducerMark => ({
+const newProducerState = (epoch: number): ProducerState => ({
   epoch,
   sequence: 0,
   answers: new Map(),
 });
 
-const noteAnswer = (
-  mark: ProducerMark,
+const rememberAnswer = (
+  state: ProducerState,
   sequence: number,
   end: number,
 ): void => {
-  mark.sequence = sequence;
-  mark.answers.delete(sequence);
-  mark.answers.set(sequence, end);
-  if (mark.answers.size <= KEPT_ANSWERS) return;
-  const [oldest] = mark.answers.keys();
-  if (oldest !== undefined) mark.answers.delete(oldest);
+  state.sequence = sequence;
+  state.answers.delete(sequence);
+  state.answers.set(sequence, end);
+  if (state.answers.size <= MAX_REMEMBERED_APPENDS) return;
+  const [oldest] = state.answers.keys();
+  if (oldest !== undefined) state.answers.delete(oldest);
 };
--- a/packages/standins/src/batchProgram.ts
+++ b/packages/standins/src/batchProgram.ts
@@ -1,5 +1,5 @@
 /**
- * A batch job that does numbered steps and can go on from a checkpoint.
+ * A batch job that executes numbered steps and can resume from a checkpoint.
  * Arguments: `steps`, `stepMs`, `failAt` (step at which it always fails),
  * `failOnce` (step at which the first run fails).
  */
@@ -16,20 +16,21 @@
   const steps = numberArg(args, "steps", 10);
   const failAt = numberArg(args, "failAt", -1);
   const failOnce = numberArg(args, "failOnce", -1);
-  const begun = stepFrom(context.checkpoint);
-  let step = begun;
+  const resumedStep = stepFrom(context.checkpoint);
+  let step = resumedStep;
   const stepMs = numberArg(args, "stepMs", 20);
   let share = 1;
   let timer: NodeJS.Timeout;
   const doStep = (): void => {
     const failsNow =
-      step === failAt || (step === failOnce && !tasks.stepsOf(unit).has(step));
+      step === failAt ||
+      (step === failOnce && !tasks.stepCountsOf(unit).has(step));
     if (failsNow || step >= steps) {
-      if (step === failOnce) tasks.step(unit, step);
+      if (step === failOnce) tasks.recordStep(unit, step);
       onEnd(failsNow ? "failed" : "succeeded", `step ${step}`);
       return;
     }
-    tasks.step(unit, step);
+    tasks.recordStep(unit, step);
     step += 1;
     timer = setTimeout(doStep, stepMs / share);
   };
--- a/soak/src/JobClient.ts
+++ b/soak/src/JobClient.ts
@@ -1,6 +1,6 @@
 /**
- * Callers of the site. They keep their connections open until the process is
- * gone, and repeat a call at any entry when they get no clear answer.
+ * A caller of the site. It keeps its connections open until the process at the other end
+ * has exited, and repeats a call at any entry when the outcome is ambiguous.
  */
 
 import { Agent, request, type IncomingMessage } from "node:http";
@@ -9,11 +9,11 @@
 import { pickIndex, type Random } from "@rackspan/common";
 import { QUEUE } from "./SoakSite.js";
 
-const CLIENT = {
-  /** Time for one answer, milliseconds. */
-  answerMs: 2_000,
+const CALL_TIMES = {
+  /** Timeout of one call, milliseconds. */
+  timeoutMs: 2_000,
   repeatPauseMs: 100,
-  /** A call is repeated for this long. */
+  /** How long a call is repeated, milliseconds. */
   repeatForMs: 25_000,
 } as const;
 
@@ -24,15 +24,15 @@
 }
 
 interface Answer {
-  /** 0 when there was none. */
+  /** HTTP status; 0 when there was no answer. */
   readonly status: number;
   readonly body: string;
 }
 
-const isUnclear = ({ status }: Answer): boolean =>
+const isAmbiguous = ({ status }: Answer): boolean =>
   status === 0 || status === 502 || status === 504;
 
-const isAsked = ({ status }: Answer): boolean =>
+const isRejected = ({ status }: Answer): boolean =>
   status === 429 || status === 503;
 
 export class JobClient {
@@ -40,33 +40,33 @@
 
   constructor(private readonly options: JobClientOptions) {}
 
-  /** @returns whether the job was accepted; undefined when that is unclear */
+  /** @returns whether the job was accepted; undefined when that is unknown */
   async submit(id: string, body: object): Promise<boolean | undefined> {
     let mayBeAccepted = false;
     const text = JSON.stringify(body);
-    const giveUpAt = performance.now() + CLIENT.repeatForMs;
-    while (performance.now() < giveUpAt) {
+    const deadline = performance.now() + CALL_TIMES.repeatForMs;
+    while (performance.now() < deadline) {
       const answer = await this.call("POST", id, text);
       if (answer.status >= 200 && answer.status < 300) return true;
-      if (isUnclear(answer)) mayBeAccepted = true;
+      if (isAmbiguous(answer)) mayBeAccepted = true;
       else if (!mayBeAccepted) return false;
-      await delay(CLIENT.repeatPauseMs);
+      await delay(CALL_TIMES.repeatPauseMs);
     }
     return undefined;
   }
 
   /** @returns whether the cancel was acknowledged */
   async cancel(id: string): Promise<boolean> {
-    const giveUpAt = performance.now() + CLIENT.repeatForMs;
-    while (performance.now() < giveUpAt) {
+    const deadline = performance.now() + CALL_TIMES.repeatForMs;
+    while (performance.now() < deadline) {
       const answer = await this.call("DELETE", id);
-      if (!isUnclear(answer) && !isAsked(answer)) return true;
-      await delay(CLIENT.repeatPauseMs);
+      if (!isAmbiguous(answer) && !isRejected(answer)) return true;
+      await delay(CALL_TIMES.repeatPauseMs);
     }
     return false;
   }
 
-  /** @returns its state, or the status of an answer that names none */
+  /** @returns the state of the job, or the HTTP status of any other answer than 200 */
   async stateOf(id: string): Promise<string> {
     const { status, body } = await this.call("GET", id);
     if (status !== 200) return String(status);
@@ -89,9 +89,9 @@
       method,
       headers: {
         host: QUEUE.hostName,
-        "rackspan-timeout-ms": String(CLIENT.answerMs),
+        "rackspan-timeout-ms": String(CALL_TIMES.timeoutMs),
       },
-      signal: AbortSignal.timeout(CLIENT.answerMs),
+      signal: AbortSignal.timeout(CALL_TIMES.timeoutMs),
     });
     try {
       req.end(body);
--- a/soak/src/JobStream.ts
+++ b/soak/src/JobStream.ts
@@ -1,27 +1,27 @@
-/** A stream of jobs, some of which always fail or are cancelled, until it is told to end. */
+/** Submits jobs, some of which always fail or are cancelled, until it is stopped. */
 
 import { setTimeout as delay } from "node:timers/promises";
 import { pickIndex, type Random } from "@rackspan/common";
 import type { JobClient } from "./JobClient.js";
-import { mixedRandom } from "./mixedRandom.js";
-
-const STREAM = {
-  /** Between two jobs, milliseconds on the mean. */
-  gapMs: 170,
-  /** Shares of the jobs that do not fail. */
-  cancelled: 0.2,
-  lasting: 0.08,
-  /** A job is cancelled up to this long after it was accepted, milliseconds. */
-  cancelWithinMs: 3_000,
-  steps: { least: 2, more: 3 },
-  tasks: { least: 6, more: 3 },
-  runMs: { least: 60, more: 600 },
+import { derivedRandom } from "./derivedRandom.js";
+
+const JOB_STREAM = {
+  /** Mean interval between two jobs, milliseconds. */
+  meanIntervalMs: 170,
+  /** Shares of these kinds among the jobs that do not fail. */
+  cancelledShare: 0.2,
+  lastingShare: 0.08,
+  /** Longest time between the acceptance of a job and its cancellation, milliseconds. */
+  maxCancelDelayMs: 3_000,
+  steps: { min: 2, range: 3 },
+  tasks: { min: 6, range: 3 },
+  runMs: { min: 60, range: 600 },
 } as const;
 
-/** Of a failing job, by step and index: they use their attempts up side by side. */
+/** Tasks of a failing job that always fail, as `STEP.INDEX`; several use up their attempts concurrently. */
 const FAILING_TASKS = ["0.0", "0.2", "0.4"];
 
-/** Of a crashing job. */
+/** Tasks of a crashing job that crash their worker, as `STEP.INDEX`. */
 const CRASHING_TASKS = ["0.0"];
 
 export type JobKind =
@@ -37,44 +37,44 @@
 export interface JobStreamOptions {
   readonly seed: number;
   readonly clients: readonly JobClient[];
-  /** Share of all jobs that have tasks which always fail. */
+  /** Share of all jobs that have tasks that always fail. */
   readonly failingShare: number;
-  /** Share of the other jobs with a task that crashes each worker that starts it. */
+  /** Share of the other jobs that have a task that crashes every worker that starts it. */
   readonly crashingShare: number;
 }
 
 export class JobStream {
   readonly jobs: StreamedJob[] = [];
   private readonly random: Random;
-  private readonly open = new Set<Promise<void>>();
-  private isOver = false;
+  private readonly pending = new Set<Promise<void>>();
+  private isStopped = false;
 
   constructor(private readonly options: JobStreamOptions) {
-    this.random = mixedRandom(options.seed, "jobs");
+    this.random = derivedRandom(options.seed, "jobs");
   }
 
   async run(): Promise<void> {
-    while (!this.isOver) {
-      const work = this.draw()();
-      this.open.add(work);
-      void work.finally(() => this.open.delete(work));
-      await delay(STREAM.gapMs * 2 * this.random.next());
+    while (!this.isStopped) {
+      const work = this.drawJob()();
+      this.pending.add(work);
+      void work.finally(() => this.pending.delete(work));
+      await delay(JOB_STREAM.meanIntervalMs * 2 * this.random.next());
     }
   }
 
-  /** Takes no more jobs on; what was begun is played to its end. */
-  async end(): Promise<void> {
-    this.isOver = true;
-    await Promise.all(this.open);
+  /** Submits no more jobs, and waits for the pending submissions and cancellations. */
+  async stop(): Promise<void> {
+    this.isStopped = true;
+    await Promise.all(this.pending);
   }
 
-  private draw(): () => Promise<void> {
+  private drawJob(): () => Promise<void> {
     const { random } = this;
     const { seed, clients, failingShare } = this.options;
     const fails = random.next() < failingShare;
     const kind = fails ? "failing" : this.drawKind();
     const job: StreamedJob = {
-      id: idOf(seed, this.jobs.length),
+      id: jobIdOf(seed, this.jobs.length),
       kind,
       isAccepted: false,
       isCancelled: false,
@@ -82,7 +82,7 @@
     this.jobs.push(job);
     const client = clients[pickIndex(random, clients.length)];
     const body = drawBody(kind, random);
-    const cancelAfterMs = random.next() * STREAM.cancelWithinMs;
+    const cancelAfterMs = random.next() * JOB_STREAM.maxCancelDelayMs;
     return async () => {
       if (!client) return;
       job.isAccepted = (await client.submit(job.id, body)) === true;
@@ -92,28 +92,29 @@
     };
   }
 
-  /** @returns the kind of a job that does not fail by itself */
+  /** @returns the kind of a job that is not of the kind `failing` */
   private drawKind(): JobKind {
     const { random, options } = this;
     const { crashingShare } = options;
-    // Drawn only where such jobs come, so that a seed's other draws stay as they were.
+    // Drawn only if crashing jobs are enabled, so that the other draws of existing seeds stay the same.
     if (crashingShare > 0 && random.next() < crashingShare) return "crashing";
     return kindOf(random.next());
   }
 }
 
 const kindOf = (draw: number): JobKind => {
-  if (draw < STREAM.cancelled) return "cancelled";
-  if (draw < STREAM.cancelled + STREAM.lasting) return "lasting";
+  if (draw < JOB_STREAM.cancelledShare) return "cancelled";
+  if (draw < JOB_STREAM.cancelledShare + JOB_STREAM.lastingShare)
+    return "lasting";
   return "plain";
 };
 
 const drawBody = (kind: JobKind, random: Random): object => {
-  const ms = between(STREAM.runMs, random);
-  const count = between(STREAM.steps, random);
+  const ms = drawBetween(JOB_STREAM.runMs, random);
+  const count = drawBetween(JOB_STREAM.steps, random);
   const isLasting = kind === "lasting";
   const steps = Array.from({ length: isLasting ? 1 : count }, (_, at) => ({
-    count: isLasting ? 2 : between(STREAM.tasks, random),
+    count: isLasting ? 2 : drawBetween(JOB_STREAM.tasks, random),
     cpu: isLasting ? 100 : 1_000,
     mem_mb: 100,
     estimate_ms: ms,
@@ -126,11 +127,11 @@
   return { spec: JSON.stringify(work), steps };
 };
 
-const between = (
-  { least, more }: { readonly least: number; readonly more: number },
+const drawBetween = (
+  { min, range }: { readonly min: number; readonly range: number },
   random: Random,
-): number => least + pickIndex(random, more);
+): number => min + pickIndex(random, range);
 
-/** 16 hex digits. */
-const idOf = (seed: number, number: number): string =>
+/** @returns 16 hex digits */
+const jobIdOf = (seed: number, number: number): string =>
   seed.toString(16).padStart(8, "0") + number.toString(16).padStart(8, "0");
--- a/soak/src/faults.ts
+++ b/soak/src/faults.ts
@@ -1,6 +1,6 @@
-/** The faults of a run, drawn before it begins. */
+/** The faults of a soak run, drawn before it starts. */
 
-import { mixedRandom } from "./mixedRandom.js";
+import { derivedRandom } from "./derivedRandom.js";
 
 export type FaultKind =
   | "newLives"
@@ -20,62 +20,134 @@
 
 export interface Fault {
   readonly kind: FaultKind;
-  /** Milliseconds since the faults began. */
+  /** Start of the fault, in milliseconds after the injection of faults started. */
   readonly at: number;
-  /** How long it lasts, milliseconds. */
-  readonly forMs: number;
-  /** Decides which hosts or entries it affects, in [0, 1). */
+  /** How long the fault lasts, milliseconds. */
+  readonly durationMs: number;
+  /** Seed that selects the affected hosts or entries, in [0, 1). */
   readonly draw: number;
 }
 
-interface Series {
-  /** The share of runs that have it. */
-  readonly share: number;
-  /** Between two faults of the series, milliseconds on the mean. */
-  readonly everyMs: number;
-  readonly leastMs: number;
-  readonly mostMs: number;
+interface FaultSeries {
+  /** The share of soak runs that include the series. */
+  readonly runShare: number;
+  /** Mean interval between two faults of the series, milliseconds. */
+  readonly meanIntervalMs: number;
+  readonly minDurationMs: number;
+  readonly maxDurationMs: number;
 }
 
-/** Series overlap; each goes on from begin to end of the faults. */
-export const SERIES: Readonly<Record<FaultKind, Series>> = {
-  newLives: { share: 0.7, everyMs: 2_500, leastMs: 20, mostMs: 600 },
-  lateCalls: { share: 0.5, everyMs: 2_000, leastMs: 500, mostMs: 2_000 },
-  lateAnswers: { share: 0.5, everyMs: 2_000, leastMs: 500, mostMs: 2_000 },
-  // Less than the leadership's lease, so that it leads on.
-  frozenLeader: { share: 0.6, everyMs: 1_500, leastMs: 300, mostMs: 900 },
-  frozenSides: { share: 0.4, everyMs: 3_000, leastMs: 200, mostMs: 1_500 },
-  brokenConnections: { share: 0.4, everyMs: 2_000, leastMs: 0, mostMs: 0 },
-  halfOpen: { share: 0.3, everyMs: 3_000, leastMs: 300, mostMs: 2_000 },
-  killedEntry: { share: 0.3, everyMs: 8_000, leastMs: 100, mostMs: 2_000 },
-  stoppedEntry: { share: 0.2, everyMs: 8_000, leastMs: 100, mostMs: 2_000 },
-  killedSides: { share: 0.3, everyMs: 4_000, leastMs: 50, mostMs: 1_000 },
-  // New ones come last, so that what seeds draw before them stays as it is. Long enough
-  // that starts past the time that the operator allows would show.
-  evacuatedZone: { share: 0.4, everyMs: 5_000, leastMs: 100, mostMs: 9_000 },
-  livesAtOnce: { share: 0.5, everyMs: 2_500, leastMs: 1, mostMs: 900 },
-  // Longer than the leadership's lease, so that another entry leads.
-  lostLeader: { share: 0.4, everyMs: 5_000, leastMs: 2_600, mostMs: 5_000 },
-  silentWorkers: { share: 0.4, everyMs: 4_000, leastMs: 500, mostMs: 12_000 },
+/** Series overlap; each lasts for the whole time in which faults are injected. */
+export const FAULT_SERIES: Readonly<Record<FaultKind, FaultSeries>> = {
+  newLives: {
+    runShare: 0.7,
+    meanIntervalMs: 2_500,
+    minDurationMs: 20,
+    maxDurationMs: 600,
+  },
+  lateCalls: {
+    runShare: 0.5,
+    meanIntervalMs: 2_000,
+    minDurationMs: 500,
+    maxDurationMs: 2_000,
+  },
+  lateAnswers: {
+    runShare: 0.5,
+    meanIntervalMs: 2_000,
+    minDurationMs: 500,
+    maxDurationMs: 2_000,
+  },
+  // Shorter than the leadership's lease, so that the leader keeps it.
+  frozenLeader: {
+    runShare: 0.6,
+    meanIntervalMs: 1_500,
+    minDurationMs: 300,
+    maxDurationMs: 900,
+  },
+  frozenSides: {
+    runShare: 0.4,
+    meanIntervalMs: 3_000,
+    minDurationMs: 200,
+    maxDurationMs: 1_500,
+  },
+  brokenConnections: {
+    runShare: 0.4,
+    meanIntervalMs: 2_000,
+    minDurationMs: 0,
+    maxDurationMs: 0,
+  },
+  halfOpen: {
+    runShare: 0.3,
+    meanIntervalMs: 3_000,
+    minDurationMs: 300,
+    maxDurationMs: 2_000,
+  },
+  killedEntry: {
+    runShare: 0.3,
+    meanIntervalMs: 8_000,
+    minDurationMs: 100,
+    maxDurationMs: 2_000,
+  },
+  stoppedEntry: {
+    runShare: 0.2,
+    meanIntervalMs: 8_000,
+    minDurationMs: 100,
+    maxDurationMs: 2_000,
+  },
+  killedSides: {
+    runShare: 0.3,
+    meanIntervalMs: 4_000,
+    minDurationMs: 50,
+    maxDurationMs: 1_000,
+  },
+  // New series are appended, so that existing seeds draw the same faults as before.
+  // Evacuations are long enough to expose starts after the time that the operator allows.
+  evacuatedZone: {
+    runShare: 0.4,
+    meanIntervalMs: 5_000,
+    minDurationMs: 100,
+    maxDurationMs: 9_000,
+  },
+  livesAtOnce: {
+    runShare: 0.5,
+    meanIntervalMs: 2_500,
+    minDurationMs: 1,
+    maxDurationMs: 900,
+  },
+  // Longer than the leadership's lease, so that another entry becomes leader.
+  lostLeader: {
+    runShare: 0.4,
+    meanIntervalMs: 5_000,
+    minDurationMs: 2_600,
+    maxDurationMs: 5_000,
+  },
+  silentWorkers: {
+    runShare: 0.4,
+    meanIntervalMs: 4_000,
+    minDurationMs: 500,
+    maxDurationMs: 12_000,
+  },
 };
 
-/** @param only the series to play; drawn when undefined */
+/** @param only the series to include; drawn from the seed when undefined */
 export const drawFaults = (
   seed: number,
   seconds: number,
   only?: readonly FaultKind[],
 ): Fault[] => {
-  const random = mixedRandom(seed, "faults");
+  const random = derivedRandom(seed, "faults");
   const faults: Fault[] = [];
-  for (const kind of Object.keys(SERIES) as FaultKind[]) {
-    const { share, everyMs, leastMs, mostMs } = SERIES[kind];
-    const isDrawn = random.next() < share;
+  for (const kind of Object.keys(FAULT_SERIES) as FaultKind[]) {
+    const { runShare, meanIntervalMs, minDurationMs, maxDurationMs } =
+      FAULT_SERIES[kind];
+    const isDrawn = random.next() < runShare;
     if (only ? !only.includes(kind) : !isDrawn) continue;
-    let at = random.next() * everyMs;
+    let at = random.next() * meanIntervalMs;
     while (at < seconds * 1_000) {
-      const forMs = leastMs + random.next() * (mostMs - leastMs);
-      faults.push({ kind, at, forMs, draw: random.next() });
-      at += everyMs * (0.5 + random.next());
+      const durationMs =
+        minDurationMs + random.next() * (maxDurationMs - minDurationMs);
+      faults.push({ kind, at, durationMs, draw: random.next() });
+      at += meanIntervalMs * (0.5 + random.next());
     }
   }
   return faults.sort((one, other) => one.at - other.at);
--- a/soak/src/index.ts
+++ b/soak/src/index.ts
@@ -1,5 +1,5 @@
 export { killAllProcesses } from "./ManagedProcess.js";
-export { playSoak, type SoakOptions, type SoakResult } from "./playSoak.js";
-export { Programs, ProgramsMissingError } from "./Programs.js";
+export { runSoak, type SoakOptions, type SoakResult } from "./runSoak.js";
+export { BundledPrograms, ProgramsMissingError } from "./BundledPrograms.js";
 export { drawFaults, type Fault, type FaultKind } from "./faults.js";
-export { mixedRandom } from "./mixedRandom.js";
+export { derivedRandom } from "./derivedRandom.js";
--- a/soak/src/settings.ts
+++ b/soak/src/settings.ts
@@ -1,6 +1,6 @@
-/** Settings of the programs, as the deployment's templates would render them. */
+/** Builds the settings files of the programs, as the deployment's templates render them. */
 
-/** The site's bounds, milliseconds but where the name says otherwise. */
+/** Time limits of the site, in milliseconds unless the name has another unit. */
 export const BOUNDS = {
   leaseMs: 6_000,
   stopMs: 200,
@@ -9,7 +9,7 @@
   graceSeconds: 3,
 } as const;
 
-export interface EntryPlace {
+export interface EntryLocation {
   readonly name: string;
   readonly ip: string;
   readonly callersPort: number;
@@ -17,7 +17,7 @@
   readonly store: string;
 }
 
-export const entrySettings = (at: EntryPlace): object => ({
+export const entrySettings = (at: EntryLocation): object => ({
   entry: at.name,
   availabilityZone: "z",
   platform: { client: "hosted", store: at.store },
@@ -28,7 +28,7 @@
   graceSeconds: BOUNDS.graceSeconds,
 });
 
-export interface SidePlace {
+export interface SideLocation {
   readonly host: string;
   readonly zone: string;
   readonly store: string;
@@ -39,10 +39,13 @@
 }
 
 /**
- * @param knowsLeases whether the program's settings have the bounds of leases;
- * earlier programs refuse a field that they do not know
+ * @param knowsLeases whether the program's settings have the time limits of leases;
+ * earlier versions reject unknown fields
  */
-export const sideSettings = (at: SidePlace, knowsLeases: boolean): object => ({
+export const sideSettings = (
+  at: SideLocation,
+  knowsLeases: boolean,
+): object => ({
   host: at.host,
   availabilityZone: at.zone,
   platform: { client: "hosted", store: at.store },
