--- a/packages/checker/src/jobs/GangBook.ts
+++ b/packages/checker/src/jobs/GangRunTracker.ts
@@ -27,7 +27,7 @@
   isOver: boolean;
 }
 
-export class GangBook {
+export class GangRunTracker {
   private readonly groups = new Map<string, Group>();
 
   constructor(private readonly clock: Clock) {}
@@ -43,7 +43,7 @@
   }
 
   /** Removes a member that has ended, or whose worker has ended; the other members then end too. */
-  left(key: string, task: JobTaskId): void {
+  memberEnded(key: string, task: JobTaskId): void {
     const group = this.groups.get(key);
     if (!group?.members.delete(task) || !group.hasBegun) return;
     if (group.isOver) return;
--- a/packages/checker/src/jobs/HostModel.ts
+++ b/packages/checker/src/jobs/HostModel.ts
@@ -18,9 +18,9 @@
 import {
   FencedTaskHost,
   Pacer,
-  TaskOrders,
+  TaskOrderHandler,
   WorkerRegistry,
-  WorkerWatch,
+  WorkerPoller,
   type WorkerHeartbeat,
 } from "@rackspan/side";
 import type { LeaderModel } from "./LeaderModel.js";
@@ -66,8 +66,8 @@
 /** The components of one side process. */
 interface SideProcess {
   readonly registry: WorkerRegistry;
-  readonly watch: WorkerWatch;
-  readonly orders: TaskOrders;
+  readonly watch: WorkerPoller;
+  readonly orders: TaskOrderHandler;
   readonly abort: AbortController;
 }
 
@@ -189,14 +189,19 @@
     const host = new FencedTaskHost({ host: worker, clock });
     const base = { host, clock, logger, metrics };
     const pacer = new Pacer({ ...base, tailGraceMs: 4_000, tailAim: 0.9 });
-    const watch = new WorkerWatch({
+    const watch = new WorkerPoller({
       ...base,
       registry,
       pacer,
       unattendedLeaseMs: this.options.unattendedLeaseMs,
       longestLeaseMs: this.options.longestLeaseMs,
     });
-    const orders = new TaskOrders({ ...base, registry, poller: watch, pacer });
+    const orders = new TaskOrderHandler({
+      ...base,
+      registry,
+      poller: watch,
+      pacer,
+    });
     const abort = new AbortController();
     const side = { registry, watch, orders, abort };
     watch.start();
@@ -399,7 +404,7 @@
 }
 
 const applyGrant = (
-  watch: WorkerWatch,
+  watch: WorkerPoller,
   { instance }: WorkerDescription,
   { leaseUntil, acknowledged }: Grant,
 ): void => {
--- a/packages/checker/src/jobs/JobWorld.ts
+++ b/packages/checker/src/jobs/JobWorld.ts
@@ -18,7 +18,7 @@
   RepeatSpec,
   StepSpec,
 } from "@rackspan/state";
-import { GangBook } from "./GangBook.js";
+import { GangRunTracker } from "./GangRunTracker.js";
 import { HostModel } from "./HostModel.js";
 import { LEADERSHIP, VIEW_LAG_MS } from "./LeaderModel.js";
 import { LeaderSuccession } from "./LeaderSuccession.js";
@@ -90,7 +90,7 @@
   readonly clock = new ManualClock();
   readonly store = new MemoryStore(this.clock);
   readonly history = new RunHistory();
-  private readonly gangs = new GangBook(this.clock);
+  private readonly gangs = new GangRunTracker(this.clock);
   readonly hosts: HostModel[];
   readonly random: SeededRandom;
   readonly jobs: SubmittedJobs;
@@ -155,7 +155,7 @@
       if (this.random.next() >= share || !host.worker.isUp) continue;
       host.worker.crash();
       this.clock.after(downMs * (0.5 + this.random.next()), () =>
-        host.worker.revive(),
+        host.worker.restart(),
       );
     }
   }
@@ -167,7 +167,7 @@
   loseWorker(downMs: number): void {
     this.silenceWorker(
       ({ worker }) => worker.crash(),
-      ({ worker }) => worker.revive(),
+      ({ worker }) => worker.restart(),
       downMs,
     );
   }
@@ -230,7 +230,7 @@
     const crash = (): void => {
       if (!worker.isUp) return;
       worker.crash();
-      worker.revive();
+      worker.restart();
     };
     crash();
     this.clock.after(ms, crash);
@@ -244,8 +244,8 @@
 
   delayOrders(ms: number): void {
     const host = this.pickHost();
-    host.worker.lateOrders = true;
-    this.clock.after(ms, () => (host.worker.lateOrders = false));
+    host.worker.delaysOrders = true;
+    this.clock.after(ms, () => (host.worker.delaysOrders = false));
   }
 
   /** @param overlapMs how long the previous side runs beside the new one, milliseconds */
@@ -267,7 +267,7 @@
       host.draining = false;
       if (host.worker.instance !== instance || !host.worker.isUp) return;
       host.deregister(lingerMs);
-      this.clock.after(lingerMs + downMs, () => host.worker.revive());
+      this.clock.after(lingerMs + downMs, () => host.worker.restart());
     });
   }
 
@@ -292,11 +292,11 @@
     const number = this.evacuations;
     this.lastEvacuation.set(zone, number);
     for (const { host } of hosts)
-      history.noteEvacuated(host, clock.monotonic());
+      history.recordEvacuation(host, clock.monotonic());
     clock.after(this.random.next() * VIEW_LAG_MS, () => evacuated.add(zone));
     clock.after(VIEW_LAG_MS + ms, () => {
       if (this.lastEvacuation.get(zone) !== number) return;
-      for (const { host } of hosts) history.noteTakenBack(host);
+      for (const { host } of hosts) history.recordEvacuationEnd(host);
       evacuated.delete(zone);
       this.leaders.sendToLeader((leader) => leader.handleOperatorChange());
     });
@@ -337,7 +337,7 @@
     const crash = (): void => {
       if (!worker.isUp) return;
       worker.crash();
-      this.clock.after(backMs, () => worker.revive());
+      this.clock.after(backMs, () => worker.restart());
     };
     host.maxHeartbeatDelayMs = maxDelayMs;
     this.clock.after(maxDelayMs / 3, crash);
--- a/packages/checker/src/jobs/RestartDelayChecker.ts
+++ b/packages/checker/src/jobs/RestartDelayChecker.ts
@@ -9,7 +9,7 @@
 import { ENGINE } from "@rackspan/scheduling";
 import type { HostModel } from "./HostModel.js";
 import type { LeaderModel } from "./LeaderModel.js";
-import { wasLost, type RunHistory, type RunSeen } from "./RunHistory.js";
+import { wasLost, type RunHistory, type ObservedRun } from "./RunHistory.js";
 
 const DELAY_LIMITS = {
   /** Time for the report to a leader, its next scheduling cycle and the order, milliseconds. */
@@ -20,7 +20,7 @@
 
 /** A run on a worker that has become silent. */
 interface LostRun {
-  readonly seen: RunSeen;
+  readonly seen: ObservedRun;
   readonly host: HostModel;
   readonly silentSince: Monotonic;
   /** When a start of the task was last ordered. */
@@ -45,7 +45,7 @@
   constructor(private readonly options: RestartDelayCheckerOptions) {}
 
   /** Records a worker that has just become silent. @param runs its open runs */
-  recordSilent(host: HostModel, runs: readonly RunSeen[]): void {
+  recordSilent(host: HostModel, runs: readonly ObservedRun[]): void {
     const { silentSince } = host.worker;
     if (silentSince === undefined) return;
     const lost = runs.filter((run) => !this.wasLostBefore(run));
@@ -82,7 +82,7 @@
   }
 
   /** A task that was lost before may be a suspect, which waits for a host of its own. */
-  private wasLostBefore(lost: RunSeen): boolean {
+  private wasLostBefore(lost: ObservedRun): boolean {
     const runs = this.options.history.runsOf(lost.task);
     return runs.some((run) => run !== lost && wasLost(run));
   }
--- a/packages/checker/src/jobs/RunHistory.ts
+++ b/packages/checker/src/jobs/RunHistory.ts
@@ -4,7 +4,7 @@
 import type { RunOutcome } from "@rackspan/ports";
 
 /** One run at one incarnation of a worker. */
-export interface RunSeen {
+export interface ObservedRun {
   readonly task: JobTaskId;
   readonly run: RunNumber;
   readonly host: HostId;
@@ -13,7 +13,7 @@
   /** Undefined while the run goes on, and when its worker crashed. */
   outcome: RunOutcome | undefined;
   /** Whether the leader acknowledged the end while the worker's lease was still unbroken. */
-  noted: boolean;
+  endAcknowledged: boolean;
 }
 
 export interface JobViolation {
@@ -44,19 +44,19 @@
 
 export class RunHistory {
   readonly violations: JobViolation[] = [];
-  private readonly byTask = new Map<JobTaskId, RunSeen[]>();
+  private readonly byTask = new Map<JobTaskId, ObservedRun[]>();
   /** Hosts of evacuated availability zones, with the time of the evacuation request. */
   private readonly evacuated = new Map<HostId, Monotonic>();
 
-  noteEvacuated(host: HostId, at: Monotonic): void {
+  recordEvacuation(host: HostId, at: Monotonic): void {
     if (!this.evacuated.has(host)) this.evacuated.set(host, at);
   }
 
-  noteTakenBack(host: HostId): void {
+  recordEvacuationEnd(host: HostId): void {
     this.evacuated.delete(host);
   }
 
-  begin(seen: RunSeen): void {
+  begin(seen: ObservedRun): void {
     const since = this.evacuated.get(seen.host) ?? Infinity;
     if (seen.beganAt - since > EVACUATION_GRACE_MS) {
       this.add("evacuated", seen.beganAt, show(seen));
@@ -72,12 +72,12 @@
     this.violations.push({ kind, at, detail });
   }
 
-  runsOf(task: JobTaskId): readonly RunSeen[] {
+  runsOf(task: JobTaskId): readonly ObservedRun[] {
     return this.byTask.get(task) ?? [];
   }
 
   /** Runs that have not ended. */
-  openRuns(): readonly RunSeen[] {
+  openRuns(): readonly ObservedRun[] {
     return [...this.byTask.values()]
       .flat()
       .filter(({ endedAt }) => endedAt === undefined);
@@ -111,7 +111,7 @@
   }
 
   /** Largest number of runs of any one task of the job that ended by a crash of the worker. */
-  mostCrashes(job: string): number {
+  maxTaskCrashes(job: string): number {
     const crashes = [...this.byTask]
       .filter(([task]) => task.startsWith(`${job}.`))
       .map(([, runs]) => runs.filter(wasCrashed).length);
@@ -126,13 +126,15 @@
   }
 
   private checkBegin(
-    run: RunSeen,
-    runs: readonly RunSeen[],
+    run: ObservedRun,
+    runs: readonly ObservedRun[],
     maxAttempts: number,
-    ofGang: readonly RunSeen[],
+    ofGang: readonly ObservedRun[],
   ): void {
-    const isBefore = ({ noted, endedAt }: RunSeen): boolean =>
-      noted && (endedAt ?? Infinity) < run.beganAt;
+    const isBefore = ({
+      endAcknowledged: noted,
+      endedAt,
+    }: ObservedRun): boolean => noted && (endedAt ?? Infinity) < run.beganAt;
     const endedBefore = runs.filter(isBefore);
     // The end of one gang member counts for all members.
     const done = [...endedBefore, ...ofGang.filter(isBefore)].find(
@@ -156,10 +158,10 @@
 }
 
 /** Whether the run ended by a crash of its worker or by the expiry of the worker's lease. */
-export const wasLost = (run: RunSeen): boolean =>
+export const wasLost = (run: ObservedRun): boolean =>
   wasCrashed(run) || run.outcome === "lapsed";
 
-const wasCrashed = ({ endedAt, outcome }: RunSeen): boolean =>
+const wasCrashed = ({ endedAt, outcome }: ObservedRun): boolean =>
   endedAt !== undefined && outcome === undefined;
 
 const show = ({
@@ -169,5 +171,5 @@
   beganAt,
   endedAt,
   outcome,
-}: RunSeen): string =>
+}: ObservedRun): string =>
   `${task}#${run} at ${host} from ${Math.round(beganAt)} to ${endedAt === undefined ? "now" : Math.round(endedAt)} ${outcome ?? ""}`;
--- a/packages/checker/src/jobs/SubmittedJobs.ts
+++ b/packages/checker/src/jobs/SubmittedJobs.ts
@@ -155,7 +155,7 @@
       crashes,
       gang: gang ? { size, runMs, fails } : undefined,
       reading: filling ? demand.milliCores : tailTargetMs / 2,
-      saves: step.checkpointing,
+      savesCheckpoints: step.checkpointing,
     };
   }
 
--- a/packages/checker/src/jobs/TaskRunner.ts
+++ b/packages/checker/src/jobs/TaskRunner.ts
@@ -8,8 +8,8 @@
   type RunStart,
   type StartOutcome,
 } from "@rackspan/ports";
-import type { GangBook } from "./GangBook.js";
-import type { RunHistory, RunSeen } from "./RunHistory.js";
+import type { GangRunTracker } from "./GangRunTracker.js";
+import type { RunHistory, ObservedRun } from "./RunHistory.js";
 import type { TaskTraits } from "./TaskTraits.js";
 import type { RunningTask, WorkerIncarnation } from "./WorkerIncarnation.js";
 import type { WorkerCapacity } from "./WorkerCapacity.js";
@@ -18,7 +18,7 @@
   readonly host: HostId;
   readonly clock: Clock;
   readonly history: RunHistory;
-  readonly gangs: GangBook;
+  readonly gangs: GangRunTracker;
   readonly capacity: WorkerCapacity;
   readonly traitsOf: (task: JobTaskId) => TaskTraits;
   /** Whether the worker is up with that incarnation. */
@@ -76,21 +76,21 @@
     incarnation.running.clear();
     for (const { seen, ref, gangKey } of lost) {
       seen.endedAt = clock.monotonic();
-      if (gangKey !== undefined) gangs.left(gangKey, ref.task);
+      if (gangKey !== undefined) gangs.memberEnded(gangKey, ref.task);
     }
   }
 
   private run(incarnation: WorkerIncarnation, { task, run }: RunRef): void {
     const { clock, history, host, traitsOf } = this.options;
     const traits = traitsOf(task);
-    const seen: RunSeen = {
+    const seen: ObservedRun = {
       task,
       run,
       host,
       beganAt: clock.monotonic(),
       endedAt: undefined,
       outcome: undefined,
-      noted: false,
+      endAcknowledged: false,
     };
     const gangKey = traits.gang && `${stepOf(task)}#${run}`;
     const running = { ref: { task, run }, seen, traits, gangKey };
@@ -112,7 +112,7 @@
 
   private checkCapacity(
     { running }: WorkerIncarnation,
-    { beganAt }: RunSeen,
+    { beganAt }: ObservedRun,
   ): void {
     const { history, host, capacity } = this.options;
     const taken = [...running.values()].reduce(
@@ -145,7 +145,8 @@
     seen.endedAt = this.options.clock.monotonic();
     seen.outcome = outcome;
     incarnation.listEnd(running, outcome);
-    if (gangKey !== undefined) this.options.gangs.left(gangKey, ref.task);
+    if (gangKey !== undefined)
+      this.options.gangs.memberEnded(gangKey, ref.task);
     incarnation.wakePolls();
   }
 }
--- a/packages/checker/src/jobs/TaskTraits.ts
+++ b/packages/checker/src/jobs/TaskTraits.ts
@@ -1,6 +1,6 @@
 /** The properties of a task that a modelled worker uses. */
 
-import type { GangRun } from "./GangBook.js";
+import type { GangRun } from "./GangRunTracker.js";
 
 /** The demand of a task and the course of its run; looked up by the task's id. */
 export interface TaskTraits {
@@ -15,5 +15,5 @@
   readonly gang: Omit<GangRun, "key"> | undefined;
   /** The reading that workers list for the task; see TaskHost. */
   readonly reading: number;
-  readonly saves: boolean;
+  readonly savesCheckpoints: boolean;
 }
--- a/packages/checker/src/jobs/WorkerIncarnation.ts
+++ b/packages/checker/src/jobs/WorkerIncarnation.ts
@@ -11,7 +11,7 @@
   WorkerTime,
 } from "@rackspan/common";
 import type { EndedRun, RunOutcome, RunRef } from "@rackspan/ports";
-import type { RunSeen } from "./RunHistory.js";
+import type { ObservedRun } from "./RunHistory.js";
 import type { TaskTraits } from "./TaskTraits.js";
 
 const INCARNATION_LIMITS = {
@@ -24,7 +24,7 @@
 
 export interface RunningTask {
   readonly ref: RunRef;
-  readonly seen: RunSeen;
+  readonly seen: ObservedRun;
   readonly traits: TaskTraits;
   readonly gangKey: string | undefined;
 }
@@ -45,10 +45,10 @@
   private readonly clockStart: number;
   private readonly clockRate: number;
   private readonly fencedRuns = new Map<JobTaskId, RunNumber>();
-  private ended: { readonly end: EndedRun; readonly seen: RunSeen }[] = [];
+  private ended: { readonly end: EndedRun; readonly seen: ObservedRun }[] = [];
   private endCount = 0;
   /** Runs whose ends were not acknowledged before the lease expired. */
-  private readonly expiredEnds = new WeakSet<RunSeen>();
+  private readonly expiredEnds = new WeakSet<ObservedRun>();
   private leaseUntil = 0;
   private leaseTimer: Timer | undefined;
   private readonly pollWaiters = new Set<() => void>();
@@ -97,7 +97,7 @@
   dropAcknowledgedEnds(acknowledged: number): void {
     for (const { end, seen } of this.ended) {
       if (end.number <= acknowledged && !this.expiredEnds.has(seen))
-        seen.noted = true;
+        seen.endAcknowledged = true;
     }
     this.ended = this.ended.filter(({ end }) => end.number > acknowledged);
   }
--- a/packages/checker/src/jobs/WorkerModel.ts
+++ b/packages/checker/src/jobs/WorkerModel.ts
@@ -28,7 +28,7 @@
   type TaskHost,
 } from "@rackspan/ports";
 import { latestLeaseExpiry } from "@rackspan/leadership";
-import type { GangBook } from "./GangBook.js";
+import type { GangRunTracker } from "./GangRunTracker.js";
 import type { RunHistory } from "./RunHistory.js";
 import { TaskRunner } from "./TaskRunner.js";
 import type { TaskTraits } from "./TaskTraits.js";
@@ -40,7 +40,7 @@
   readonly clock: Clock;
   readonly random: Random;
   readonly history: RunHistory;
-  readonly gangs: GangBook;
+  readonly gangs: GangRunTracker;
   readonly milliCores: number;
   readonly traitsOf: (task: JobTaskId) => TaskTraits;
   readonly incarnations?: IncarnationOptions;
@@ -87,7 +87,7 @@
 
 export class WorkerModel implements TaskHost {
   /** Whether orders may be executed late, without an answer. */
-  lateOrders = false;
+  delaysOrders = false;
   /** Since when the worker is unreachable; undefined while it is reachable. */
   silentSince: Monotonic | undefined;
   /** When the worker became reachable again. */
@@ -195,12 +195,12 @@
     this.crash();
     this.refusesConnections = true;
     this.options.clock.after(backMs, () => {
-      if (!this.up) this.revive();
+      if (!this.up) this.restart();
     });
   }
 
   /** Starts a new incarnation; one that is up crashes first. */
-  revive(): void {
+  restart(): void {
     if (this.up) this.crash();
     this.incarnation = this.createIncarnation();
     this.sentLeasesExpireBy = -Infinity;
@@ -257,7 +257,7 @@
       at,
       running: [...incarnation.running.values()].map(({ ref, traits }) => ({
         ...ref,
-        checkpoint: traits.saves ? `${ref.task}@${at}` : "",
+        checkpoint: traits.savesCheckpoints ? `${ref.task}@${at}` : "",
         progressPercent: 50,
         reading: traits.reading,
       })),
@@ -384,7 +384,7 @@
     const { clock, random } = this.options;
     await this.reach(instance, act);
     const { incarnation } = this;
-    if (!this.lateOrders || random.next() >= WORKER.delayedOrderShare)
+    if (!this.delaysOrders || random.next() >= WORKER.delayedOrderShare)
       return act();
     const { least, most } = WORKER.orderDelayMs;
     clock.after(least + random.next() * (most - least), () => {
--- a/packages/checker/src/jobs/chanceSchedules.ts
+++ b/packages/checker/src/jobs/chanceSchedules.ts
@@ -31,9 +31,9 @@
 export interface ChanceOutcome {
   readonly jobs: number;
   /** Number of jobs that failed permanently. */
-  readonly givenUp: number;
+  readonly failedPermanently: number;
   /** Number of failed jobs with fewer crashes of workers per task than the rules require. */
-  readonly withoutCause: number;
+  readonly failedWithoutCause: number;
   readonly violations: readonly JobViolation[];
 }
 
@@ -78,26 +78,26 @@
   world.checkEnds();
   const givenUp = world.jobs.wanted.filter((id) => world.jobs.hasFailed(id));
   const withoutCause = givenUp.filter(
-    (id) => history.mostCrashes(id) < CRASHES_TO_FAIL,
+    (id) => history.maxTaskCrashes(id) < CRASHES_TO_FAIL,
   );
   for (const id of withoutCause) {
     history.add("given-up", clock.monotonic(), id);
   }
   return {
     jobs: world.jobs.wanted.length,
-    givenUp: givenUp.length,
-    withoutCause: withoutCause.length,
+    failedPermanently: givenUp.length,
+    failedWithoutCause: withoutCause.length,
     violations: history.violations,
   };
 };
 
-export const addChance = (
+export const addChanceOutcomes = (
   a: ChanceOutcome,
   b: ChanceOutcome,
 ): ChanceOutcome => ({
   jobs: a.jobs + b.jobs,
-  givenUp: a.givenUp + b.givenUp,
-  withoutCause: a.withoutCause + b.withoutCause,
+  failedPermanently: a.failedPermanently + b.failedPermanently,
+  failedWithoutCause: a.failedWithoutCause + b.failedWithoutCause,
   violations: [...a.violations, ...b.violations],
 });
 
--- a/packages/checker/src/jobs/index.ts
+++ b/packages/checker/src/jobs/index.ts
@@ -1,25 +1,29 @@
 export {
-  addChance,
+  addChanceOutcomes,
   runChanceSchedule,
   type ChanceOutcome,
 } from "./chanceSchedules.js";
 export {
   runDroppedLeaderSchedule,
-  runFormerSchedule,
+  runPreviousLinkSchedule,
   runCrashingSchedule,
   runEvacuatingSchedule,
-  runForgettingSchedule,
-  runRebornSchedule,
-  runReturnSchedule,
-  runSilencedSchedule,
+  runSideRestartSchedule,
+  runWorkerRestartSchedule,
+  runWorkerReturnSchedule,
+  runSilentConnectionSchedule,
   runSilentSuccessionSchedule,
   runHarshSchedule,
   runJobSchedule,
   runLastingSchedule,
-  runStarvedSchedule,
+  runStarvedLeaderSchedule,
   runSuccessionSchedule,
 } from "./jobSchedules.js";
-export { GangBook } from "./GangBook.js";
-export { RunHistory, type JobViolation, type RunSeen } from "./RunHistory.js";
+export { GangRunTracker } from "./GangRunTracker.js";
+export {
+  RunHistory,
+  type JobViolation,
+  type ObservedRun,
+} from "./RunHistory.js";
 export type { TaskTraits } from "./TaskTraits.js";
 export { WorkerModel } from "./WorkerModel.js";
--- a/packages/checker/src/jobs/jobSchedules.ts
+++ b/packages/checker/src/jobs/jobSchedules.ts
@@ -106,7 +106,7 @@
  * Runs one seed with connections that become silent and heartbeats of ended incarnations.
  * @returns the violations, in order
  */
-export const runSilencedSchedule = (
+export const runSilentConnectionSchedule = (
   seed: number,
 ): Promise<readonly JobViolation[]> => runSchedule(seed, SILENT_CONNECTIONS);
 
@@ -168,7 +168,7 @@
  * @param sharesOneInstance whether the adapter does not distinguish their incarnations
  * @returns the violations, in order
  */
-export const runRebornSchedule = (
+export const runWorkerRestartSchedule = (
   seed: number,
   sharesOneInstance = false,
 ): Promise<readonly JobViolation[]> =>
@@ -181,7 +181,7 @@
   });
 
 /** Runs one seed with restarts of workers and of sides. @returns the violations, in order */
-export const runForgettingSchedule = (
+export const runSideRestartSchedule = (
   seed: number,
 ): Promise<readonly JobViolation[]> =>
   runSchedule(seed, { ...WORKER_RESTARTS, events: SIDE_RESTART_EVENTS });
@@ -213,7 +213,7 @@
  * Runs one seed with a leader that is short of processor time and many failing runs.
  * @returns the violations, in order
  */
-export const runStarvedSchedule = (
+export const runStarvedLeaderSchedule = (
   seed: number,
 ): Promise<readonly JobViolation[]> => runSchedule(seed, STARVED_LEADER);
 
@@ -222,7 +222,7 @@
  * leaders close these; this variant reproduces the schedules of seeds that were found this way.
  * @returns the violations, in order
  */
-export const runFormerSchedule = (
+export const runPreviousLinkSchedule = (
   seed: number,
 ): Promise<readonly JobViolation[]> =>
   runSchedule(seed, { ...BASIC, closesPreviousLinks: false });
@@ -291,7 +291,7 @@
  * Runs one seed with workers that become silent one after the other, each while its leader is
  * lost, replaced or stays, without other faults. @returns the violations, in order
  */
-export const runReturnSchedule = async (
+export const runWorkerReturnSchedule = async (
   seed: number,
 ): Promise<readonly JobViolation[]> => {
   const { mayFailPermanently } = REPLACED_LEADER;
--- a/packages/checker/tests/jobSchedules.test.ts
+++ b/packages/checker/tests/jobSchedules.test.ts
@@ -1,19 +1,19 @@
 import { test } from "node:test";
 import { expect } from "earl";
 import {
-  runFormerSchedule,
+  runPreviousLinkSchedule,
   runHarshSchedule,
   runJobSchedule,
   runLastingSchedule,
   runCrashingSchedule,
   runEvacuatingSchedule,
-  runForgettingSchedule,
+  runSideRestartSchedule,
   runDroppedLeaderSchedule,
-  runRebornSchedule,
-  runReturnSchedule,
-  runSilencedSchedule,
+  runWorkerRestartSchedule,
+  runWorkerReturnSchedule,
+  runSilentConnectionSchedule,
   runSilentSuccessionSchedule,
-  runStarvedSchedule,
+  runStarvedLeaderSchedule,
   runSuccessionSchedule,
   type JobViolation,
 } from "@rackspan/checker";
@@ -32,24 +32,25 @@
 const SEEDS = Array.from({ length: 12 }, (_, index) => index + 1);
 
 test("no task runs twice, past its attempts, beyond a host's capacity or after its cancel, whatever is delayed", async () => {
-  for (const seed of SEEDS) await expectNoViolations(runFormerSchedule, seed);
+  for (const seed of SEEDS)
+    await expectNoViolations(runPreviousLinkSchedule, seed);
 });
 
 // Jobs that were read at a takeover count as known, however long the takeover lasted.
 test("a leader stalled during its takeover starts no task that may be running", async () => {
-  await expectNoViolations(runFormerSchedule, 145);
+  await expectNoViolations(runPreviousLinkSchedule, 145);
   await expectNoViolations(runJobSchedule, 26);
 });
 
 // The same fault in another schedule.
 test("a leader stalled during its takeover starts no task that may be running: another seed", async () => {
-  await expectNoViolations(runFormerSchedule, 105);
+  await expectNoViolations(runPreviousLinkSchedule, 105);
 });
 
 // A report that lists the run must not count as an answer to its stop.
 for (const seed of [229, 262]) {
   test(`lost stops are ordered again: seed ${seed}`, async () => {
-    await expectNoViolations(runFormerSchedule, seed);
+    await expectNoViolations(runPreviousLinkSchedule, seed);
   });
 }
 
@@ -68,7 +69,7 @@
 // Every other run fails; an overdue scheduling cycle must not start a task without attempts left.
 for (const seed of [2, 13, 18]) {
   test(`a leader short of processor time starts no task past its attempts: seed ${seed}`, async () => {
-    await expectNoViolations(runStarvedSchedule, seed);
+    await expectNoViolations(runStarvedLeaderSchedule, seed);
   });
 }
 
@@ -113,25 +114,25 @@
 // Workers restart at once under their ids; an incarnation may execute orders to the previous one.
 test("incarnations of a worker under one id are distinguished, whatever is delayed", async () => {
   for (const seed of SEEDS.slice(0, 8)) {
-    await expectNoViolations(runRebornSchedule, seed);
+    await expectNoViolations(runWorkerRestartSchedule, seed);
   }
 });
 
 // The fence against an unanswered start arrives just after the start.
 test("a start unanswered by the previous incarnation does not begin beside its fence", async () => {
-  await expectNoViolations(runRebornSchedule, 183);
+  await expectNoViolations(runWorkerRestartSchedule, 183);
 });
 
 // A restarted side has no record of the starts that the previous process sent.
 test("an unanswered start of a previous side does not begin at the worker's next incarnation", async () => {
   for (const seed of [8, 9, 14, 16, 52]) {
-    await expectNoViolations(runForgettingSchedule, seed);
+    await expectNoViolations(runSideRestartSchedule, seed);
   }
 });
 
 test("schedules detect an adapter that reports one instance for all incarnations", async () => {
   for (const seed of SEEDS.slice(0, 2)) {
-    const violations = await runRebornSchedule(seed, true);
+    const violations = await runWorkerRestartSchedule(seed, true);
     expect(violations.length > 0).toEqual(true);
   }
 });
@@ -151,7 +152,8 @@
 });
 
 test("a worker that answers again while its leader is cut off runs no task beside another run", async () => {
-  for (const seed of SEEDS) await expectNoViolations(runReturnSchedule, seed);
+  for (const seed of SEEDS)
+    await expectNoViolations(runWorkerReturnSchedule, seed);
 });
 
 // The store elects another entry while the previous leader still sends orders.
@@ -176,7 +178,8 @@
 
 // Heartbeats of several previous incarnations arrive after the next one's; workers are back in 0.3 s.
 test("with silent connections and late heartbeats each task has one run at a time", async () => {
-  for (const seed of SEEDS) await expectNoViolations(runSilencedSchedule, seed);
+  for (const seed of SEEDS)
+    await expectNoViolations(runSilentConnectionSchedule, seed);
 });
 
 test("a task of a silent worker starts elsewhere in time although connections become silent", async () => {
--- a/packages/checker/tests/workerModel.test.ts
+++ b/packages/checker/tests/workerModel.test.ts
@@ -13,7 +13,7 @@
   type WorkerTime,
 } from "@rackspan/common";
 import {
-  GangBook,
+  GangRunTracker,
   RunHistory,
   WorkerModel,
   type TaskTraits,
@@ -26,7 +26,7 @@
   crashes: false,
   gang: undefined,
   reading: 0,
-  saves: false,
+  savesCheckpoints: false,
 };
 
 test("a new incarnation of a worker that is up ends all runs of the previous one", async () => {
@@ -37,7 +37,7 @@
     clock,
     random: new SeededRandom(1),
     history,
-    gangs: new GangBook(clock),
+    gangs: new GangRunTracker(clock),
     milliCores: 1_000,
     traitsOf: () => LASTING,
   });
@@ -59,6 +59,6 @@
   await clock.advance(10);
   await started;
   expect(history.openRuns().length).toEqual(1);
-  worker.revive();
+  worker.restart();
   expect(history.openRuns()).toEqual([]);
 });
--- a/packages/entry/src/openTunnel.ts
+++ b/packages/entry/src/openTunnel.ts
@@ -48,7 +48,7 @@
       upstreamHead: Buffer,
     ) => {
       metrics.count("tunnels_opened");
-      joinSockets({ answer: response, socket, head, upstream, upstreamHead });
+      joinSockets({ response: response, socket, head, upstream, upstreamHead });
     },
   };
   try {
--- a/packages/jobs/src/HostState.ts
+++ b/packages/jobs/src/HostState.ts
@@ -15,7 +15,7 @@
 import { runKeyOf, type RunRef } from "@rackspan/ports";
 import type { WorkerDescription } from "@rackspan/protocol";
 import type { ImageName } from "@rackspan/state";
-import { natureOf } from "./describeTask.js";
+import { interferenceProfileOf } from "./describeTask.js";
 import type { JobTask } from "./JobTask.js";
 import type { StopOrder, StoppingRun } from "./StopOrder.js";
 
@@ -344,7 +344,7 @@
   private account(task: JobTask, sign: 1 | -1): void {
     const { demand, image } = task.step.spec;
     const milliCores = sign * demand.milliCores;
-    switch (natureOf(task).kind) {
+    switch (interferenceProfileOf(task).kind) {
       case "filling":
         this.totals.fillingMilliCores += milliCores;
         addTo(
--- a/packages/jobs/src/JobTask.ts
+++ b/packages/jobs/src/JobTask.ts
@@ -22,7 +22,7 @@
    */
   writeAheadRun: RunNumber | undefined;
   /** The task is not started before this time: until then it may still fail permanently. */
-  heldUntil: Monotonic = -Infinity;
+  notBefore: Monotonic = -Infinity;
   /** The checkpoint from which the next run resumes; empty if there is none. */
   checkpoint = "";
   /** The last hosts on which the task failed or stalled. */
--- a/packages/jobs/src/StepRun.ts
+++ b/packages/jobs/src/StepRun.ts
@@ -13,7 +13,7 @@
   readonly waiting: Set<JobTask>;
   doneCount = 0;
   /** No task of the step is started before this time; set when a host refuses its ticket. */
-  heldUntil: Monotonic = -Infinity;
+  notBefore: Monotonic = -Infinity;
   /** Since when a task of the step has found no host; undefined when none waits. */
   unplacedSince: Monotonic | undefined;
   /** The last received checkpoint of any of its tasks; empty if there is none. */
--- a/packages/jobs/src/describeTask.ts
+++ b/packages/jobs/src/describeTask.ts
@@ -10,7 +10,7 @@
   readonly nature: InterferenceProfile;
 }
 
-export const natureOf = (task: JobTask): InterferenceProfile => {
+export const interferenceProfileOf = (task: JobTask): InterferenceProfile => {
   const { filling, tailTargetMs, lasting, image, demand } = task.step.spec;
   const isServing = lasting && tailTargetMs > 0;
   return {
@@ -23,5 +23,5 @@
 
 export const describeTask = (task: JobTask): TaskDescription => ({
   task: task.id,
-  nature: natureOf(task),
+  nature: interferenceProfileOf(task),
 });
--- a/packages/leadership/tests/leaderElection.test.ts
+++ b/packages/leadership/tests/leaderElection.test.ts
@@ -78,7 +78,7 @@
 
 test("expired leadership resumes under the same epoch if the group did not change", async () => {
   const { clock, store, terms, entry } = setUp();
-  store.timesWait = true;
+  store.suspendsExpiry = true;
   const a = entry("a");
   await clock.advance(700);
   store.fault = "refuses";
--- a/packages/protocol/src/joinSockets.ts
+++ b/packages/protocol/src/joinSockets.ts
@@ -5,7 +5,7 @@
 
 export interface JoinSocketsOptions {
   /** The response that switched protocols. */
-  readonly answer: IncomingMessage;
+  readonly response: IncomingMessage;
   readonly socket: Duplex;
   /** Bytes that followed the head of the request. */
   readonly head: Buffer;
@@ -27,7 +27,7 @@
 
 /** Writes the response head, then forwards bytes both ways until either end closes. */
 export const joinSockets = (options: JoinSocketsOptions): void => {
-  const { answer, socket, head, upstream, upstreamHead } = options;
+  const { response: answer, socket, head, upstream, upstreamHead } = options;
   socket.on("close", () => upstream.destroy());
   upstream.on("error", () => upstream.destroy());
   upstream.on("close", () => socket.destroy());
--- a/packages/scheduling/src/CrashTracker.ts
+++ b/packages/scheduling/src/CrashTracker.ts
@@ -139,7 +139,7 @@
     metrics.count("task_crashes_taken_back");
     const { points } = task.crashLog;
     logger.info("task.crash-taken-back", { task: task.id, run, points });
-    if (this.stopAwaiting(task, run)) task.heldUntil = clock.monotonic();
+    if (this.stopAwaiting(task, run)) task.notBefore = clock.monotonic();
     this.persistOrFinish(job, task);
     this.parts.requestCycle();
   }
@@ -230,7 +230,7 @@
     const task = this.parts.jobs.findTask(lost.task);
     if (!task || !this.awaitingAnswer.get(task)?.isReportedBySide) return;
     if (!this.stopAwaiting(task, lost.run)) return;
-    task.heldUntil = this.parts.options.clock.monotonic();
+    task.notBefore = this.parts.options.clock.monotonic();
     this.persistOrFinish(task.step.job, task);
     this.parts.requestCycle();
   }
@@ -330,7 +330,7 @@
   private judgeLater(task: JobTask, ms: number, onDue: () => void): Timer {
     const { options, requestCycle } = this.parts;
     const { job } = task.step;
-    task.heldUntil = options.clock.monotonic() + ms;
+    task.notBefore = options.clock.monotonic() + ms;
     return options.clock.after(ms, () => {
       onDue();
       if (job.isEnded) return;
--- a/packages/scheduling/src/Dispatcher.ts
+++ b/packages/scheduling/src/Dispatcher.ts
@@ -123,7 +123,7 @@
   private placeStep(candidate: Candidate, hosts: ServiceHosts): void {
     const { job, step } = candidate;
     if (job.isEnded) return;
-    if (this.options.engine.clock.monotonic() < step.heldUntil) return;
+    if (this.options.engine.clock.monotonic() < step.notBefore) return;
     const { permitRule } = this.termsOf(job);
     if (permitRule) this.placePermitted(candidate, hosts, permitRule);
     else this.placeTasks(candidate, hosts);
@@ -234,7 +234,7 @@
   ): "placed" | "not-now" | "no-host" {
     const { runLog, hosts: hostRegistry, placer, engine } = this.options;
     const now = engine.clock.monotonic();
-    if (now < task.heldUntil) return "not-now";
+    if (now < task.notBefore) return "not-now";
     const run = runLog.recordedRunFor([task]);
     if (run === undefined || task.step.job.isEnded) return "not-now";
     this.isolatedStarts.enqueue(task, now);
@@ -274,7 +274,7 @@
       competes(step.job),
     )) {
       const { step } = task;
-      if (this.options.engine.clock.monotonic() < step.heldUntil) continue;
+      if (this.options.engine.clock.monotonic() < step.notBefore) continue;
       const { permitRule } = this.termsOf(step.job);
       const allowed = permitRule ? this.permittedHosts(step, hosts) : hosts;
       const openHosts = this.hostFilter.hostsOpenTo(step, allowed);
--- a/packages/scheduling/src/HostMonitor.ts
+++ b/packages/scheduling/src/HostMonitor.ts
@@ -3,7 +3,7 @@
 import type { HostId, Monotonic, WorkerInstance } from "@rackspan/common";
 import {
   avoidHost,
-  natureOf,
+  interferenceProfileOf,
   type ActiveRun,
   type WorkerLoss,
 } from "@rackspan/jobs";
@@ -229,7 +229,7 @@
 };
 
 const hasStalled = (run: ActiveRun, knownUntil: Monotonic): boolean => {
-  const { kind } = natureOf(run.task);
+  const { kind } = interferenceProfileOf(run.task);
   if (run.task.step.spec.lasting) return false;
   const limit = kind === "filling" ? ENGINE.fillingStallMs : ENGINE.stallMs;
   return knownUntil - run.progressedAt > limit;
--- a/packages/scheduling/src/RunStarter.ts
+++ b/packages/scheduling/src/RunStarter.ts
@@ -10,7 +10,7 @@
 import { latestLeaseExpiry } from "@rackspan/leadership";
 import {
   avoidHost,
-  natureOf,
+  interferenceProfileOf,
   markSeen,
   type ActiveRun,
   type HostState,
@@ -211,7 +211,7 @@
         leaseUntil: orderExpiresAt,
         checkpoint: task.checkpoint,
         ...orderFields,
-        nature: natureOf(task),
+        nature: interferenceProfileOf(task),
       });
     } catch (err) {
       logger.warn("task.start-unanswered", {
@@ -290,7 +290,7 @@
       return;
     }
     permitTracker.discardTicket(task.step, host.hostState);
-    task.step.heldUntil = clock.monotonic() + ENGINE.badTicketPauseMs;
+    task.step.notBefore = clock.monotonic() + ENGINE.badTicketPauseMs;
   }
 
   /**
--- a/packages/scheduling/src/colocatingTaskPlacer.ts
+++ b/packages/scheduling/src/colocatingTaskPlacer.ts
@@ -5,7 +5,11 @@
  */
 
 import { MILLI_CORES_PER_CORE } from "@rackspan/common";
-import { natureOf, type HostState, type JobTask } from "@rackspan/jobs";
+import {
+  interferenceProfileOf,
+  type HostState,
+  type JobTask,
+} from "@rackspan/jobs";
 import type { SchedulingPolicy } from "./policy.js";
 import { slownessPenalty } from "./slowHosts.js";
 import type { TailForecast } from "./TailForecast.js";
@@ -76,7 +80,7 @@
     mustPlace: boolean,
   ): HostState | undefined {
     const extra = (host: HostState): number => bonusOf(task, host);
-    switch (natureOf(task).kind) {
+    switch (interferenceProfileOf(task).kind) {
       case "serving":
         return pickByScore(
           task,
--- a/packages/scheduling/src/explainWait.ts
+++ b/packages/scheduling/src/explainWait.ts
@@ -71,8 +71,8 @@
 const causeOf = ({ step, mayStart, now }: WaitingStep): WaitCause => {
   const [task] = step.waiting;
   if (!mayStart) return "take-over";
-  if (now < step.heldUntil) return "ticket-refused";
-  if (task && now < task.heldUntil) return "crash-doubt";
+  if (now < step.notBefore) return "ticket-refused";
+  if (task && now < task.notBefore) return "crash-doubt";
   if (
     task &&
     (task.writeAheadRun !== undefined || crashLogOf(task).isSuspect)
--- a/packages/scheduling/src/learnInterference.ts
+++ b/packages/scheduling/src/learnInterference.ts
@@ -9,7 +9,7 @@
   type Monotonic,
 } from "@rackspan/common";
 import {
-  natureOf,
+  interferenceProfileOf,
   type ActiveRun,
   type FillingCores,
   type HostState,
@@ -56,7 +56,7 @@
 const usedCoresOf = (runs: readonly ActiveRun[]): FillingCores => {
   const usedCores = new Map<ImageName, number>();
   for (const run of runs) {
-    if (natureOf(run.task).kind !== "filling") continue;
+    if (interferenceProfileOf(run.task).kind !== "filling") continue;
     const cores = run.reading / MILLI_CORES_PER_CORE;
     usedCores.set(imageOf(run), (usedCores.get(imageOf(run)) ?? 0) + cores);
   }
@@ -65,7 +65,8 @@
 
 /** Tasks that are still warming up have no valid tail latency yet. */
 const hasTail = ({ task, progressPercent }: ActiveRun): boolean =>
-  natureOf(task).kind === "serving" && progressPercent >= FULL_PROGRESS;
+  interferenceProfileOf(task).kind === "serving" &&
+  progressPercent >= FULL_PROGRESS;
 
 /** Returns the natural logarithm of the tail as a share of its target. */
 const logarithmOfTail = ({ task, reading }: ActiveRun): number => {
--- a/packages/scheduling/src/slowHosts.ts
+++ b/packages/scheduling/src/slowHosts.ts
@@ -4,7 +4,11 @@
  * Callers' estimates are too inaccurate for the comparison.
  */
 
-import { natureOf, type ActiveRun, type HostState } from "@rackspan/jobs";
+import {
+  interferenceProfileOf,
+  type ActiveRun,
+  type HostState,
+} from "@rackspan/jobs";
 import type { Monotonic } from "@rackspan/common";
 import type { HostEntry } from "./engineTypes.js";
 import type { HostRegistry } from "./HostRegistry.js";
@@ -34,7 +38,7 @@
 const isMeasured = (run: ActiveRun, now: Monotonic): boolean => {
   const { lasting } = run.task.step.spec;
   if (run.phase !== "running" || lasting) return false;
-  if (natureOf(run.task).kind !== "plain") return false;
+  if (interferenceProfileOf(run.task).kind !== "plain") return false;
   // A run that continued from a checkpoint shows the progress of earlier runs.
   if (run.task.checkpoint !== "") return false;
   return now - run.startedAt >= SLOWNESS.minRunMs;
--- a/packages/scheduling/tests/gangCheckpoints.test.ts
+++ b/packages/scheduling/tests/gangCheckpoints.test.ts
@@ -2,7 +2,7 @@
 
 import { test } from "node:test";
 import { expect } from "earl";
-import { BEGUN_PROGRESS } from "@rackspan/standins";
+import { STARTED_PROGRESS } from "@rackspan/standins";
 import { EngineHarness, type FakeHost } from "./engineHarness.js";
 
 const JOB = "5c0e7a21d94b36f8";
@@ -45,7 +45,7 @@
   ]);
   site.engine.forgetJob(job.spec.id);
   site.engine.addJob(job, {
-    ...BEGUN_PROGRESS,
+    ...STARTED_PROGRESS,
     checkpoints: [["0.0.1", "only"]],
   });
   await site.run(200);
--- a/packages/scheduling/tests/isolatedStartOrder.test.ts
+++ b/packages/scheduling/tests/isolatedStartOrder.test.ts
@@ -3,7 +3,7 @@
 import { test } from "node:test";
 import { expect } from "earl";
 import type { ProgressRecord } from "@rackspan/state";
-import { BEGUN_PROGRESS, plainJob } from "@rackspan/standins";
+import { STARTED_PROGRESS, plainJob } from "@rackspan/standins";
 import { EngineHarness, taskId } from "./engineHarness.js";
 
 const LARGE = "5c0e7a21d94b36f8";
@@ -12,7 +12,7 @@
 
 /** Progress persisted by a previous leader for a job whose task has crashed a worker. */
 const SUSPECT_PROGRESS: ProgressRecord = {
-  ...BEGUN_PROGRESS,
+  ...STARTED_PROGRESS,
   crashes: [["0.0.0", [[7, "young"]]]],
 };
 
--- a/packages/scheduling/tests/neverStartedRuns.test.ts
+++ b/packages/scheduling/tests/neverStartedRuns.test.ts
@@ -3,7 +3,7 @@
 import { test } from "node:test";
 import { expect } from "earl";
 import type { HostCallResult, LostRun } from "@rackspan/protocol";
-import { BEGUN_PROGRESS, plainJob } from "@rackspan/standins";
+import { STARTED_PROGRESS, plainJob } from "@rackspan/standins";
 import type { AcceptedJob, ProgressRecord } from "@rackspan/state";
 import {
   evidenceOf,
@@ -18,7 +18,7 @@
 
 /** After one more lost run without proof the task fails permanently. */
 const NEAR_LIMIT: ProgressRecord = {
-  ...BEGUN_PROGRESS,
+  ...STARTED_PROGRESS,
   crashes: [
     [
       "0.0.0",
--- a/packages/side/src/RequestHandler.ts
+++ b/packages/side/src/RequestHandler.ts
@@ -275,7 +275,7 @@
       body: undefined,
       onUpgrade: (answer, upstream, upstreamHead) => {
         this.addWatch(socket);
-        joinSockets({ answer, socket, head, upstream, upstreamHead });
+        joinSockets({ response: answer, socket, head, upstream, upstreamHead });
       },
     });
     attempt.response.then(
--- a/packages/side/src/jobs/index.ts
+++ b/packages/side/src/jobs/index.ts
@@ -9,5 +9,5 @@
 export { Pacer } from "./Pacer.js";
 export { SentLeaseTracker } from "./SentLeaseTracker.js";
 export { SilenceReporter } from "./SilenceReporter.js";
-export { TaskOrderHandler as TaskOrders } from "./TaskOrderHandler.js";
-export { WorkerPoller as WorkerWatch } from "./WorkerPoller.js";
+export { TaskOrderHandler } from "./TaskOrderHandler.js";
+export { WorkerPoller } from "./WorkerPoller.js";
--- a/packages/side/tests/buildSide.ts
+++ b/packages/side/tests/buildSide.ts
@@ -7,7 +7,12 @@
   type WorkerInstance,
 } from "@rackspan/common";
 import type { TaskHost } from "@rackspan/ports";
-import { Pacer, TaskOrders, WorkerRegistry, WorkerWatch } from "@rackspan/side";
+import {
+  Pacer,
+  TaskOrderHandler,
+  WorkerRegistry,
+  WorkerPoller,
+} from "@rackspan/side";
 import { createHeartbeat } from "./createHeartbeat.js";
 
 export interface SideOptions {
@@ -39,14 +44,14 @@
   const registry = new WorkerRegistry(clock, silentLogger);
   for (const instance of registered)
     registry.recordHeartbeat(createHeartbeat(instance));
-  const poller = new WorkerWatch({
+  const poller = new WorkerPoller({
     ...base,
     registry,
     pacer,
     unattendedLeaseMs,
     longestLeaseMs,
   });
-  const orders = new TaskOrders({ ...base, registry, poller, pacer });
+  const orders = new TaskOrderHandler({ ...base, registry, poller, pacer });
   /** Stops the poller once its current poll is over. */
   const stop = async (): Promise<void> => {
     const stopped = poller.stop();
--- a/packages/standins/src/MemoryStore.ts
+++ b/packages/standins/src/MemoryStore.ts
@@ -51,7 +51,7 @@
 export class MemoryStore implements StoreClient {
   fault: StoreFault = "none";
   /** Whether members do not expire, as may happen while the store is unavailable. */
-  timesWait = false;
+  suspendsExpiry = false;
   appends = 0;
   /** Maximum number of records returned by one read. */
   maxReadRecords = Infinity;
@@ -162,7 +162,7 @@
   }
 
   private expireMembers(): void {
-    if (this.timesWait) return;
+    if (this.suspendsExpiry) return;
     const now = this.clock.monotonic();
     for (const { name, expiresAt } of this.members) {
       if (expiresAt <= now) this.removeMember(name);
--- a/packages/standins/src/index.ts
+++ b/packages/standins/src/index.ts
@@ -1,4 +1,4 @@
-export * from "./begunProgress.js";
+export * from "./startedProgress.js";
 export * from "./EndpointStandin.js";
 export * from "./FaultSwitches.js";
 export * from "./HostListStandin.js";
--- a/packages/standins/src/begunProgress.ts
+++ b/packages/standins/src/startedProgress.ts
@@ -2,7 +2,7 @@
 
 import type { ProgressRecord } from "@rackspan/state";
 
-export const BEGUN_PROGRESS: ProgressRecord = {
+export const STARTED_PROGRESS: ProgressRecord = {
   state: "running",
   begun: true,
   endedAt: 0,
--- a/packages/state/tests/foreignRecords.test.ts
+++ b/packages/state/tests/foreignRecords.test.ts
@@ -26,7 +26,7 @@
   type JobId,
   type ProgressRecord,
 } from "@rackspan/state";
-import { BEGUN_PROGRESS, plainJob } from "@rackspan/standins";
+import { STARTED_PROGRESS, plainJob } from "@rackspan/standins";
 
 const SEED = 20_000;
 const RECORDS = 10_000;
@@ -35,7 +35,7 @@
 const INCARNATION = brand<WorkerInstance>("i-1");
 
 const PROGRESS: ProgressRecord = {
-  ...BEGUN_PROGRESS,
+  ...STARTED_PROGRESS,
   done: { "0.0": "0-2,5" },
 };
 
--- a/packages/state/tests/progressRecords.test.ts
+++ b/packages/state/tests/progressRecords.test.ts
@@ -2,7 +2,7 @@
 
 import { test } from "node:test";
 import { expect } from "earl";
-import { BEGUN_PROGRESS } from "@rackspan/standins";
+import { STARTED_PROGRESS } from "@rackspan/standins";
 import {
   decodeProgress,
   encodeProgress,
@@ -10,7 +10,7 @@
 } from "@rackspan/state";
 
 const RECORD: ProgressRecord = {
-  ...BEGUN_PROGRESS,
+  ...STARTED_PROGRESS,
   crashes: [
     [
       "0.0.0",
--- a/scripts/src/checkChance.ts
+++ b/scripts/src/checkChance.ts
@@ -5,7 +5,7 @@
 
 import { Command } from "commander";
 import {
-  addChance,
+  addChanceOutcomes,
   runChanceSchedule,
   type ChanceOutcome,
 } from "@rackspan/checker";
@@ -20,16 +20,16 @@
 
 let sum: ChanceOutcome = {
   jobs: 0,
-  givenUp: 0,
-  withoutCause: 0,
+  failedPermanently: 0,
+  failedWithoutCause: 0,
   violations: [],
 };
 for (let at = seed; at < seed + runs; at += 1) {
   const outcome = await runChanceSchedule(at);
-  sum = addChance(sum, outcome);
+  sum = addChanceOutcomes(sum, outcome);
   printViolations(at, outcome.violations);
 }
 process.stdout.write(
-  `${runs} schedules from seed ${seed}: ${sum.jobs} jobs, ${sum.givenUp} given up, ` +
-    `${sum.withoutCause} of them without cause\n`,
+  `${runs} schedules from seed ${seed}: ${sum.jobs} jobs, ${sum.failedPermanently} given up, ` +
+    `${sum.failedWithoutCause} of them without cause\n`,
 );
--- a/scripts/src/checkJobSchedules.ts
+++ b/scripts/src/checkJobSchedules.ts
@@ -6,12 +6,12 @@
   runJobSchedule,
   runCrashingSchedule,
   runEvacuatingSchedule,
-  runForgettingSchedule,
-  runRebornSchedule,
-  runStarvedSchedule,
+  runSideRestartSchedule,
+  runWorkerRestartSchedule,
+  runStarvedLeaderSchedule,
   runDroppedLeaderSchedule,
-  runReturnSchedule,
-  runSilencedSchedule,
+  runWorkerReturnSchedule,
+  runSilentConnectionSchedule,
   runSilentSuccessionSchedule,
   runSuccessionSchedule,
 } from "@rackspan/checker";
@@ -69,15 +69,15 @@
 
 const pickSchedule = (): typeof runJobSchedule => {
   if (silenced && succession) return runSilentSuccessionSchedule;
-  if (silenced) return runSilencedSchedule;
-  if (returning) return runReturnSchedule;
+  if (silenced) return runSilentConnectionSchedule;
+  if (returning) return runWorkerReturnSchedule;
   if (dropped) return runDroppedLeaderSchedule;
   if (succession) return (at) => runSuccessionSchedule(at);
-  if (forgetting) return runForgettingSchedule;
-  if (reborn) return runRebornSchedule;
+  if (forgetting) return runSideRestartSchedule;
+  if (reborn) return runWorkerRestartSchedule;
   if (crashing) return runCrashingSchedule;
   if (evacuating) return runEvacuatingSchedule;
-  if (starved) return runStarvedSchedule;
+  if (starved) return runStarvedLeaderSchedule;
   return harsh ? runHarshSchedule : runJobSchedule;
 };
 
--- a/soak/src/RunRecorder.ts
+++ b/soak/src/RunRecorder.ts
@@ -1,16 +1,16 @@
 /** Records the runs of all workers, with times of one monotonic clock. */
 
 import type { HostId, JobTaskId, RunNumber } from "@rackspan/common";
-import { RunHistory, type RunSeen } from "@rackspan/checker";
+import { RunHistory, type ObservedRun } from "@rackspan/checker";
 import type { RunObserver, WorkerRun } from "@rackspan/platform-standins";
 
 export class RunRecorder {
   readonly history = new RunHistory();
-  readonly seen: RunSeen[] = [];
+  readonly seen: ObservedRun[] = [];
 
   /** Returns an observer for one incarnation of the host's worker. */
   observe(host: HostId): RunObserver {
-    const runsSeen = new Map<WorkerRun, RunSeen>();
+    const runsSeen = new Map<WorkerRun, ObservedRun>();
     return {
       began: (run) => {
         const seen = this.recordStart(host, run);
@@ -20,24 +20,24 @@
         const seen = runsSeen.get(run);
         if (!seen) return;
         seen.endedAt = performance.now();
-        seen.outcome = outcome as RunSeen["outcome"];
+        seen.outcome = outcome as ObservedRun["outcome"];
       },
-      noted: (run) => {
+      acknowledged: (run) => {
         const seen = runsSeen.get(run);
-        if (seen) seen.noted = true;
+        if (seen) seen.endAcknowledged = true;
       },
     };
   }
 
-  private recordStart(host: HostId, { task, run }: WorkerRun): RunSeen {
-    const seen: RunSeen = {
+  private recordStart(host: HostId, { task, run }: WorkerRun): ObservedRun {
+    const seen: ObservedRun = {
       task: task as unknown as JobTaskId,
       run: run as unknown as RunNumber,
       host,
       beganAt: performance.now(),
       endedAt: undefined,
       outcome: undefined,
-      noted: false,
+      endAcknowledged: false,
     };
     this.seen.push(seen);
     this.history.begin(seen);
@@ -47,7 +47,15 @@
   /** One line per run, with wall-clock times as in the programs' logs. */
   toLogLines(): string[] {
     return this.seen.map(
-      ({ task, run, host, beganAt, endedAt, outcome, noted }) =>
+      ({
+        task,
+        run,
+        host,
+        beganAt,
+        endedAt,
+        outcome,
+        endAcknowledged: noted,
+      }) =>
         `${task} run=${run} host=${host} began=${wallTime(beganAt)} ended=${
           endedAt === undefined ? "-" : wallTime(endedAt)
         } outcome=${outcome ?? "-"} noted=${noted}`,
--- a/soak/src/SoakSite.ts
+++ b/soak/src/SoakSite.ts
@@ -131,7 +131,7 @@
     this.evacuations.set(zone, (this.evacuations.get(zone) ?? 0) + 1);
     await this.writeAsOperator(`evacuate/${zone}`, {});
     for (const host of this.hostsOf(zone)) {
-      this.options.recorder.history.noteEvacuated(host, performance.now());
+      this.options.recorder.history.recordEvacuation(host, performance.now());
     }
   }
 
@@ -141,7 +141,7 @@
     this.evacuations.set(zone, left);
     if (left > 0) return;
     for (const host of this.hostsOf(zone)) {
-      this.options.recorder.history.noteTakenBack(host);
+      this.options.recorder.history.recordEvacuationEnd(host);
     }
     await this.writeAsOperator(`evacuate/${zone}`, undefined);
   }
--- a/soak/src/SoakWorker.ts
+++ b/soak/src/SoakWorker.ts
@@ -80,7 +80,7 @@
     this.previousIncarnation = incarnation;
     if (!previousIncarnation || this.isClosed) return;
     setTimeout(
-      () => previousIncarnation.beat(inbox, this.address),
+      () => previousIncarnation.sendHeartbeat(inbox, this.address),
       incarnationRandom.next() * MAX_LATE_HEARTBEAT_MS,
     ).unref();
   }
@@ -108,8 +108,8 @@
   /** Cuts off the current incarnation, which keeps running: neither calls nor heartbeats pass. */
   disconnect(): void {
     const { incarnation, proxy } = this;
-    if (!incarnation || incarnation.isCutOff) return;
-    incarnation.isCutOff = true;
+    if (!incarnation || incarnation.dropsHeartbeats) return;
+    incarnation.dropsHeartbeats = true;
     this.disconnectedTarget = proxy.target;
     proxy.target = undefined;
     proxy.noTargetBehavior = "silent";
@@ -119,8 +119,8 @@
   /** Reconnects the current incarnation if it is disconnected. */
   reconnect(): void {
     const { incarnation, proxy, disconnectedTarget } = this;
-    if (!incarnation?.isCutOff) return;
-    incarnation.isCutOff = false;
+    if (!incarnation?.dropsHeartbeats) return;
+    incarnation.dropsHeartbeats = false;
     proxy.target = disconnectedTarget;
     // Open calls would get no answer.
     proxy.resetAll();
--- a/soak/src/checkOutcomes.ts
+++ b/soak/src/checkOutcomes.ts
@@ -76,7 +76,7 @@
   if (state === "cancelled") return isCancelled;
   const cannotComplete = kind === "failing" || kind === "crashing";
   if (state === "failed") {
-    return cannotComplete || history.mostCrashes(id) >= MIN_CRASHES_TO_FAIL;
+    return cannotComplete || history.maxTaskCrashes(id) >= MIN_CRASHES_TO_FAIL;
   }
   return !cannotComplete && kind !== "lasting";
 };
